--- a/admission/accessors.go
+++ b/admission/accessors.go
@@ -6,7 +6,7 @@
 )
 
 // Limit returns the limit of a service in sub-requests.
-func (g *Gate) Limit(service string) int {
+func (g *Controller) Limit(service string) int {
 	if s := g.services[service]; s != nil {
 		return s.limit.value()
 	}
@@ -14,7 +14,7 @@
 }
 
 // RunningCost returns the number of sub-requests of running queries of a rank.
-func (g *Gate) RunningCost(service string, r rank.Rank) int {
+func (g *Controller) RunningCost(service string, r rank.Rank) int {
 	if s := g.services[service]; s != nil {
 		return s.running.At(r)
 	}
@@ -22,7 +22,7 @@
 }
 
 // Running returns the number of running queries of a rank.
-func (g *Gate) Running(service string, r rank.Rank) int {
+func (g *Controller) Running(service string, r rank.Rank) int {
 	if s := g.services[service]; s != nil {
 		return s.count.At(r)
 	}
@@ -30,15 +30,15 @@
 }
 
 // Queued returns the number of waiting queries of a rank.
-func (g *Gate) Queued(service string, r rank.Rank) int {
+func (g *Controller) Queued(service string, r rank.Rank) int {
 	if s := g.services[service]; s != nil {
 		return s.queues.Ref(r).len()
 	}
 	return 0
 }
 
-// Waiting returns the number of waiting queries of all ranks.
-func (g *Gate) Waiting(service string) int {
+// QueuedTotal returns the number of waiting queries of all ranks.
+func (g *Controller) QueuedTotal(service string) int {
 	n := 0
 	for _, r := range rank.All() {
 		n += g.Queued(service, r)
@@ -47,7 +47,7 @@
 }
 
 // Refused returns how many queries of a rank were refused for a reason.
-func (g *Gate) Refused(service string, r rank.Rank, reason Reason) int {
+func (g *Controller) Refused(service string, r rank.Rank, reason Reason) int {
 	if s := g.services[service]; s != nil {
 		return s.refused.Ref(r)[reason]
 	}
@@ -56,17 +56,17 @@
 
 // RefusedTotal returns how many queries were refused for a reason, over all
 // services, including queries of unknown services.
-func (g *Gate) RefusedTotal(reason Reason) int { return g.refused[reason] }
+func (g *Controller) RefusedTotal(reason Reason) int { return g.refused[reason] }
 
 // Draining reports whether new arrivals are refused.
-func (g *Gate) Draining() bool { return g.draining }
+func (g *Controller) Draining() bool { return g.draining }
 
 // Idle reports whether nothing is queued or running.
-func (g *Gate) Idle() bool { return len(g.queries) == 0 }
+func (g *Controller) Idle() bool { return len(g.queries) == 0 }
 
 // NextWake returns when the gate wants a TickMsg. It takes time in the number
 // of services.
-func (g *Gate) NextWake() (clock.Millis, bool) {
+func (g *Controller) NextWake() (clock.Millis, bool) {
 	var wake clock.Millis
 	found := false
 	for _, s := range g.ordered {
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -10,7 +10,7 @@
 
 // BenchmarkQuery measures one query that waits in the queue and then runs.
 func BenchmarkQuery(b *testing.B) {
-	g := admission.New(admission.WithService(svc, 1, 1), admission.WithPolicy(policy(50, 25, 10)))
+	g := admission.New(admission.WithService(svc, 1, 1), admission.WithPreset(policy(50, 25, 10)))
 	ids := [2]string{"a", "b"}
 	g.Update(1, arrive("b", rank.Urgent))
 	b.ReportAllocs()
--- a/admission/command.go
+++ b/admission/command.go
@@ -34,12 +34,12 @@
 
 // The reasons of a refusal.
 const (
-	QueueFull      Reason = iota // the queue of the rank is full
-	Displaced                    // a newer query took its place in a full queue
-	TooLate                      // it can no longer finish by its deadline
-	Draining                     // the VM is stopping
-	UnknownService               // the service is not configured
-	DuplicateID                  // a query with this ID is queued or running
+	ReasonQueueFull      Reason = iota // the queue of the rank is full
+	ReasonDisplaced                    // a newer query took its place in a full queue
+	ReasonTooLate                      // it can no longer finish by its deadline
+	ReasonDraining                     // the VM is stopping
+	ReasonUnknownService               // the service is not configured
+	ReasonDuplicateID                  // a query with this ID is queued or running
 
 	reasonCount = 6
 )
--- a/admission/credit_test.go
+++ b/admission/credit_test.go
@@ -15,7 +15,7 @@
 	p := policy(30, 30, 20)
 	p.Urgent.QueueRequests, p.Patient.QueueRequests = 100, 100
 	p.Urgent.DeadlineMs = 10_000
-	g := admission.New(admission.WithService(svc, 40, 40), admission.WithPolicy(p))
+	g := admission.New(admission.WithService(svc, 40, 40), admission.WithPreset(p))
 	took := rank.NewTable[clock.Millis](10, 10, 40)
 	ends := make(map[clock.Millis][]string)
 	var now clock.Millis
@@ -31,7 +31,7 @@
 	}
 	for seq := 0; now < 5000; now++ {
 		for _, id := range ends[now] {
-			perform(admission.DoneMsg{ID: id, TookMs: took.At(rank.Rank(id[0] - '0'))})
+			perform(admission.DoneMsg{ID: id, ElapsedMs: took.At(rank.Rank(id[0] - '0'))})
 		}
 		for _, r := range []rank.Rank{rank.Urgent, rank.Patient} {
 			for g.Queued(svc, r) < 50 {
--- a/admission/flood_test.go
+++ b/admission/flood_test.go
@@ -50,7 +50,7 @@
 // flood drives one gate against a fake service in virtual time. The service
 // has a fixed number of workers and a first-in, first-out queue.
 type flood struct {
-	gate    *admission.Gate
+	gate    *admission.Controller
 	cost    int
 	workers int
 	rng     *rand.Rand
@@ -77,7 +77,7 @@
 func newFlood(seed uint64, initial, workers, cost int) *flood {
 	return &flood{
 		cost: cost, workers: workers,
-		gate: admission.New(admission.WithService(svc, initial, 10_000), admission.WithPolicy(floodPolicy())),
+		gate: admission.New(admission.WithService(svc, initial, 10_000), admission.WithPreset(floodPolicy())),
 		rng:  rand.New(rand.NewPCG(seed, 1)), open: map[string]*floodQuery{},
 	}
 }
@@ -113,7 +113,7 @@
 	f.seq++
 	id := strconv.Itoa(f.seq)
 	f.open[id] = &floodQuery{id: id, rank: r, left: f.cost}
-	f.perform(admission.ArriveMsg{ID: id, Rank: r, Service: svc, Cost: f.cost})
+	f.perform(admission.ArrivalMsg{ID: id, Rank: r, Service: svc, Cost: f.cost})
 }
 
 func (f *flood) perform(m admission.Msg) {
@@ -153,7 +153,7 @@
 		if f.now <= q.deadline {
 			*f.good.Ref(q.rank)++
 		}
-		f.perform(admission.DoneMsg{ID: q.id, QueueMs: q.waitedMs / clock.Millis(f.cost), TookMs: f.now - q.admitted})
+		f.perform(admission.DoneMsg{ID: q.id, QueueMs: q.waitedMs / clock.Millis(f.cost), ElapsedMs: f.now - q.admitted})
 	}
 }
 
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -9,8 +9,8 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// Gate admits, queues or refuses queries. It is a pure state machine.
-type Gate struct {
+// Controller admits, queues or refuses queries. It is a pure state machine.
+type Controller struct {
 	cfg      config
 	policy   preset.Preset
 	draining bool
@@ -23,9 +23,9 @@
 }
 
 // New returns a gate.
-func New(opts ...Option) *Gate {
+func New(opts ...Option) *Controller {
 	cfg := newConfig(opts)
-	g := &Gate{cfg: cfg, policy: cfg.policy, services: make(map[string]*service), queries: make(map[string]*query)}
+	g := &Controller{cfg: cfg, policy: cfg.policy, services: make(map[string]*service), queries: make(map[string]*query)}
 	for _, sc := range cfg.services {
 		s := newService(sc, cfg)
 		g.services[sc.name] = s
@@ -35,17 +35,17 @@
 }
 
 // Update applies msg at now and returns the commands that follow from it.
-func (g *Gate) Update(now clock.Millis, msg Msg) []Cmd {
+func (g *Controller) Update(now clock.Millis, msg Msg) []Cmd {
 	g.now = now
 	var cmds []Cmd
 	switch m := msg.(type) {
-	case ArriveMsg:
+	case ArrivalMsg:
 		cmds = g.arrive(now, m)
 	case DoneMsg:
 		cmds = g.done(now, m)
-	case GoneMsg:
+	case CancelMsg:
 		g.gone(now, m)
-	case PolicyMsg:
+	case PresetMsg:
 		g.setPolicy(now, m.Preset)
 	case DrainMsg:
 		g.draining = true
@@ -57,22 +57,22 @@
 	return cmds
 }
 
-func (g *Gate) arrive(now clock.Millis, m ArriveMsg) []Cmd {
+func (g *Controller) arrive(now clock.Millis, m ArrivalMsg) []Cmd {
 	s := g.services[m.Service]
 	switch {
 	case s == nil:
-		return g.refuse(now, nil, m.ID, m.Rank, UnknownService, nil)
+		return g.refuse(now, nil, m.ID, m.Rank, ReasonUnknownService, nil)
 	case g.draining:
-		return g.refuse(now, s, m.ID, m.Rank, Draining, nil)
+		return g.refuse(now, s, m.ID, m.Rank, ReasonDraining, nil)
 	case g.queries[m.ID] != nil:
-		return g.refuse(now, s, m.ID, m.Rank, DuplicateID, nil)
+		return g.refuse(now, s, m.ID, m.Rank, ReasonDuplicateID, nil)
 	}
 	policy := g.policy.Policy(m.Rank)
 	q := g.newQuery()
 	*q = query{id: m.ID, rank: m.Rank, service: s, cost: max(m.Cost, 1), deadline: m.Deadline, arrived: now}
 	if !s.canFinish(now, q, policy) {
 		g.free = append(g.free, q)
-		return g.refuse(now, s, m.ID, m.Rank, TooLate, nil)
+		return g.refuse(now, s, m.ID, m.Rank, ReasonTooLate, nil)
 	}
 	s.integrate(now, g.policy)
 	if s.next(g.policy) < 0 && s.fits(q) {
@@ -82,7 +82,7 @@
 	return g.enqueue(now, s, q, policy)
 }
 
-func (g *Gate) enqueue(now clock.Millis, s *service, q *query, policy preset.RankPolicy) []Cmd {
+func (g *Controller) enqueue(now clock.Millis, s *service, q *query, policy preset.RankPolicy) []Cmd {
 	var cmds []Cmd
 	queue := s.queues.Ref(q.rank)
 	if queue.len() >= max(policy.QueueRequests, 1) {
@@ -91,9 +91,9 @@
 		// ranks the oldest query is the one least likely to finish.
 		if q.rank == rank.Patient || q.cost > oldest.cost {
 			g.free = append(g.free, q)
-			return g.refuse(now, s, q.id, q.rank, QueueFull, cmds)
+			return g.refuse(now, s, q.id, q.rank, ReasonQueueFull, cmds)
 		}
-		cmds = g.drop(now, oldest, Displaced, cmds)
+		cmds = g.drop(now, oldest, ReasonDisplaced, cmds)
 	}
 	q.due = effectiveDeadline(q, policy)
 	queue.add(q)
@@ -102,14 +102,14 @@
 }
 
 // drop refuses a queued query.
-func (g *Gate) drop(now clock.Millis, q *query, reason Reason, cmds []Cmd) []Cmd {
+func (g *Controller) drop(now clock.Millis, q *query, reason Reason, cmds []Cmd) []Cmd {
 	s, id, r := q.service, q.id, q.rank
 	s.queues.Ref(r).remove(q)
 	g.release(q)
 	return g.refuse(now, s, id, r, reason, cmds)
 }
 
-func (g *Gate) refuse(now clock.Millis, s *service, id string, r rank.Rank, reason Reason, cmds []Cmd) []Cmd {
+func (g *Controller) refuse(now clock.Millis, s *service, id string, r rank.Rank, reason Reason, cmds []Cmd) []Cmd {
 	retry := defaultRetryMs
 	if s != nil {
 		retry = s.retryAfter(now, r)
@@ -121,21 +121,21 @@
 	return append(cmds, EventCmd{Event: event}, RefuseCmd{ID: id, Reason: reason, RetryAfterMs: retry})
 }
 
-func (g *Gate) start(now clock.Millis, s *service, q *query) Cmd {
+func (g *Controller) start(now clock.Millis, s *service, q *query) Cmd {
 	q.running = true
 	q.started = now
 	s.start(q, g.policy)
 	return AdmitCmd{ID: q.id, Deadline: effectiveDeadline(q, g.policy.Policy(q.rank)), WaitedMs: now - q.arrived}
 }
 
-func (g *Gate) done(now clock.Millis, m DoneMsg) []Cmd {
+func (g *Controller) done(now clock.Millis, m DoneMsg) []Cmd {
 	q := g.queries[m.ID]
 	if q == nil || !q.running {
 		return nil
 	}
 	s := q.service
 	s.integrate(now, g.policy)
-	s.finish(now, q, m.TookMs)
+	s.finish(now, q, m.ElapsedMs)
 	changed := s.limit.observe(now, q, m)
 	g.release(q)
 	if !changed {
@@ -145,7 +145,7 @@
 	return []Cmd{EventCmd{Event: timeline.Event{Kind: timeline.LimitChanged, Detail: detail}}}
 }
 
-func (g *Gate) gone(now clock.Millis, m GoneMsg) {
+func (g *Controller) gone(now clock.Millis, m CancelMsg) {
 	q := g.queries[m.ID]
 	if q == nil || q.running {
 		return
@@ -155,7 +155,7 @@
 	g.release(q)
 }
 
-func (g *Gate) setPolicy(now clock.Millis, p preset.Preset) {
+func (g *Controller) setPolicy(now clock.Millis, p preset.Preset) {
 	for _, s := range g.ordered {
 		s.integrate(now, g.policy)
 	}
@@ -163,7 +163,7 @@
 }
 
 // pump refuses queued queries that can no longer finish, then starts as many as fit.
-func (g *Gate) pump(now clock.Millis, s *service, cmds []Cmd) []Cmd {
+func (g *Controller) pump(now clock.Millis, s *service, cmds []Cmd) []Cmd {
 	for {
 		cmds = g.dropLate(now, s, cmds)
 		s.integrate(now, g.policy)
@@ -180,7 +180,7 @@
 		// The preset may have changed while the query was queued.
 		due := effectiveDeadline(q, g.policy.Policy(q.rank))
 		if now+max(s.reserve(now, q, due), 1) > due {
-			cmds = g.drop(now, q, TooLate, cmds)
+			cmds = g.drop(now, q, ReasonTooLate, cmds)
 			continue
 		}
 		queue.remove(q)
@@ -190,17 +190,17 @@
 
 // dropLate refuses queued queries that can no longer finish. A start can bring
 // a late one to the front, because the reserve depends on the query.
-func (g *Gate) dropLate(now clock.Millis, s *service, cmds []Cmd) []Cmd {
+func (g *Controller) dropLate(now clock.Millis, s *service, cmds []Cmd) []Cmd {
 	for _, r := range rank.All() {
 		queue := s.queues.Ref(r)
 		for queue.len() > 0 && s.late(now, queue.earliest()) {
-			cmds = g.drop(now, queue.earliest(), TooLate, cmds)
+			cmds = g.drop(now, queue.earliest(), ReasonTooLate, cmds)
 		}
 	}
 	return cmds
 }
 
-func (g *Gate) newQuery() *query {
+func (g *Controller) newQuery() *query {
 	if n := len(g.free); n > 0 {
 		q := g.free[n-1]
 		g.free = g.free[:n-1]
@@ -209,7 +209,7 @@
 	return &query{}
 }
 
-func (g *Gate) release(q *query) {
+func (g *Controller) release(q *query) {
 	delete(g.queries, q.id)
 	*q = query{}
 	g.free = append(g.free, q)
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -19,11 +19,11 @@
 	}
 }
 
-func arrive(id string, r rank.Rank) admission.ArriveMsg {
-	return admission.ArriveMsg{ID: id, Rank: r, Service: svc, Cost: 1}
+func arrive(id string, r rank.Rank) admission.ArrivalMsg {
+	return admission.ArrivalMsg{ID: id, Rank: r, Service: svc, Cost: 1}
 }
 
-func done(id string) admission.DoneMsg { return admission.DoneMsg{ID: id, TookMs: 10} }
+func done(id string) admission.DoneMsg { return admission.DoneMsg{ID: id, ElapsedMs: 10} }
 
 type step struct {
 	at  clock.Millis
@@ -43,17 +43,17 @@
 		{"room", nil, "+a +b"},
 		{"urgent before patient", []step{{2, arrive("c", rank.Patient)}, {2, arrive("d", rank.Urgent)}, {9, done("a")}, {9, done("b")}}, "+a +b +d +c"},
 		{"duplicate", []step{{2, arrive("a", rank.Urgent)}}, "+a +b -a:duplicate_id"},
-		{"unknown service", []step{{2, admission.ArriveMsg{ID: "x", Service: "none"}}}, "+a +b -x:unknown_service"},
+		{"unknown service", []step{{2, admission.ArrivalMsg{ID: "x", Service: "none"}}}, "+a +b -x:unknown_service"},
 		{"draining", []step{{2, arrive("c", rank.Urgent)}, {2, admission.DrainMsg{}}, {3, arrive("d", rank.Urgent)}, {9, done("a")}}, "+a +b -d:draining +c"},
 		{"draining past the deadline", []step{{2, arrive("c", rank.Urgent)}, {2, admission.DrainMsg{}}, {502, admission.TickMsg{}}}, "+a +b -c:too_late"},
-		{"gone", []step{{2, arrive("c", rank.Urgent)}, {3, admission.GoneMsg{ID: "c"}}, {9, done("a")}, {600, admission.TickMsg{}}}, "+a +b"},
-		{"deadline passed at arrival", []step{{9, admission.ArriveMsg{ID: "c", Service: svc, Deadline: 9}}}, "+a +b -c:too_late"},
-		{"less time than queries take", []step{{9, done("a")}, {9, admission.ArriveMsg{ID: "c", Rank: rank.Patient, Service: svc, Deadline: 18}}}, "+a +b -c:too_late"},
-		{"slow queries", []step{{9, admission.DoneMsg{ID: "a", TookMs: 800}}, {9, arrive("c", rank.Patient)}, {10, admission.DoneMsg{ID: "c", TookMs: 60_000}}, {10, admission.DoneMsg{ID: "b", TookMs: 60_000}}, {20, arrive("d", rank.Patient)}}, "+a +b +c -d:too_late"},
-		{"slow queries, forgotten after a second", []step{{9, admission.DoneMsg{ID: "a", TookMs: 60_000}}, {9, admission.DoneMsg{ID: "b", TookMs: 60_000}}, {1010, arrive("c", rank.Patient)}}, "+a +b +c"},
-		{"shorter deadline under a new preset", []step{{2, arrive("c", rank.Urgent)}, {3, admission.PolicyMsg{Preset: bigger}}, {30, done("a")}}, "+a +b -c:too_late"},
-		{"waited, with time for a slow query", []step{{2, arrive("c", rank.Urgent)}, {3, done("a")}, {4, arrive("d", rank.Urgent)}, {240, admission.DoneMsg{ID: "c", TookMs: 150}}}, "+a +b +c +d"},
-		{"waited, with time for a usual query only", []step{{2, arrive("c", rank.Urgent)}, {3, done("a")}, {4, arrive("d", rank.Urgent)}, {260, admission.DoneMsg{ID: "c", TookMs: 150}}}, "+a +b +c -d:too_late"},
+		{"gone", []step{{2, arrive("c", rank.Urgent)}, {3, admission.CancelMsg{ID: "c"}}, {9, done("a")}, {600, admission.TickMsg{}}}, "+a +b"},
+		{"deadline passed at arrival", []step{{9, admission.ArrivalMsg{ID: "c", Service: svc, Deadline: 9}}}, "+a +b -c:too_late"},
+		{"less time than queries take", []step{{9, done("a")}, {9, admission.ArrivalMsg{ID: "c", Rank: rank.Patient, Service: svc, Deadline: 18}}}, "+a +b -c:too_late"},
+		{"slow queries", []step{{9, admission.DoneMsg{ID: "a", ElapsedMs: 800}}, {9, arrive("c", rank.Patient)}, {10, admission.DoneMsg{ID: "c", ElapsedMs: 60_000}}, {10, admission.DoneMsg{ID: "b", ElapsedMs: 60_000}}, {20, arrive("d", rank.Patient)}}, "+a +b +c -d:too_late"},
+		{"slow queries, forgotten after a second", []step{{9, admission.DoneMsg{ID: "a", ElapsedMs: 60_000}}, {9, admission.DoneMsg{ID: "b", ElapsedMs: 60_000}}, {1010, arrive("c", rank.Patient)}}, "+a +b +c"},
+		{"shorter deadline under a new preset", []step{{2, arrive("c", rank.Urgent)}, {3, admission.PresetMsg{Preset: bigger}}, {30, done("a")}}, "+a +b -c:too_late"},
+		{"waited, with time for a slow query", []step{{2, arrive("c", rank.Urgent)}, {3, done("a")}, {4, arrive("d", rank.Urgent)}, {240, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c +d"},
+		{"waited, with time for a usual query only", []step{{2, arrive("c", rank.Urgent)}, {3, done("a")}, {4, arrive("d", rank.Urgent)}, {260, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c -d:too_late"},
 		{"full queue, newest patient", []step{
 			{2, arrive("c", rank.Patient)}, {2, arrive("d", rank.Patient)}, {2, arrive("e", rank.Patient)}, {2, arrive("f", rank.Patient)},
 		}, "+a +b -f:queue_full"},
@@ -64,7 +64,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := admission.New(admission.WithService(svc, 2, 2), admission.WithPolicy(policy(50, 25, 10)))
+			g := admission.New(admission.WithService(svc, 2, 2), admission.WithPreset(policy(50, 25, 10)))
 			got := ""
 			for _, s := range append(append([]step{}, full...), tt.steps...) {
 				for _, c := range g.Update(s.at, s.msg) {
@@ -97,7 +97,7 @@
 func TestLending(t *testing.T) {
 	p := policy(50, 30, 20)
 	p.Patient.QueueRequests, p.Ordinary.QueueRequests, p.Urgent.QueueRequests = 100, 100, 100
-	g := admission.New(admission.WithService(svc, 20, 20), admission.WithPolicy(p))
+	g := admission.New(admission.WithService(svc, 20, 20), admission.WithPreset(p))
 	ids := map[rank.Rank][]string{}
 	perform := func(now clock.Millis, m admission.Msg) {
 		for _, c := range g.Update(now, m) {
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -75,8 +75,8 @@
 
 // observe records the end of q and reports whether the limit changed.
 func (l *limit) observe(now clock.Millis, q *query, m DoneMsg) bool {
-	if m.ServeMs > 0 {
-		l.serveMs += serveWeight * (float64(m.ServeMs) - l.serveMs)
+	if m.ServiceMs > 0 {
+		l.serveMs += serveWeight * (float64(m.ServiceMs) - l.serveMs)
 	}
 	if q.started > l.lastFall {
 		l.record(q.rank, m.QueueMs, m.Overloaded)
--- a/admission/message.go
+++ b/admission/message.go
@@ -9,9 +9,9 @@
 // Msg is an input of a Gate.
 type Msg interface{ admissionMsg() }
 
-// ArriveMsg asks for a decision. ID must not be in use by a queued or running
+// ArrivalMsg asks for a decision. ID must not be in use by a queued or running
 // query. A Deadline of 0 means the default of the policy.
-type ArriveMsg struct {
+type ArrivalMsg struct {
 	ID       string
 	Rank     rank.Rank
 	Service  string
@@ -24,17 +24,17 @@
 type DoneMsg struct {
 	ID         string
 	QueueMs    clock.Millis // mean queue wait of its sub-requests at the carriers
-	ServeMs    clock.Millis // mean time of its sub-requests without that wait; 0 if not known
-	TookMs     clock.Millis // time since admission
+	ServiceMs  clock.Millis // mean time of its sub-requests without that wait; 0 if not known
+	ElapsedMs  clock.Millis // time since admission
 	Overloaded bool         // some sub-request was shed or dropped under load
 }
 
-// PolicyMsg puts a preset in force.
-type PolicyMsg struct{ Preset preset.Preset }
+// PresetMsg puts a preset in force.
+type PresetMsg struct{ Preset preset.Preset }
 
-// GoneMsg removes a queued query whose caller has gone. It has no effect on
+// CancelMsg removes a queued query whose caller has gone. It has no effect on
 // a running query.
-type GoneMsg struct{ ID string }
+type CancelMsg struct{ ID string }
 
 // DrainMsg makes the gate refuse new arrivals.
 type DrainMsg struct{}
@@ -42,9 +42,9 @@
 // TickMsg lets time pass.
 type TickMsg struct{}
 
-func (ArriveMsg) admissionMsg() {}
-func (DoneMsg) admissionMsg()   {}
-func (PolicyMsg) admissionMsg() {}
-func (GoneMsg) admissionMsg()   {}
-func (DrainMsg) admissionMsg()  {}
-func (TickMsg) admissionMsg()   {}
+func (ArrivalMsg) admissionMsg() {}
+func (DoneMsg) admissionMsg()    {}
+func (PresetMsg) admissionMsg()  {}
+func (CancelMsg) admissionMsg()  {}
+func (DrainMsg) admissionMsg()   {}
+func (TickMsg) admissionMsg()    {}
--- a/admission/options.go
+++ b/admission/options.go
@@ -36,14 +36,14 @@
 	}
 }
 
-// WithPolicy sets the preset that is in force at the start.
-func WithPolicy(p preset.Preset) Option { return func(c *config) { c.policy = p } }
+// WithPreset sets the preset that is in force at the start.
+func WithPreset(p preset.Preset) Option { return func(c *config) { c.policy = p } }
 
-// WithTarget sets the lowest mean queue wait at the carriers above which the limit falls.
-func WithTarget(ms clock.Millis) Option { return func(c *config) { c.targetMs = ms } }
+// WithTargetWait sets the lowest mean queue wait at the carriers above which the limit falls.
+func WithTargetWait(ms clock.Millis) Option { return func(c *config) { c.targetMs = ms } }
 
-// WithInterval sets the time over which waits are judged.
-func WithInterval(ms clock.Millis) Option { return func(c *config) { c.intervalMs = ms } }
+// WithAdjustInterval sets the time over which waits are judged.
+func WithAdjustInterval(ms clock.Millis) Option { return func(c *config) { c.intervalMs = ms } }
 
 func newConfig(opts []Option) config {
 	c := config{policy: defaultPolicy(), targetMs: defaultTargetMs, intervalMs: defaultIntervalMs}
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -15,7 +15,7 @@
 // and against more running cost than the limit at the time of admission.
 func TestExactlyOneDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := admission.New(admission.WithService(svc, 6, 12), admission.WithPolicy(policy(50, 25, 10)))
+		g := admission.New(admission.WithService(svc, 6, 12), admission.WithPreset(policy(50, 25, 10)))
 		now := clock.Millis(1)
 		var running []string
 		decided, gone, arrived := map[string]int{}, map[string]bool{}, 0
@@ -47,7 +47,7 @@
 			switch rapid.IntRange(0, 7).Draw(t, "kind") {
 			case 0, 1, 2, 3:
 				arrived++
-				perform(admission.ArriveMsg{
+				perform(admission.ArrivalMsg{
 					ID: strconv.Itoa(arrived), Service: svc,
 					Rank:     rank.Rank(rapid.IntRange(0, 2).Draw(t, "rank")),
 					Cost:     rapid.IntRange(1, 4).Draw(t, "cost"),
@@ -59,17 +59,17 @@
 					id := running[i]
 					running = append(running[:i], running[i+1:]...)
 					wait := clock.Millis(rapid.IntRange(0, 20).Draw(t, "wait"))
-					perform(admission.DoneMsg{ID: id, QueueMs: wait, TookMs: 10 + wait})
+					perform(admission.DoneMsg{ID: id, QueueMs: wait, ElapsedMs: 10 + wait})
 				}
 			case 6:
 				id := strconv.Itoa(rapid.IntRange(0, arrived).Draw(t, "gone"))
 				if decided[id] == 0 {
 					gone[id] = true
 				}
-				perform(admission.GoneMsg{ID: id})
+				perform(admission.CancelMsg{ID: id})
 			case 7:
 				floor := float64(rapid.IntRange(0, 40).Draw(t, "floor"))
-				perform(admission.PolicyMsg{Preset: policy(floor, 30, 10)})
+				perform(admission.PresetMsg{Preset: policy(floor, 30, 10)})
 			}
 		}
 		now += clock.Minute
--- a/admission/service.go
+++ b/admission/service.go
@@ -177,13 +177,13 @@
 
 // reserve returns the time that a waiting query needs to run whole.
 func (s *service) reserve(now clock.Millis, q *query, due clock.Millis) clock.Millis {
-	need := min(tailFactor*s.tail.Ref(q.rank).At(now), (due-q.arrived)/2)
-	return max(need, s.took.Ref(q.rank).At(now))
+	need := min(tailFactor*s.tail.Ref(q.rank).Estimate(now), (due-q.arrived)/2)
+	return max(need, s.took.Ref(q.rank).Estimate(now))
 }
 
 func (s *service) canFinish(now clock.Millis, q *query, policy preset.RankPolicy) bool {
 	deadline := effectiveDeadline(q, policy)
-	return now < deadline && now+s.took.Ref(q.rank).At(now) <= deadline
+	return now < deadline && now+s.took.Ref(q.rank).Estimate(now) <= deadline
 }
 
 // retryAfter estimates when the queue of r has drained.
@@ -194,7 +194,7 @@
 	}
 	gap := max(d.gapMs, 0)
 	queue := s.queues.Ref(r)
-	wait := clock.Millis(gap*float64(queue.len()+1)) + s.took.Ref(r).At(now)
+	wait := clock.Millis(gap*float64(queue.len()+1)) + s.took.Ref(r).Estimate(now)
 	return min(max(wait, minRetryMs), maxRetryMs)
 }
 
--- a/attempt/request.go
+++ b/attempt/request.go
@@ -32,18 +32,18 @@
 
 // Reply is the result of an attempt.
 type Reply struct {
-	ID         ID
-	Upstream   string
-	Status     Status
-	Ran        Ran
-	Version    uint64
-	Epoch      uint64 // shard map epoch under which Ranges was computed
-	Ranges     []coverage.Range
-	Held       []uint64 // snapshot versions that the upstream holds now
-	Rows       []coverage.Row
-	Body       []byte       // only for orders
-	Leaving    bool         // binding: the upstream asks for no new work
-	QueueMs    clock.Millis // time spent queued at the carrier
-	ServiceMs  clock.Millis // time between dispatch and reply at the carrier
-	RetryAfter clock.Millis
+	ID           ID
+	Upstream     string
+	Status       Status
+	Execution    Execution
+	Version      uint64
+	Epoch        uint64 // shard map epoch under which Ranges was computed
+	Ranges       []coverage.Range
+	HeldVersions []uint64 // snapshot versions that the upstream holds now
+	Rows         []coverage.Row
+	Body         []byte       // only for orders
+	Leaving      bool         // binding: the upstream asks for no new work
+	QueueMs      clock.Millis // time spent queued at the carrier
+	ServiceMs    clock.Millis // time between dispatch and reply at the carrier
+	RetryAfter   clock.Millis
 }
--- a/attempt/status.go
+++ b/attempt/status.go
@@ -10,7 +10,7 @@
 	Shed               // the upstream refused under load; not run
 	Leaving            // the upstream is draining; not run
 	NotSent            // dropped before anything was sent; not run
-	Refused            // connection refused; not run
+	ConnRefused        // connection refused; not run
 	Failed             // an error after the request may have left; unknown
 	TimedOut           // the deadline passed after the request was sent; unknown
 	Mismatched         // the reply was late, crossed, cut or doubled; unknown
@@ -31,21 +31,21 @@
 	return "unknown"
 }
 
-// Ran says whether work was run. The zero value is Unknown, so that a
+// Execution says whether work was run. The zero value is Unknown, so that a
 // forgotten field never claims a proof.
-type Ran uint8
+type Execution uint8
 
 // Unknown, No and Yes are the values of Ran.
 const (
-	Unknown Ran = iota
-	No
-	Yes
+	ExecutionUnknown Execution = iota
+	NotExecuted
+	Executed
 )
 
 var ranNames = [...]string{"unknown", "no", "yes"}
 
 // String returns the name of r.
-func (r Ran) String() string {
+func (r Execution) String() string {
 	if int(r) < len(ranNames) {
 		return ranNames[r]
 	}
@@ -53,14 +53,14 @@
 }
 
 // MarshalText encodes r as its name.
-func (r Ran) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
+func (r Execution) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
 // UnmarshalText decodes a name; anything else decodes as Unknown.
-func (r *Ran) UnmarshalText(b []byte) error {
-	*r = Unknown
+func (r *Execution) UnmarshalText(b []byte) error {
+	*r = ExecutionUnknown
 	for i, name := range ranNames {
 		if string(b) == name {
-			*r = Ran(i)
+			*r = Execution(i)
 		}
 	}
 	return nil
--- a/catalog/feeder.go
+++ b/catalog/feeder.go
@@ -38,18 +38,18 @@
 // Member is a VM of a group that shares what it reads of the store.
 type Member struct {
 	ID       string
-	Strength int // of the VM, on a scale that the group shares
+	Capacity int // of the VM, on a scale that the group shares
 }
 
-// Feeders returns the VMs that self may subscribe to, best first, and whether
+// Publishers returns the VMs that self may subscribe to, best first, and whether
 // others may subscribe to self. The first is empty for the VMs that follow the
 // store themselves. The strongest do so, because a large configuration leaves them
 // once for each follower. All VMs with the same list agree, and no VM subscribes to
 // one that ranks below it, so subscriptions never form a cycle.
-func Feeders(self string, group []Member) (feeders []string, feeds bool) {
+func Publishers(self string, group []Member) (feeders []string, feeds bool) {
 	ranked := slices.Clone(group)
 	slices.SortFunc(ranked, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(b.Strength, a.Strength),
+		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity),
 			cmp.Compare(xxhash.Sum64String("feeder/"+b.ID), xxhash.Sum64String("feeder/"+a.ID)), cmp.Compare(a.ID, b.ID))
 	})
 	ids := make([]string, len(ranked))
@@ -105,9 +105,9 @@
 
 // setCandidates takes over the VMs that may feed this one. A feeder that is no
 // longer among them is heard until another one has confirmed, or it falls silent.
-func (m *Model) setCandidates(now clock.Millis, msg FeedersMsg, cmds []Cmd) []Cmd {
+func (m *Model) setCandidates(now clock.Millis, msg PublishersMsg, cmds []Cmd) []Cmd {
 	f := &m.feed
-	f.candidates, f.feeds = msg.VMs, msg.Feeds
+	f.candidates, f.feeds = msg.VMs, msg.MayPublish
 	if f.asked != "" && !slices.Contains(f.candidates, f.asked) {
 		f.asked = ""
 	}
@@ -136,7 +136,7 @@
 	if f.best(now) != "" {
 		m.nextCall = now + confirmMs
 	}
-	return append(cmds, FeederCmd{})
+	return append(cmds, PublisherCmd{})
 }
 
 // subscribe asks the best candidate, and looks after the subscription.
@@ -168,12 +168,12 @@
 	if from != f.feeder && from != f.asked {
 		return cmds
 	}
-	if u.Lost {
+	if u.StoreLost {
 		return m.feederLost(now, from, cmds)
 	}
 	if from == f.asked {
 		f.feeder, f.asked = from, ""
-		cmds = append(cmds, FeederCmd{VM: from})
+		cmds = append(cmds, PublisherCmd{VM: from})
 	}
 	f.heardAt = now
 	cmds = m.contact(now, cmds)
--- a/catalog/feeder_test.go
+++ b/catalog/feeder_test.go
@@ -31,7 +31,7 @@
 	silent    bool // the store does not answer its calls
 	muted     bool // what it sends to other VMs is lost
 	known     map[string]uint64
-	watch     *catalog.FollowCmd
+	watch     *catalog.WatchCmd
 	watchAt   clock.Millis
 	compacted bool // the history that the watch needs is gone, which the store says at its end
 }
@@ -66,8 +66,8 @@
 		}
 	}
 	for _, v := range g.vms {
-		feeders, feeds := catalog.Feeders(v.id, ids)
-		g.update(v, catalog.FeedersMsg{VMs: feeders, Feeds: feeds})
+		feeders, feeds := catalog.Publishers(v.id, ids)
+		g.update(v, catalog.PublishersMsg{VMs: feeders, MayPublish: feeds})
 	}
 }
 
@@ -78,7 +78,7 @@
 		ids[i].ID = v.id
 	}
 	for _, v := range g.vms {
-		if feeders, feeds := catalog.Feeders(v.id, ids); feeds && len(feeders) == 0 {
+		if feeders, feeds := catalog.Publishers(v.id, ids); feeds && len(feeders) == 0 {
 			return v
 		}
 	}
@@ -145,7 +145,7 @@
 		default:
 			g.send(storeMs, v, catalog.ListedMsg{Batch: g.state()})
 		}
-	case catalog.FollowCmd:
+	case catalog.WatchCmd:
 		g.calls++
 		if v.refused {
 			g.send(storeMs, v, catalog.FailedMsg{Kind: store.KindUnavailable})
@@ -153,14 +153,14 @@
 		}
 		v.watch, v.watchAt, v.compacted = &c, g.now, false
 	case catalog.SubscribeCmd:
-		g.tell(v, c.To, catalog.SubscribedMsg{From: v.id, Subscribe: c.Subscribe})
-	case catalog.ShareCmd:
+		g.tell(v, c.To, catalog.SubscribeMsg{From: v.id, Subscribe: c.Subscribe})
+	case catalog.PublishCmd:
 		for _, to := range c.To {
 			g.tell(v, to, catalog.UpdateMsg{From: v.id, Update: c.Update})
 		}
 	case catalog.PutCmd:
 		v.known[c.Item.Key] = c.Item.Revision
-	case catalog.DropCmd:
+	case catalog.DeleteCmd:
 		delete(v.known, c.Key)
 	}
 }
@@ -192,7 +192,7 @@
 				}
 			} else if w != nil && !v.silent && (g.revision() > w.After || g.now >= v.watchAt+w.WaitMs) {
 				v.watch = nil
-				g.update(v, catalog.FollowedMsg{Batch: g.since(w.After)})
+				g.update(v, catalog.WatchedMsg{Batch: g.since(w.After)})
 			} else if w != nil && g.now >= v.watchAt+w.WaitMs+callMs {
 				v.watch = nil
 				g.update(v, catalog.FailedMsg{Kind: store.KindUnavailable})
@@ -314,7 +314,7 @@
 	root := g.root()
 	var cut *member
 	for _, v := range g.vms {
-		if feeders, feeds := catalog.Feeders(v.id, []catalog.Member{{ID: root.id}, {ID: v.id}}); !feeds || len(feeders) > 0 && v != root {
+		if feeders, feeds := catalog.Publishers(v.id, []catalog.Member{{ID: root.id}, {ID: v.id}}); !feeds || len(feeders) > 0 && v != root {
 			cut = v
 		}
 	}
@@ -372,16 +372,16 @@
 	for _, n := range []int{1, 2, 3, 9, 64, 65, 178, 600} {
 		var group []catalog.Member
 		for i := range n {
-			group = append(group, catalog.Member{ID: fmt.Sprint("vm", i), Strength: i % 7 / 6})
+			group = append(group, catalog.Member{ID: fmt.Sprint("vm", i), Capacity: i % 7 / 6})
 		}
 		roots := 0
 		rank := make(map[string]int) // 0 for VMs that follow the store
 		for _, member := range group {
 			id := member.ID
-			feeders, _ := catalog.Feeders(id, group)
+			feeders, _ := catalog.Publishers(id, group)
 			if len(feeders) == 0 {
 				roots++
-				if n >= 7 && member.Strength == 0 && roots <= n/7 {
+				if n >= 7 && member.Capacity == 0 && roots <= n/7 {
 					t.Errorf("%d VMs: %s follows the store, though stronger VMs do not", n, id)
 				}
 			}
@@ -392,9 +392,9 @@
 		}
 		for _, member := range group {
 			id := member.ID
-			feeders, _ := catalog.Feeders(id, group)
+			feeders, _ := catalog.Publishers(id, group)
 			for _, f := range feeders {
-				back, feeds := catalog.Feeders(f, group)
+				back, feeds := catalog.Publishers(f, group)
 				if slices.Contains(back, id) {
 					t.Errorf("%d VMs: %s and %s feed each other", n, id, f)
 				}
@@ -414,14 +414,14 @@
 func TestStaleList(t *testing.T) {
 	r := newRig(t)
 	r.update(catalog.ListedMsg{Batch: batch(10, item("a", 4))})
-	r.update(catalog.FollowedMsg{Batch: batch(20, item("b", 20))})
+	r.update(catalog.WatchedMsg{Batch: batch(20, item("b", 20))})
 	r.seen = nil
 	r.now += 130_000
 	r.update(catalog.TickMsg{})
 	r.want("list")
 	r.update(catalog.ListedMsg{Batch: batch(15, item("a", 4))})
 	r.want("follow 20")
-	r.update(catalog.FollowedMsg{Batch: batch(21, gone("b", 19))})
+	r.update(catalog.WatchedMsg{Batch: batch(21, gone("b", 19))})
 	r.pass(r.now + 700)
 	r.want()
 }
--- a/catalog/message.go
+++ b/catalog/message.go
@@ -11,21 +11,21 @@
 // ListedMsg is the result of a ListCmd.
 type ListedMsg struct{ Batch store.Batch }
 
-// FollowedMsg is the result of a FollowCmd.
-type FollowedMsg struct{ Batch store.Batch }
+// WatchedMsg is the result of a WatchCmd.
+type WatchedMsg struct{ Batch store.Batch }
 
 // FailedMsg reports that the last command failed.
 type FailedMsg struct{ Kind store.Kind }
 
-// FeedersMsg names the VMs that may feed this one, best first, and says whether
+// PublishersMsg names the VMs that may feed this one, best first, and says whether
 // this one may feed others.
-type FeedersMsg struct {
-	VMs   []string
-	Feeds bool
+type PublishersMsg struct {
+	VMs        []string
+	MayPublish bool
 }
 
-// SubscribedMsg brings a subscription of another VM.
-type SubscribedMsg struct {
+// SubscribeMsg brings a subscription of another VM.
+type SubscribeMsg struct {
 	From      string
 	Subscribe Subscribe
 }
@@ -44,10 +44,10 @@
 type TickMsg struct{}
 
 func (ListedMsg) catalogMsg()     {}
-func (FollowedMsg) catalogMsg()   {}
+func (WatchedMsg) catalogMsg()    {}
 func (FailedMsg) catalogMsg()     {}
-func (FeedersMsg) catalogMsg()    {}
-func (SubscribedMsg) catalogMsg() {}
+func (PublishersMsg) catalogMsg() {}
+func (SubscribeMsg) catalogMsg()  {}
 func (UpdateMsg) catalogMsg()     {}
 func (PeerLostMsg) catalogMsg()   {}
 func (TickMsg) catalogMsg()       {}
@@ -57,10 +57,10 @@
 
 // ListCmd reads everything. A stale read may be seconds old and costs a tenth;
 // the watch that follows starts from its revision, so nothing is missed.
-type ListCmd struct{ Stale bool }
+type ListCmd struct{ AllowStale bool }
 
-// FollowCmd waits for changes.
-type FollowCmd struct {
+// WatchCmd waits for changes.
+type WatchCmd struct {
 	After  uint64
 	WaitMs clock.Millis
 }
@@ -68,13 +68,13 @@
 // PutCmd reports a new or changed item.
 type PutCmd struct{ Item store.Item }
 
-// DropCmd reports that a key is gone.
-type DropCmd struct{ Key string }
+// DeleteCmd reports that a key is gone.
+type DeleteCmd struct{ Key string }
 
-// ContactCmd reports that the store was lost, or is reached again.
-type ContactCmd struct {
-	Reached bool
-	Kind    store.Kind // why it was lost
+// StoreStatusCmd reports that the store was lost, or is reached again.
+type StoreStatusCmd struct {
+	Reachable bool
+	Kind      store.Kind // why it was lost
 }
 
 // SubscribeCmd asks a VM for changes.
@@ -83,20 +83,20 @@
 	Subscribe Subscribe
 }
 
-// ShareCmd passes changes on to followers.
-type ShareCmd struct {
+// PublishCmd passes changes on to followers.
+type PublishCmd struct {
 	To     []string
 	Update Update
 }
 
-// FeederCmd reports which VM feeds this one from now on; none if VM is empty.
-type FeederCmd struct{ VM string }
-
-func (ListCmd) catalogCmd()      {}
-func (FollowCmd) catalogCmd()    {}
-func (PutCmd) catalogCmd()       {}
-func (DropCmd) catalogCmd()      {}
-func (ContactCmd) catalogCmd()   {}
-func (SubscribeCmd) catalogCmd() {}
-func (ShareCmd) catalogCmd()     {}
-func (FeederCmd) catalogCmd()    {}
+// PublisherCmd reports which VM feeds this one from now on; none if VM is empty.
+type PublisherCmd struct{ VM string }
+
+func (ListCmd) catalogCmd()        {}
+func (WatchCmd) catalogCmd()       {}
+func (PutCmd) catalogCmd()         {}
+func (DeleteCmd) catalogCmd()      {}
+func (StoreStatusCmd) catalogCmd() {}
+func (SubscribeCmd) catalogCmd()   {}
+func (PublishCmd) catalogCmd()     {}
+func (PublisherCmd) catalogCmd()   {}
--- a/catalog/model.go
+++ b/catalog/model.go
@@ -69,9 +69,9 @@
 // Option configures a Model.
 type Option func(*Model)
 
-// WithPace sets the least time between two watches. Each VM makes a call for
+// WithWatchInterval sets the least time between two watches. Each VM makes a call for
 // each busy moment, so a large fleet with wider bounds takes a slower pace.
-func WithPace(ms clock.Millis) Option {
+func WithWatchInterval(ms clock.Millis) Option {
 	return func(m *Model) {
 		if ms > 0 {
 			m.pace = ms
@@ -101,16 +101,16 @@
 	case ListedMsg:
 		cmds = m.answered(now, cmds)
 		cmds = m.listed(now, t.Batch, cmds)
-	case FollowedMsg:
+	case WatchedMsg:
 		cmds = m.answered(now, cmds)
 		cmds = m.followed(now, t.Batch, cmds)
 	case FailedMsg:
 		cmds = m.failed(now, t.Kind, cmds)
-	case FeedersMsg:
+	case PublishersMsg:
 		cmds = m.setCandidates(now, t, cmds)
 	case UpdateMsg:
 		cmds = m.updated(now, t.From, t.Update, cmds)
-	case SubscribedMsg:
+	case SubscribeMsg:
 		cmds = m.subscribed(now, t.From, t.Subscribe, cmds)
 	case PeerLostMsg:
 		delete(m.followers.until, t.VM)
@@ -141,7 +141,7 @@
 // contact notes that the store is reached, here or by the feeder.
 func (m *Model) contact(now clock.Millis, cmds []Cmd) []Cmd {
 	if m.lost || !m.everHeard {
-		cmds = append(cmds, ContactCmd{Reached: true})
+		cmds = append(cmds, StoreStatusCmd{Reachable: true})
 	}
 	if m.lost {
 		m.holdUntil = now + returnMs
@@ -171,13 +171,13 @@
 		return cmds // the feeder reaches the store
 	}
 	if !m.lost {
-		cmds = append(cmds, ContactCmd{Kind: kind})
+		cmds = append(cmds, StoreStatusCmd{Kind: kind})
 	}
 	m.lost = true
 	if first && watch {
 		return cmds
 	}
-	return m.share(Update{Lost: true}, cmds)
+	return m.share(Update{StoreLost: true}, cmds)
 }
 
 func (m *Model) listed(now clock.Millis, b store.Batch, cmds []Cmd) []Cmd {
@@ -268,7 +268,7 @@
 	for _, key := range due {
 		delete(m.missing, key)
 		delete(m.items, key)
-		cmds = append(cmds, DropCmd{Key: key})
+		cmds = append(cmds, DeleteCmd{Key: key})
 	}
 	return cmds
 }
@@ -280,11 +280,11 @@
 	}
 	if m.relist || now-m.listedAt >= relistMs {
 		m.phase = phaseListing
-		return append(cmds, ListCmd{Stale: !m.fresh})
+		return append(cmds, ListCmd{AllowStale: !m.fresh})
 	}
 	if m.feed.waits(now) {
 		return cmds
 	}
 	m.phase = phaseFollowing
-	return append(cmds, FollowCmd{After: m.revision, WaitMs: waitMs})
+	return append(cmds, WatchCmd{After: m.revision, WaitMs: waitMs})
 }
--- a/catalog/model_test.go
+++ b/catalog/model_test.go
@@ -28,19 +28,19 @@
 	for _, c := range r.m.Update(r.now, msg) {
 		switch c := c.(type) {
 		case catalog.ListCmd:
-			if c.Stale {
+			if c.AllowStale {
 				r.seen = append(r.seen, "list")
 			} else {
 				r.seen = append(r.seen, "fresh list")
 			}
-		case catalog.FollowCmd:
+		case catalog.WatchCmd:
 			r.seen = append(r.seen, fmt.Sprintf("follow %d", c.After))
 		case catalog.PutCmd:
 			r.seen = append(r.seen, "put "+c.Item.Key)
-		case catalog.DropCmd:
+		case catalog.DeleteCmd:
 			r.seen = append(r.seen, "drop "+c.Key)
-		case catalog.ContactCmd:
-			r.seen = append(r.seen, fmt.Sprintf("reached %v", c.Reached))
+		case catalog.StoreStatusCmd:
+			r.seen = append(r.seen, fmt.Sprintf("reached %v", c.Reachable))
 		}
 	}
 }
@@ -86,13 +86,13 @@
 	r.update(catalog.ListedMsg{Batch: batch(10, item("a", 4), item("b", 9))})
 	r.want("reached true", "put a", "put b", "follow 10")
 	r.now += 3000
-	r.update(catalog.FollowedMsg{Batch: batch(12, item("a", 12), gone("b", 11))})
+	r.update(catalog.WatchedMsg{Batch: batch(12, item("a", 12), gone("b", 11))})
 	r.want("put a", "drop b")
 	r.pass(r.now + 700)
 	r.want()
 	r.pass(r.now + 100)
 	r.want("follow 12")
-	r.update(catalog.FollowedMsg{Batch: batch(12, item("a", 12))})
+	r.update(catalog.WatchedMsg{Batch: batch(12, item("a", 12))})
 	r.want()
 }
 
@@ -126,7 +126,7 @@
 	r.update(catalog.ListedMsg{Batch: batch(50, item("c", 6))})
 	r.want("reached true", "follow 50")
 	r.pass(15_000)
-	r.update(catalog.FollowedMsg{Batch: batch(52, item("a", 52))})
+	r.update(catalog.WatchedMsg{Batch: batch(52, item("a", 52))})
 	r.pass(16_400)
 	r.want("put a", "follow 52")
 	r.pass(16_600)
@@ -166,7 +166,7 @@
 	for r.now < 300_000 {
 		r.seen = nil
 		r.now += 30_000
-		r.update(catalog.FollowedMsg{Batch: batch(10)})
+		r.update(catalog.WatchedMsg{Batch: batch(10)})
 		r.pass(r.now + 900)
 		for _, s := range r.seen {
 			if s == "list" {
--- a/catalog/share.go
+++ b/catalog/share.go
@@ -19,9 +19,9 @@
 
 // Update tells a follower what has changed between two revisions of the store.
 type Update struct {
-	From, To uint64
-	Items    []store.Item
-	Lost     bool // the sender has lost the store
+	From, To  uint64
+	Items     []store.Item
+	StoreLost bool // the sender has lost the store
 }
 
 // PeerBody marks messages between VMs.
@@ -48,15 +48,15 @@
 		u.From = r.From
 		u.Items = append(slices.Clone(r.Items), u.Items...)
 	}
-	return append(cmds, ShareCmd{To: []string{from}, Update: u})
+	return append(cmds, PublishCmd{To: []string{from}, Update: u})
 }
 
 // share passes an update on to all followers.
 func (m *Model) share(u Update, cmds []Cmd) []Cmd {
-	if u.Lost || len(m.followers.recent) > 0 && m.followers.recent[len(m.followers.recent)-1].To != u.From {
+	if u.StoreLost || len(m.followers.recent) > 0 && m.followers.recent[len(m.followers.recent)-1].To != u.From {
 		m.followers.recent = nil // what is kept must have no gap
 	}
-	if !u.Lost && u.To > u.From && u.From > 0 { // not the first read, which is large
+	if !u.StoreLost && u.To > u.From && u.From > 0 { // not the first read, which is large
 		m.followers.recent = append(m.followers.recent, u)
 		m.followers.recent = m.followers.recent[max(0, len(m.followers.recent)-recentLen):]
 	}
@@ -68,10 +68,10 @@
 		to = append(to, vm)
 	}
 	slices.Sort(to)
-	if u.Lost {
+	if u.StoreLost {
 		clear(m.followers.until)
 	}
-	return append(cmds, ShareCmd{To: to, Update: u})
+	return append(cmds, PublishCmd{To: to, Update: u})
 }
 
 // lapse forgets followers that have not renewed their subscription.
--- a/clock/stamp.go
+++ b/clock/stamp.go
@@ -2,15 +2,15 @@
 
 import "cmp"
 
-// Stamp is a hybrid logical timestamp. Stamps from one VM strictly increase,
+// Timestamp is a hybrid logical timestamp. Stamps from one VM strictly increase,
 // and a stamp taken after receiving a message exceeds the sender's stamp.
-type Stamp struct {
+type Timestamp struct {
 	WallMs  Millis `json:"wall_ms"`
 	Logical uint32 `json:"logical"`
 }
 
 // Compare orders two stamps.
-func (s Stamp) Compare(o Stamp) int {
+func (s Timestamp) Compare(o Timestamp) int {
 	if c := cmp.Compare(s.WallMs, o.WallMs); c != 0 {
 		return c
 	}
@@ -22,13 +22,13 @@
 
 // Hybrid issues hybrid logical timestamps. It is not safe for concurrent use.
 type Hybrid struct {
-	last Stamp
+	last Timestamp
 }
 
 // Next returns a stamp for a local event at now.
-func (h *Hybrid) Next(now Millis) Stamp {
+func (h *Hybrid) Next(now Millis) Timestamp {
 	if now > h.last.WallMs {
-		h.last = Stamp{WallMs: now}
+		h.last = Timestamp{WallMs: now}
 		return h.last
 	}
 	h.last.Logical++
@@ -37,7 +37,7 @@
 
 // Observe merges the stamp of a received message. A stamp further ahead of
 // now than MaxDriftMs is ignored, so that one wrong clock cannot move the fleet.
-func (h *Hybrid) Observe(now Millis, remote Stamp) {
+func (h *Hybrid) Observe(now Millis, remote Timestamp) {
 	if remote.WallMs > now+MaxDriftMs {
 		return
 	}
@@ -47,4 +47,4 @@
 }
 
 // Last returns the most recent stamp.
-func (h *Hybrid) Last() Stamp { return h.last }
+func (h *Hybrid) Last() Timestamp { return h.last }
--- a/cmd/lentillink/answer.go
+++ b/cmd/lentillink/answer.go
@@ -18,7 +18,7 @@
 }
 
 // printOutcome prints how a request ended.
-func printOutcome(tw *tabwriter.Writer, id, outcome string, ran attempt.Ran) {
+func printOutcome(tw *tabwriter.Writer, id, outcome string, ran attempt.Execution) {
 	pair(tw, "id", id)
 	pair(tw, "outcome", outcome)
 	pair(tw, "ran", ran)
--- a/cmd/lentillink/preset.go
+++ b/cmd/lentillink/preset.go
@@ -58,7 +58,7 @@
 	if name == "" {
 		name = rec.InForce
 	}
-	p, ok := rec.Find(name)
+	p, ok := rec.FindPreset(name)
 	if !ok {
 		return p, rec, &exitError{code: exitUsage, err: fmt.Errorf("NAME: no preset is called %q; see lentillink preset list", name)}
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	all := append([]preset.Past{rec.Latest()}, rec.History...)
+	all := append([]preset.AppliedChange{rec.LatestChange()}, rec.History...)
 	if c.JSON {
 		return printJSON(all)
 	}
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	change.ID, change.Author, change.Reason, change.Base = newID(), f.author(), f.Reason, rec.Revision
+	change.ID, change.Author, change.Reason, change.BaseRevision = newID(), f.author(), f.Reason, rec.Revision
 	start := time.Now()
 	doc, err := client.Change(change)
 	if err != nil {
--- a/cmd/lentillink/timeline.go
+++ b/cmd/lentillink/timeline.go
@@ -37,7 +37,7 @@
 		return &exitError{code: exitUsage, err: errors.New("--follow and --plot exclude each other")}
 	}
 	client := c.client()
-	events, last, err := c.fetch(client, clock.Stamp{})
+	events, last, err := c.fetch(client, clock.Timestamp{})
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 }
 
 // fetch returns the events after a stamp and the newest stamp seen.
-func (c *timelineCommand) fetch(client *caller.Client, after clock.Stamp) ([]timeline.Event, clock.Stamp, error) {
+func (c *timelineCommand) fetch(client *caller.Client, after clock.Timestamp) ([]timeline.Event, clock.Timestamp, error) {
 	args := url.Values{}
 	set := func(name, value string) {
 		if value != "" {
@@ -76,7 +76,7 @@
 	if c.Since > 0 {
 		set("since", c.Since.String())
 	}
-	if after != (clock.Stamp{}) {
+	if after != (clock.Timestamp{}) {
 		set("after_ms", strconv.FormatInt(int64(after.WallMs), 10))
 		set("after_logical", strconv.FormatUint(uint64(after.Logical), 10))
 	}
@@ -88,7 +88,7 @@
 		fmt.Fprintln(os.Stderr, "lentillink: no events from", id+": it did not answer")
 	}
 	if n := len(doc.Events); n > 0 {
-		after = doc.Events[n-1].Stamp
+		after = doc.Events[n-1].Timestamp
 	}
 	return doc.Events, after, nil
 }
@@ -110,8 +110,8 @@
 
 // line formats an event as time, VM, kind and key=value pairs.
 func line(ev timeline.Event) string {
-	at := time.UnixMilli(int64(ev.Stamp.WallMs)).UTC().Format("15:04:05.000")
-	parts := []string{fmt.Sprintf("%s.%d", at, ev.Stamp.Logical), ev.VM, string(ev.Kind)}
+	at := time.UnixMilli(int64(ev.Timestamp.WallMs)).UTC().Format("15:04:05.000")
+	parts := []string{fmt.Sprintf("%s.%d", at, ev.Timestamp.Logical), ev.VM, string(ev.Kind)}
 	add := func(name, value string) {
 		if value != "" {
 			parts = append(parts, name+"="+strconv.Quote(value))
--- a/demo/bench/bench.go
+++ b/demo/bench/bench.go
@@ -161,7 +161,7 @@
 func (b *bench) attempts() (sent, needed int, err error) {
 	s, err := b.fleet.Caller(0).Status()
 	for _, t := range s.Totals {
-		sent, needed = sent+t.Sent, needed+t.Needed
+		sent, needed = sent+t.AttemptsSent, needed+t.AttemptsNeeded
 	}
 	return sent, needed, err
 }
--- a/demo/bench/options.go
+++ b/demo/bench/options.go
@@ -57,7 +57,7 @@
 // record holds one preset for each variant. They differ only in hedging.
 func record() preset.Record {
 	rec := preset.Default()
-	off := rec.Current()
+	off := rec.CurrentPreset()
 	off.Name, off.Urgent.HedgeBudgetPercent = hedgingOff, 0
 	on := off
 	on.Name, on.Urgent.HedgeBudgetPercent = hedgingOn, hedgePercent
--- a/demo/table.go
+++ b/demo/table.go
@@ -79,15 +79,15 @@
 	for _, v := range status.VMs {
 		for _, rt := range v.Totals {
 			if rt.Rank == r {
-				t.Needed += rt.Needed
-				t.Sent += rt.Sent
+				t.AttemptsNeeded += rt.AttemptsNeeded
+				t.AttemptsSent += rt.AttemptsSent
 			}
 		}
 	}
-	if t.Needed == 0 {
+	if t.AttemptsNeeded == 0 {
 		return "none"
 	}
-	return fmt.Sprintf("%+.1f%%", 100*(float64(t.Sent)/float64(t.Needed)-1))
+	return fmt.Sprintf("%+.1f%%", 100*(float64(t.AttemptsSent)/float64(t.AttemptsNeeded)-1))
 }
 
 // mainEvents are the kinds that the demo prints one by one; the others are counted.
@@ -106,7 +106,7 @@
 		if slices.Contains(mainEvents, ev.Kind) && listed < maxListed {
 			listed++
 			printf(w, "  +%6d ms  %-6s %-16s revision=%d %s%s\n",
-				ev.Stamp.WallMs-events[0].Stamp.WallMs, ev.VM, ev.Kind, ev.Revision, ev.Upstream, ev.Detail)
+				ev.Timestamp.WallMs-events[0].Timestamp.WallMs, ev.VM, ev.Kind, ev.Revision, ev.Upstream, ev.Detail)
 		}
 	}
 	kinds := make([]timeline.Kind, 0, len(counts))
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -32,34 +32,34 @@
 
 // QueryDocument is the answer to POST /v1/query.
 type QueryDocument struct {
-	ID       string           `json:"id"`
-	Outcome  string           `json:"outcome"`
-	Ran      attempt.Ran      `json:"ran"`
-	Snapshot uint64           `json:"snapshot"`
-	Coverage CoverageDocument `json:"coverage"`
-	Rows     []coverage.Row   `json:"rows"`
+	ID       string            `json:"id"`
+	Outcome  string            `json:"outcome"`
+	Ran      attempt.Execution `json:"ran"`
+	Snapshot uint64            `json:"snapshot"`
+	Coverage CoverageDocument  `json:"coverage"`
+	Rows     []coverage.Row    `json:"rows"`
 	Origin
 }
 
 // OrderDocument is the answer to POST /v1/order.
 type OrderDocument struct {
-	ID      string          `json:"id"`
-	Outcome string          `json:"outcome"`
-	Ran     attempt.Ran     `json:"ran"`
-	Body    json.RawMessage `json:"body,omitempty"`
+	ID      string            `json:"id"`
+	Outcome string            `json:"outcome"`
+	Ran     attempt.Execution `json:"ran"`
+	Body    json.RawMessage   `json:"body,omitempty"`
 	Origin
 }
 
 // ErrorDocument is the answer to a request that cannot be accepted.
 type ErrorDocument struct {
-	Error string      `json:"error"`
-	Field string      `json:"field,omitempty"`
-	Ran   attempt.Ran `json:"ran"`
+	Error string            `json:"error"`
+	Field string            `json:"field,omitempty"`
+	Ran   attempt.Execution `json:"ran"`
 }
 
 func (v *VM) queryDocument(a vm.QueryAnswer) QueryDocument {
 	doc := QueryDocument{
-		ID: a.ID, Outcome: string(a.Outcome), Ran: a.Ran, Snapshot: a.Snapshot,
+		ID: a.ID, Outcome: string(a.Outcome), Ran: a.Execution, Snapshot: a.Snapshot,
 		Coverage: CoverageDocument{Expected: a.Expected, Covered: a.Covered, Missing: a.Missing},
 		Rows:     a.Rows,
 		Origin: Origin{
@@ -79,7 +79,7 @@
 
 func (v *VM) orderDocument(a vm.OrderAnswer) OrderDocument {
 	doc := OrderDocument{
-		ID: a.ID, Outcome: string(a.Outcome), Ran: a.Ran,
+		ID: a.ID, Outcome: string(a.Outcome), Ran: a.Execution,
 		Origin: Origin{
 			Preset: a.Preset, Revision: a.Revision, VM: v.self.ID, TookMs: a.TookMs,
 			Reason: a.Reason, RetryAfterMs: a.RetryAfterMs,
@@ -114,7 +114,7 @@
 	case vm.Refused:
 		return refusalStatus(a.Reason)
 	}
-	if a.Ran == attempt.No {
+	if a.Execution == attempt.NotExecuted {
 		return fasthttp.StatusServiceUnavailable
 	}
 	return fasthttp.StatusBadGateway
@@ -122,11 +122,11 @@
 
 func orderStatus(a vm.OrderAnswer) int {
 	switch a.Outcome {
-	case order.Done:
+	case order.OutcomeDone:
 		return fasthttp.StatusOK
-	case order.AlreadySubmitted:
+	case order.OutcomeAlreadySubmitted:
 		return fasthttp.StatusConflict
-	case order.Refused:
+	case order.OutcomeRefused:
 		return refusalStatus(a.Reason)
 	}
 	return fasthttp.StatusBadGateway
--- a/entry/change.go
+++ b/entry/change.go
@@ -20,11 +20,11 @@
 
 // ChangeDocument is the answer to POST /v1/presets.
 type ChangeDocument struct {
-	Accepted   preset.Truth `json:"accepted"`
-	Revision   uint64       `json:"revision"`
-	InForce    string       `json:"in_force"`
-	Superseded bool         `json:"superseded,omitempty"`
-	Error      string       `json:"error,omitempty"`
+	Accepted   preset.Acceptance `json:"accepted"`
+	Revision   uint64            `json:"revision"`
+	InForce    string            `json:"in_force"`
+	Superseded bool              `json:"superseded,omitempty"`
+	Error      string            `json:"error,omitempty"`
 }
 
 // serveChange applies an operator's change to the record in the store.
@@ -36,16 +36,16 @@
 	}
 	var known preset.Record
 	if err := v.view(func(core *vm.Core, _ clock.Millis) { known = core.Record() }); err != nil {
-		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: err.Error(), Ran: attempt.No})
+		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: err.Error(), Ran: attempt.NotExecuted})
 		return
 	}
 	change.At = v.clock.Now()
 	result := ApplyChange(r, v.store, v.clock, change, known)
 	if result.Record.Revision > 0 {
-		v.post(vm.RecordMsg{Record: result.Record})
+		v.post(vm.PresetRecordMsg{Record: result.Record})
 	}
-	if past, ok := result.Record.Includes(change.ID); ok && result.Accepted == preset.Accepted {
-		v.post(vm.SwitchedMsg{Change: past})
+	if past, ok := result.Record.FindChange(change.ID); ok && result.Accepted == preset.Accepted {
+		v.post(vm.PresetSwitchedMsg{Change: past})
 	}
 	writeJSON(r, ChangeStatus(result), NewChangeDocument(result))
 }
@@ -67,7 +67,7 @@
 func ApplyChange(ctx context.Context, st store.Store, cl clock.Clock, change preset.Change, known preset.Record) preset.Result {
 	ctx, cancel := context.WithTimeout(ctx, changeLimit.Duration()+time.Second)
 	defer cancel()
-	changer := preset.NewChanger(change, known, cl.Now()+changeLimit)
+	changer := preset.NewCommitter(change, known, cl.Now()+changeLimit)
 	cmds := changer.Update(cl.Now(), preset.StartMsg{})
 	for {
 		for len(cmds) > 0 {
--- a/entry/http.go
+++ b/entry/http.go
@@ -39,7 +39,7 @@
 		Handler: func(r *fasthttp.RequestCtx) {
 			h, ok := routes[string(r.Method())+" "+string(r.Path())]
 			if !ok {
-				writeJSON(r, fasthttp.StatusNotFound, ErrorDocument{Error: "no such method and path", Ran: attempt.No})
+				writeJSON(r, fasthttp.StatusNotFound, ErrorDocument{Error: "no such method and path", Ran: attempt.NotExecuted})
 				return
 			}
 			h(r)
@@ -71,7 +71,7 @@
 			c.unread = true
 		}
 	}
-	writeJSON(r, fasthttp.StatusBadRequest, ErrorDocument{Error: text, Field: "body", Ran: attempt.No})
+	writeJSON(r, fasthttp.StatusBadRequest, ErrorDocument{Error: text, Field: "body", Ran: attempt.NotExecuted})
 }
 
 func (v *VM) serveQuery(r *fasthttp.RequestCtx) {
@@ -85,7 +85,7 @@
 		return
 	}
 	msg := vm.QueryMsg{
-		Call: v.calls.Add(1), ID: q.ID, Rank: rk, Service: q.Service, Body: q.Query, MinCoverage: -1,
+		CallID: v.calls.Add(1), ID: q.ID, Rank: rk, Service: q.Service, Body: q.Query, MinCoverage: -1,
 	}
 	if q.DeadlineMs != nil {
 		msg.BudgetMs = *q.DeadlineMs
@@ -93,9 +93,9 @@
 	if q.MinCoverage != nil {
 		msg.MinCoverage = *q.MinCoverage * 100
 	}
-	a, ok := v.call(msg.Call, msg).(vm.AnswerQueryCmd)
+	a, ok := v.call(msg.CallID, msg).(vm.AnswerQueryCmd)
 	if !ok {
-		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: "the VM has stopped", Ran: attempt.Unknown})
+		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: "the VM has stopped", Ran: attempt.ExecutionUnknown})
 		return
 	}
 	setRetryAfter(r, a.Answer.RetryAfterMs)
@@ -112,10 +112,10 @@
 		writeInvalid(r, err)
 		return
 	}
-	msg := vm.OrderMsg{Call: v.calls.Add(1), ID: o.ID, Rank: rk, Service: o.Service, Group: o.Group, Body: o.Body}
-	a, ok := v.call(msg.Call, msg).(vm.AnswerOrderCmd)
+	msg := vm.OrderMsg{CallID: v.calls.Add(1), ID: o.ID, Rank: rk, Service: o.Service, Group: o.Group, Body: o.Body}
+	a, ok := v.call(msg.CallID, msg).(vm.AnswerOrderCmd)
 	if !ok {
-		writeJSON(r, fasthttp.StatusBadGateway, ErrorDocument{Error: "the VM has stopped", Ran: attempt.Unknown})
+		writeJSON(r, fasthttp.StatusBadGateway, ErrorDocument{Error: "the VM has stopped", Ran: attempt.ExecutionUnknown})
 		return
 	}
 	setRetryAfter(r, a.Answer.RetryAfterMs)
@@ -186,7 +186,7 @@
 	ready, reason := false, "stopped"
 	_ = v.view(func(core *vm.Core, _ clock.Millis) { ready, reason = core.Ready() })
 	if !ready {
-		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: reason, Ran: attempt.No})
+		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: reason, Ran: attempt.NotExecuted})
 		return
 	}
 	r.SetBodyString("ready\n")
@@ -205,7 +205,7 @@
 }
 
 func writeInvalid(r *fasthttp.RequestCtx, err error) {
-	doc := ErrorDocument{Error: err.Error(), Ran: attempt.No}
+	doc := ErrorDocument{Error: err.Error(), Ran: attempt.NotExecuted}
 	var failed *Error
 	if errors.As(err, &failed) {
 		doc.Field = failed.Field()
--- a/entry/log.go
+++ b/entry/log.go
@@ -6,7 +6,7 @@
 
 // logEvent writes one line of key=value pairs. Empty fields are left out.
 func (v *VM) logEvent(ev timeline.Event) {
-	kv := []any{"event", string(ev.Kind), "wall_ms", int64(ev.Stamp.WallMs), "logical", ev.Stamp.Logical, "vm", ev.VM, "revision", ev.Revision}
+	kv := []any{"event", string(ev.Kind), "wall_ms", int64(ev.Timestamp.WallMs), "logical", ev.Timestamp.Logical, "vm", ev.VM, "revision", ev.Revision}
 	add := func(key, value string) {
 		if value != "" {
 			kv = append(kv, key, value)
--- a/entry/loop.go
+++ b/entry/loop.go
@@ -52,7 +52,7 @@
 
 // logPending names what a planned stop leaves behind.
 func (v *VM) logPending() {
-	if pending := v.core.Pending(v.clock.Now()); len(pending) > 0 {
+	if pending := v.core.PendingWork(v.clock.Now()); len(pending) > 0 {
 		_ = v.logger.Log("event", "drain_incomplete", "vm", v.self.ID, "pending", strings.Join(pending, ", "))
 	}
 }
@@ -141,11 +141,11 @@
 	if !d.active {
 		return false, nil
 	}
-	if now >= d.limit && core.OnlyStoreWrites(now) {
+	if now >= d.limit && core.OnlyStoreWritesPending(now) {
 		return true, nil
 	}
 	if now >= d.limit {
-		return true, wrap("drain", KindClosed, fmt.Errorf("%w: %s", errDrainLimit, strings.Join(core.Pending(now), ", ")))
+		return true, wrap("drain", KindClosed, fmt.Errorf("%w: %s", errDrainLimit, strings.Join(core.PendingWork(now), ", ")))
 	}
 	if !core.Drained(now) {
 		d.emptyAt = 0
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -73,12 +73,12 @@
 		return
 	}
 	m.attempts.WithLabelValues(r).Add(float64(a.Attempts))
-	m.needed.WithLabelValues(r).Add(float64(a.Needed))
+	m.needed.WithLabelValues(r).Add(float64(a.AttemptsNeeded))
 	m.seconds.WithLabelValues(r).Observe(a.TookMs.Duration().Seconds())
 }
 
 func (m *metrics) order(a vm.OrderAnswer) {
-	m.orders.WithLabelValues(string(a.Outcome), a.Ran.String()).Inc()
+	m.orders.WithLabelValues(string(a.Outcome), a.Execution.String()).Inc()
 }
 
 func (m *metrics) event(kind timeline.Kind) { m.events.WithLabelValues(string(kind)).Inc() }
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -36,7 +36,7 @@
 		writeJSON(r, fasthttp.StatusOK, own)
 		return
 	}
-	others, silent := askMembers[vm.Status](r, v, own.Members, vm.AskStatus, nil)
+	others, silent := askMembers[vm.Status](r, v, own.Members, vm.AdminStatus, nil)
 	doc := FleetStatus{VMs: append(others, own), Silent: append([]string{}, silent...)}
 	slices.SortFunc(doc.VMs, func(a, b vm.Status) int { return strings.Compare(a.VM, b.VM) })
 	slices.Sort(doc.Silent)
@@ -64,7 +64,7 @@
 			writeInvalid(r, err)
 			return
 		}
-		others, silent := askMembers[[]timeline.Event](r, v, status.Members, vm.AskEvents, payload)
+		others, silent := askMembers[[]timeline.Event](r, v, status.Members, vm.AdminEvents, payload)
 		doc.Events = timeline.Merge(append(others, own)...)
 		doc.Silent = append(doc.Silent, silent...)
 	}
@@ -97,7 +97,7 @@
 		return f, err
 	}
 	logical, err := uintArg(r, "after_logical")
-	f.After = clock.Stamp{WallMs: clock.Millis(wall), Logical: uint32(logical)}
+	f.After = clock.Timestamp{WallMs: clock.Millis(wall), Logical: uint32(logical)}
 	return f, err
 }
 
@@ -110,7 +110,7 @@
 		}
 	})
 	if err != nil || doc == nil {
-		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: "no preset record yet", Ran: attempt.No})
+		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: "no preset record yet", Ran: attempt.NotExecuted})
 		return
 	}
 	writeJSON(r, fasthttp.StatusOK, doc)
--- a/entry/perform.go
+++ b/entry/perform.go
@@ -16,15 +16,15 @@
 	switch m := cmd.(type) {
 	case vm.AnswerQueryCmd:
 		v.metrics.query(m.Answer)
-		v.answer(m.Call, m)
+		v.answer(m.CallID, m)
 	case vm.AnswerOrderCmd:
 		v.metrics.order(m.Answer)
-		v.answer(m.Call, m)
+		v.answer(m.CallID, m)
 	case vm.DispatchCmd:
 		v.startAttempt(io, m.Request)
 	case vm.AbortCmd:
 		go v.abort(io, m)
-	case vm.ConnectionsCmd:
+	case vm.ConnectionLimitCmd:
 		v.upstreams.SetConnections(m.Upstream, m.Connections)
 	case vm.PollLoadCmd:
 		go v.pollLoad(io, m.Upstream)
@@ -96,7 +96,7 @@
 	defer ticker.Stop()
 	for {
 		if list, err := v.roster.VMs(ctx); err == nil {
-			v.post(vm.RosterMsg{VMs: convertRoster(list)})
+			v.post(vm.VMListMsg{VMs: convertRoster(list)})
 		}
 		select {
 		case <-ctx.Done():
@@ -110,11 +110,11 @@
 type meshHandler struct{ v *VM }
 
 // Received delivers a message from a peer.
-func (h meshHandler) Received(from string, stamp clock.Stamp, body vm.PeerBody) {
+func (h meshHandler) Received(from string, stamp clock.Timestamp, body vm.PeerBody) {
 	switch b := body.(type) {
-	case vm.Ask:
+	case vm.AdminRequest:
 		h.v.answerPeer(from, b)
-	case vm.Told:
+	case vm.AdminResponse:
 		h.v.told.resolve(b)
 	default:
 		h.v.post(vm.PeerMsg{From: from, Stamp: stamp, Body: body})
@@ -123,8 +123,8 @@
 
 // Unsent reports a message that never left.
 func (h meshHandler) Unsent(to string, body vm.PeerBody) {
-	if q, ok := body.(vm.Ask); ok {
-		h.v.told.resolve(vm.Told{ID: q.ID})
+	if q, ok := body.(vm.AdminRequest); ok {
+		h.v.told.resolve(vm.AdminResponse{ID: q.ID})
 		return
 	}
 	// Send may call this from the event loop, which must not wait for itself.
--- a/entry/preset_test.go
+++ b/entry/preset_test.go
@@ -25,8 +25,8 @@
 		t.Fatal(err)
 	}
 	changes := []preset.Change{
-		{ID: "c-aino", Author: "aino", Reason: "heat lists today", Base: rec.Revision, SwitchTo: "peak"},
-		{ID: "c-kofi", Author: "kofi", Reason: "pump repair", Base: rec.Revision, SwitchTo: "maintenance"},
+		{ID: "c-aino", Author: "aino", Reason: "heat lists today", BaseRevision: rec.Revision, SwitchTo: "peak"},
+		{ID: "c-kofi", Author: "kofi", Reason: "pump repair", BaseRevision: rec.Revision, SwitchTo: "maintenance"},
 	}
 	docs := make([]entry.ChangeDocument, len(changes))
 	var wait sync.WaitGroup
--- a/entry/question.go
+++ b/entry/question.go
@@ -40,7 +40,7 @@
 	return q.last, ch
 }
 
-func (q *questions) resolve(t vm.Told) {
+func (q *questions) resolve(t vm.AdminResponse) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if ch, ok := q.open[t.ID]; ok {
@@ -57,7 +57,7 @@
 
 // answerPeer answers another VM's question from the core. It runs on the
 // goroutine that reads the stream; the event loop serves it between messages.
-func (v *VM) answerPeer(from string, q vm.Ask) {
+func (v *VM) answerPeer(from string, q vm.AdminRequest) {
 	var doc any
 	var address string
 	err := v.view(func(core *vm.Core, now clock.Millis) {
@@ -71,11 +71,11 @@
 	if err != nil {
 		return
 	}
-	v.mesh.Send(from, address, clock.Stamp{}, vm.Told{ID: q.ID, Payload: payload})
+	v.mesh.Send(from, address, clock.Timestamp{}, vm.AdminResponse{ID: q.ID, Payload: payload})
 }
 
-func answerFor(core *vm.Core, now clock.Millis, q vm.Ask) any {
-	if q.Kind == vm.AskEvents {
+func answerFor(core *vm.Core, now clock.Millis, q vm.AdminRequest) any {
+	if q.Kind == vm.AdminEvents {
 		var f timeline.Filter
 		if err := json.Unmarshal(q.Payload, &f); err != nil {
 			return nil
@@ -92,11 +92,11 @@
 }
 
 // askMember passes a question to one member and decodes the answer.
-func askMember[T any](ctx context.Context, v *VM, m fleet.VM, kind vm.AskKind, payload []byte) (T, bool) {
+func askMember[T any](ctx context.Context, v *VM, m fleet.VM, kind vm.AdminKind, payload []byte) (T, bool) {
 	var doc T
 	id, answer := v.told.begin()
 	defer v.told.drop(id)
-	v.mesh.Send(m.ID, m.Address, clock.Stamp{}, vm.Ask{ID: id, Kind: kind, Payload: payload})
+	v.mesh.Send(m.ID, m.Address, clock.Timestamp{}, vm.AdminRequest{ID: id, Kind: kind, Payload: payload})
 	select {
 	case data := <-answer:
 		return doc, len(data) > 0 && json.Unmarshal(data, &doc) == nil
@@ -107,7 +107,7 @@
 
 // askMembers asks every other member that is not dead, all at once. Members
 // that do not answer in time are returned as silent.
-func askMembers[T any](ctx context.Context, v *VM, members []fleet.VM, kind vm.AskKind, payload []byte) (answers []T, silent []string) {
+func askMembers[T any](ctx context.Context, v *VM, members []fleet.VM, kind vm.AdminKind, payload []byte) (answers []T, silent []string) {
 	ctx, cancel := context.WithTimeout(ctx, questionLimit.Duration())
 	defer cancel()
 	type result struct {
--- a/exchange/client.go
+++ b/exchange/client.go
@@ -92,7 +92,7 @@
 // New returns a client that reports results through report, from any goroutine.
 func New(report func(Result), opts ...Option) *Client {
 	c := &Client{
-		report: report, connectTimeout: defaultConnectTimeout, replyBytes: defaultReplyBytes, clock: clock.NewSteady(),
+		report: report, connectTimeout: defaultConnectTimeout, replyBytes: defaultReplyBytes, clock: clock.NewMonotonic(),
 		ends: make(chan struct{}, 64), hosts: make(map[string]*host), jobs: make(map[uint64]*job),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
--- a/experiment/capacity_order.go
+++ b/experiment/capacity_order.go
@@ -53,7 +53,7 @@
 	entries                         map[string]store.Entry
 	revision                        uint64
 	writes, reads, written, largest int
-	claimed                         []order.ClaimMsg // not marked done
+	claimed                         []order.ClaimRequestMsg // not marked done
 }
 
 func newClaimRig() *claimRig {
@@ -77,19 +77,19 @@
 
 func (c *claimRig) claim() {
 	c.seq++
-	msg := order.ClaimMsg{
+	msg := order.ClaimRequestMsg{
 		From: "vm-0002", Token: order.Token{VM: "vm-0002", Incarnation: 1, Seq: c.seq},
-		ID: order.HashOf(fmt.Sprintf("%d-%d", c.now, c.seq)), Issued: c.now, Budget: 10 * clock.Second,
+		ID: order.HashOf(fmt.Sprintf("%d-%d", c.now, c.seq)), IssuedAt: c.now, Timeout: 10 * clock.Second,
 	}
 	c.claimed = append(c.claimed, msg)
 	c.perform(c.model.Update(c.now, msg))
 }
 
 func (c *claimRig) markDone() {
-	for len(c.claimed) > 0 && c.claimed[0].Issued+doneAfterMs <= c.now {
+	for len(c.claimed) > 0 && c.claimed[0].IssuedAt+doneAfterMs <= c.now {
 		msg := c.claimed[0]
 		c.claimed = c.claimed[1:]
-		msg.Op = order.OpDone
+		msg.Op = order.OpMarkDone
 		c.perform(c.model.Update(c.now, msg))
 	}
 }
@@ -141,16 +141,16 @@
 // extrapolateClaims works out 24 hours of claims at a rate of the whole fleet.
 func (c *capacityCosts) extrapolateClaims(r *Report, perSecond float64) {
 	size := fmt.Sprintf(", %g orders/s", perSecond)
-	perPartition := perSecond * secondsPerDay / order.Partitions
+	perPartition := perSecond * secondsPerDay / order.NumPartitions
 	segments := perPartition * c.claimWireBytes / sealBytes
 	// The rate of orders in two years is not stated, so these figures have no bound.
 	r.Note("two years: 24 h of claims of one partition at its owner"+size, "MB", 0, perPartition*c.claimBytes/1e6)
 	r.Note("two years: segments that a new owner reads"+size, "", 0, segments)
-	r.Note("two years: 24 h of claims in the store"+size, "MB", 0, order.Partitions*perPartition*c.claimWireBytes/1e6)
+	r.Note("two years: 24 h of claims in the store"+size, "MB", 0, order.NumPartitions*perPartition*c.claimWireBytes/1e6)
 }
 
 // claimRateAt returns the orders per second of the fleet at which 24 hours of
 // claims of one partition take the given memory.
 func claimRateAt(limitBytes, claimBytes float64) float64 {
-	return limitBytes / claimBytes * order.Partitions / secondsPerDay
+	return limitBytes / claimBytes * order.NumPartitions / secondsPerDay
 }
--- a/experiment/capacity_peer.go
+++ b/experiment/capacity_peer.go
@@ -29,7 +29,7 @@
 	}}
 	for _, rows := range []int{0, 100, capacityKeys} { // the last one is used for the extrapolation
 		result := vm.Result{Reply: attempt.Reply{
-			ID: id, Upstream: up, Ran: attempt.Yes, Version: capacityVersion, Epoch: 1, Held: []uint64{capacityVersion},
+			ID: id, Upstream: up, Execution: attempt.Executed, Version: capacityVersion, Epoch: 1, HeldVersions: []uint64{capacityVersion},
 			Ranges: []coverage.Range{{From: 420, To: 430}}, Rows: capacityRows(420, rows), QueueMs: 1, ServiceMs: 8,
 		}}
 		size := fmt.Sprintf(", %d rows", rows)
@@ -55,7 +55,7 @@
 }
 
 func wireOf(body vm.PeerBody) []byte {
-	data, err := proto.Marshal(peer.Encode(0, clock.Stamp{WallMs: 1_700_000_000_000}, body))
+	data, err := proto.Marshal(peer.Encode(0, clock.Timestamp{WallMs: 1_700_000_000_000}, body))
 	if err != nil {
 		panic(err) // the message is made here
 	}
--- a/experiment/capacity_query.go
+++ b/experiment/capacity_query.go
@@ -52,7 +52,7 @@
 	}
 	book := upstream.New(upstream.WithUpstreams(list), upstream.WithSeed(seed))
 	for _, u := range list {
-		book.Observe(0, u.ID, attempt.Reply{Status: attempt.VersionGone, Held: rig.held})
+		book.Observe(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: rig.held})
 	}
 	for i, g := range svc.Groups {
 		from := uint32(i * capacityKeys)
@@ -113,8 +113,8 @@
 
 func (q *queryRig) reply(req *attempt.Request) attempt.Reply {
 	return attempt.Reply{
-		ID: req.ID, Upstream: req.Upstream, Status: attempt.OK, Ran: attempt.Yes, Version: req.Version, Epoch: 1,
-		Ranges: q.ranges[req.Group], Held: q.held, Rows: q.rows[req.Group], ServiceMs: 8,
+		ID: req.ID, Upstream: req.Upstream, Status: attempt.OK, Execution: attempt.Executed, Version: req.Version, Epoch: 1,
+		Ranges: q.ranges[req.Group], HeldVersions: q.held, Rows: q.rows[req.Group], ServiceMs: 8,
 	}
 }
 
@@ -155,7 +155,7 @@
 		id := attempt.ID{VM: "vm-0001", Incarnation: 1, Seq: p.seq}
 		up := p.ids[p.seq%uint64(len(p.ids))]
 		p.model.Update(now, pool.EnqueueMsg{Request: attempt.Request{ID: id, Upstream: up, Deadline: now + 180}, From: "vm-0002"})
-		p.model.Update(now, pool.ReplyMsg{Reply: attempt.Reply{ID: id, Upstream: up, Status: attempt.OK, Ran: attempt.Yes}})
+		p.model.Update(now, pool.ReplyMsg{Reply: attempt.Reply{ID: id, Upstream: up, Status: attempt.OK, Execution: attempt.Executed}})
 		p.model.NextWake()
 	}
 }
@@ -168,11 +168,11 @@
 			for range count {
 				n++
 				now := clock.Millis(n / 10)
-				gate.Update(now, admission.ArriveMsg{
+				gate.Update(now, admission.ArrivalMsg{
 					ID: fmt.Sprint(n), Rank: rank.Ordinary, Service: capacityService, Cost: int(targetGroups), Deadline: now + 1<<20,
 				})
 				if n > running {
-					gate.Update(now, admission.DoneMsg{ID: fmt.Sprint(n - running), TookMs: 20})
+					gate.Update(now, admission.DoneMsg{ID: fmt.Sprint(n - running), ElapsedMs: 20})
 				}
 				gate.NextWake()
 			}
--- a/experiment/capacity_table.go
+++ b/experiment/capacity_table.go
@@ -51,7 +51,7 @@
 	m.report(r, c.leaveDC, "one in nine VMs leave the carrier table", size)
 	r.Note("upstreams that change carriers when one in nine VMs leave"+size, "", 0, float64(movedDC))
 	model := order.New(order.WithSelf(all[0], 1))
-	c.owners = m.measure(1, func() { model.Update(0, order.OwnersMsg{Live: all}) })
+	c.owners = m.measure(1, func() { model.Update(0, order.LiveVMsMsg{VMs: all}) })
 	m.report(r, c.owners, "order machine takes a new list of VMs", size)
 }
 
--- a/experiment/connections_fleet.go
+++ b/experiment/connections_fleet.go
@@ -167,11 +167,11 @@
 	switch c := c.(type) {
 	case pool.DispatchCmd:
 		ms := clock.Millis(f.calls[c.ID.Seq].sub.serviceMs)
-		if c.Open {
+		if c.NewConn {
 			ms += connOpenMs
 			f.countOpen(c.Upstream)
 		}
-		reply := attempt.Reply{ID: c.ID, Upstream: c.Upstream, Status: attempt.OK, Ran: attempt.Yes}
+		reply := attempt.Reply{ID: c.ID, Upstream: c.Upstream, Status: attempt.OK, Execution: attempt.Executed}
 		f.loop.After(ms, func() { v.update(pool.ReplyMsg{Reply: reply}) })
 	case pool.AbortCmd:
 		f.loop.After(1, func() { v.update(pool.AbortedMsg{ID: c.ID}) })
@@ -185,7 +185,7 @@
 func (f *connFleet) countOpen(upstream string) {
 	open := 0
 	for _, v := range f.vms {
-		open += v.pool.Open(upstream)
+		open += v.pool.OpenConns(upstream)
 	}
 	f.maxOpen = max(f.maxOpen, open)
 }
@@ -232,7 +232,7 @@
 	opened := 0
 	for _, v := range f.vms {
 		for _, upstream := range f.upstreams {
-			opened += v.pool.Opened(upstream)
+			opened += v.pool.OpenedConns(upstream)
 		}
 	}
 	per := 1000 / float64(f.count)
--- a/experiment/connections_view.go
+++ b/experiment/connections_view.go
@@ -116,7 +116,7 @@
 	if !slices.Contains(v.routes[i].vms[:], v.index) {
 		return
 	}
-	if from.pool.Limit(upstream) > 0 || from.pool.Open(upstream) > 0 {
+	if from.pool.Limit(upstream) > 0 || from.pool.OpenConns(upstream) > 0 {
 		v.fleet.loop.After(connAskMs, func() { v.takeOver(i, from) })
 		return
 	}
--- a/experiment/control.go
+++ b/experiment/control.go
@@ -141,7 +141,7 @@
 		f.Operate(f.someRunning(), change, 5*clock.Second, func(preset.Result) {})
 	})
 	f.every(span, reportsPerDay, func(i int) {
-		f.Deliver(f.someRunning(), fleet.LeavingMsg{Upstream: upstreamID(i / 2), Leaving: i%2 == 0})
+		f.Deliver(f.someRunning(), fleet.UpstreamLeavingMsg{Upstream: upstreamID(i / 2), Leaving: i%2 == 0})
 	})
 }
 
--- a/experiment/fleet.go
+++ b/experiment/fleet.go
@@ -82,7 +82,7 @@
 	n.Leaving = make(map[upstream.ID]bool)
 	opts := append([]fleet.Option{fleet.WithSelf(n.VM), fleet.WithSeed(f.rng.Uint64())}, f.Options...)
 	n.Model = fleet.New(opts...)
-	f.Deliver(n, fleet.RosterMsg{VMs: f.roster()})
+	f.Deliver(n, fleet.VMListMsg{VMs: f.roster()})
 }
 
 // StartAll starts every VM within the given time.
@@ -169,7 +169,7 @@
 		})
 	case fleet.RecordCmd:
 		n.apply(f.Loop.Now(), c.Record)
-	case fleet.UpstreamCmd:
+	case fleet.UpstreamLeavingCmd:
 		n.Leaving[c.Upstream] = c.Leaving
 	}
 }
--- a/experiment/flood.go
+++ b/experiment/flood.go
@@ -75,7 +75,7 @@
 
 // floor returns the queries per second that a rank is guaranteed.
 func (f *flood) floor(r rank.Rank) float64 {
-	p, _ := f.tier.Config.Record.Find(f.tier.Config.Record.InForce)
+	p, _ := f.tier.Config.Record.FindPreset(f.tier.Config.Record.InForce)
 	return f.capacity * p.Policy(r).FloorPercent / 100
 }
 
--- a/experiment/matrix_cell.go
+++ b/experiment/matrix_cell.go
@@ -84,7 +84,7 @@
 	armed    bool
 	heal     clock.Millis
 	heldBack map[string]bool // VMs that a fault kept from hearing of changes
-	owners   [order.Partitions]string
+	owners   [order.NumPartitions]string
 	replies  map[uint32]int
 	loseNext bool
 	lostKey  string
--- a/experiment/matrix_check.go
+++ b/experiment/matrix_check.go
@@ -79,7 +79,7 @@
 		c.fail(InvariantOwn, "%s received the answer to %s", q.body, a.ID)
 		return
 	}
-	if a.Ran == attempt.No && g.runs[q.body] > 0 {
+	if a.Execution == attempt.NotExecuted && g.runs[q.body] > 0 {
 		c.fail(InvariantNotRun, "%s: ran no, but an upstream began it %d times", q.body, g.runs[q.body])
 	}
 	if a.Outcome != vm.Complete && a.Outcome != vm.Partial {
@@ -146,11 +146,11 @@
 		return
 	}
 	switch {
-	case a.Ran == attempt.No && g.runs[q.body] > 0:
+	case a.Execution == attempt.NotExecuted && g.runs[q.body] > 0:
 		c.fail(InvariantNotRun, "%s: ran no (%s), but it ran %d times", q.body, a.Reason, g.runs[q.body])
-	case a.Outcome == order.Done && g.runs[q.body] != 1:
+	case a.Outcome == order.OutcomeDone && g.runs[q.body] != 1:
 		c.fail(InvariantOnce, "%s is called done and ran %d times", q.body, g.runs[q.body])
-	case a.Outcome == order.Done && string(a.Body) != "done "+q.body:
+	case a.Outcome == order.OutcomeDone && string(a.Body) != "done "+q.body:
 		c.fail(InvariantOwn, "%s received the body %q", q.body, a.Body)
 	}
 }
--- a/experiment/matrix_check_test.go
+++ b/experiment/matrix_check_test.go
@@ -110,18 +110,18 @@
 
 func queryUnknownToNo(a *vm.QueryAnswer) {
 	if a.Outcome == vm.Failed {
-		a.Ran = attempt.No
+		a.Execution = attempt.NotExecuted
 	}
 }
 
 func orderUnknownToNo(a *vm.OrderAnswer) {
-	if a.Outcome == order.Unknown {
-		a.Outcome, a.Ran = order.Refused, attempt.No
+	if a.Outcome == order.OutcomeUnknown {
+		a.Outcome, a.Execution = order.OutcomeRefused, attempt.NotExecuted
 	}
 }
 
 func otherBody(a *vm.OrderAnswer) {
-	if a.Outcome == order.Done {
+	if a.Outcome == order.OutcomeDone {
 		a.Body = []byte("done another order")
 	}
 }
@@ -198,7 +198,7 @@
 			if drop {
 				return nil
 			}
-			a.Answer.Outcome = order.Unknown
+			a.Answer.Outcome = order.OutcomeUnknown
 			return []vm.Cmd{a}
 		}
 		return []vm.Cmd{cmd}
--- a/experiment/matrix_hooks.go
+++ b/experiment/matrix_hooks.go
@@ -55,9 +55,9 @@
 		}
 		switch a := cmd.(type) {
 		case vm.AnswerQueryCmd:
-			c.load.receive(a.Call, a)
+			c.load.receive(a.CallID, a)
 		case vm.AnswerOrderCmd:
-			c.load.receive(a.Call, a)
+			c.load.receive(a.CallID, a)
 		}
 	}
 	return list
@@ -134,7 +134,7 @@
 					c.fail(InvariantStop, "%s through %s ended %s: %s", q.body, q.vm, a.Answer.Outcome, a.Answer.Reason)
 				}
 			case vm.AnswerOrderCmd:
-				if a.Answer.Outcome == order.Unknown {
+				if a.Answer.Outcome == order.OutcomeUnknown {
 					c.fail(InvariantStop, "%s through %s ended unknown: %s", q.body, q.vm, a.Answer.Reason)
 				}
 			}
--- a/experiment/matrix_load.go
+++ b/experiment/matrix_load.go
@@ -134,16 +134,16 @@
 	q.body = fmt.Sprintf("%s/%d", q.id, q.call)
 	l.requests = append(l.requests, q)
 	l.byCall[q.call] = q
-	cur := t.Config.Record.Current()
+	cur := t.Config.Record.CurrentPreset()
 	q.due = max(q.sent, n.resume) + cur.Policy(q.rank).DeadlineMs + answerGraceMs
 	if q.order {
 		n.update(vm.OrderMsg{
-			Call: q.call, ID: q.id, Rank: q.rank, Service: "orders",
+			CallID: q.call, ID: q.id, Rank: q.rank, Service: "orders",
 			Group: fmt.Sprintf("d%02d", l.rng.IntN(t.Config.OrderGroups)), Body: []byte(q.body),
 		})
 		return
 	}
-	n.update(vm.QueryMsg{Call: q.call, ID: q.id, Rank: q.rank, Service: "search", Body: []byte(q.body), MinCoverage: -1})
+	n.update(vm.QueryMsg{CallID: q.call, ID: q.id, Rank: q.rank, Service: "search", Body: []byte(q.body), MinCoverage: -1})
 }
 
 // receive notes an answer that a VM sends to a caller.
--- a/experiment/matrix_preset.go
+++ b/experiment/matrix_preset.go
@@ -47,7 +47,7 @@
 	ch := &change{id: fmt.Sprintf("change-%d", len(s.changes)+1), vm: id}
 	s.changes = append(s.changes, ch)
 	change := preset.Change{ID: ch.id, Author: "operator", Reason: "matrix", At: t.Loop.Now(), SwitchTo: to}
-	changer := preset.NewChanger(change, n.core.Record(), t.Loop.Now()+changeWithin)
+	changer := preset.NewCommitter(change, n.core.Record(), t.Loop.Now()+changeWithin)
 	life := n.life
 	var feed func(preset.Msg)
 	feed = func(msg preset.Msg) {
@@ -81,7 +81,7 @@
 			s.accepted(ch)
 		}
 		if m.Result.Record.Revision > 0 {
-			n.update(vm.RecordMsg{Record: m.Result.Record})
+			n.update(vm.PresetRecordMsg{Record: m.Result.Record})
 		}
 	}
 }
@@ -152,11 +152,11 @@
 	}
 	for _, ch := range s.changes {
 		if ch.result.Accepted == preset.Accepted {
-			if _, ok := stored.Includes(ch.id); !ok {
+			if _, ok := stored.FindChange(ch.id); !ok {
 				s.cell.check.fail(InvariantRevert, "the accepted change %s is not in the store", ch.id)
 			}
 		}
-		if _, ok := stored.Includes(ch.id); ok && ch.result.Accepted == preset.NotAccepted {
+		if _, ok := stored.FindChange(ch.id); ok && ch.result.Accepted == preset.NotAccepted {
 			s.cell.check.fail(InvariantRevert, "change %s was called not accepted but is in the store", ch.id)
 		}
 	}
--- a/experiment/matrix_step.go
+++ b/experiment/matrix_step.go
@@ -117,12 +117,12 @@
 	return ok
 }
 
-func claimOf(m moment) (order.ClaimMsg, string, bool) {
+func claimOf(m moment) (order.ClaimRequestMsg, string, bool) {
 	p, ok := m.cmd.(vm.SendPeerCmd)
 	if !ok {
-		return order.ClaimMsg{}, "", false
+		return order.ClaimRequestMsg{}, "", false
 	}
-	claim, ok := p.Body.(vm.Claim)
+	claim, ok := p.Body.(vm.ClaimRequest)
 	return claim.Msg, p.To, ok && claim.Msg.Op == order.OpClaim
 }
 
@@ -151,7 +151,7 @@
 }
 
 func isCarrierChange(_ *cell, m moment) bool {
-	cc, ok := m.cmd.(vm.ConnectionsCmd)
+	cc, ok := m.cmd.(vm.ConnectionLimitCmd)
 	return ok && cc.Connections > 0
 }
 
--- a/experiment/operator.go
+++ b/experiment/operator.go
@@ -12,13 +12,13 @@
 	fleet   *Fleet
 	node    *Node
 	life    int
-	changer *preset.Changer
+	changer *preset.Committer
 	done    func(preset.Result)
 }
 
 // Operate starts a change on a VM. done receives the result that the operator sees.
 func (f *Fleet) Operate(n *Node, c preset.Change, patience clock.Millis, done func(preset.Result)) {
-	changer := preset.NewChanger(c, n.Model.Record(), f.Loop.Now()+patience)
+	changer := preset.NewCommitter(c, n.Model.Record(), f.Loop.Now()+patience)
 	o := &operator{fleet: f, node: n, life: n.life, changer: changer, done: done}
 	o.update(preset.StartMsg{})
 }
--- a/experiment/orders.go
+++ b/experiment/orders.go
@@ -38,7 +38,7 @@
 // The small head keeps the run fast; it adds one segment write to about 230 claims.
 func unbatched() []order.Option {
 	return []order.Option{
-		order.WithBatchLimit(1), order.WithWriteInterval(0), order.WithDoneMarks(false), order.WithHeadBytes(8 << 10),
+		order.WithMaxBatch(1), order.WithWriteInterval(0), order.WithDoneMarks(false), order.WithSealThreshold(8 << 10),
 	}
 }
 
@@ -83,5 +83,5 @@
 	if n >= 50000 {
 		return nil
 	}
-	return []order.Option{order.WithHeadBytes(2 << 10)}
+	return []order.Option{order.WithSealThreshold(2 << 10)}
 }
--- a/experiment/orders_caller.go
+++ b/experiment/orders_caller.go
@@ -57,7 +57,7 @@
 	r.check.subs = append(r.check.subs, s)
 	if vm.dead {
 		s.answers = 1 // the connection is refused; nothing was submitted
-		s.answer = order.Answer{Outcome: order.Unknown}
+		s.answer = order.Answer{Outcome: order.OutcomeUnknown}
 		r.repeat(n, 200)
 		return
 	}
@@ -67,7 +67,7 @@
 	}
 	vm.submits++
 	vm.deliver(order.SubmitMsg{
-		Call: call, ID: c.id, Rank: rank.Ordinary, Service: orderService, Group: orderGroup(n),
+		CallID: call, ID: c.id, Rank: rank.Ordinary, Service: orderService, Group: orderGroup(n),
 		Body: orderBody(call), Deadline: r.loop.Now() + orderDeadlineMs, Outage: rule,
 	})
 	r.loop.After(orderDeadlineMs+callerPatienceMs, func() {
@@ -81,9 +81,9 @@
 	s := r.check.answered(r.loop.Now(), a)
 	c := &r.callers[s.order]
 	switch {
-	case a.Ran == attempt.Yes:
+	case a.Execution == attempt.Executed:
 		c.settled = true
-	case a.Outcome == order.Refused:
+	case a.Outcome == order.OutcomeRefused:
 		r.repeat(s.order, max(a.RetryAfter, 100))
 	default:
 		r.repeat(s.order, repeatUnknownMs)
--- a/experiment/orders_carry.go
+++ b/experiment/orders_carry.go
@@ -53,7 +53,7 @@
 		switch r.rng.IntN(300) {
 		case 0:
 			r.loop.After(1, func() {
-				reply(attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.NotSent, Ran: attempt.No})
+				reply(attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.NotSent, Execution: attempt.NotExecuted})
 			})
 			return
 		case 1: // the request is lost
@@ -63,7 +63,7 @@
 			delay += clock.Millis(r.rng.IntN(2500))
 		case 3, 4, 5:
 			r.loop.After(2, func() {
-				reply(attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.Shed, Ran: attempt.No})
+				reply(attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.Shed, Execution: attempt.NotExecuted})
 			})
 			return
 		}
--- a/experiment/orders_check.go
+++ b/experiment/orders_check.go
@@ -102,7 +102,7 @@
 	if s.runs > 0 {
 		c.broken[ruleTwoSends]++
 	}
-	if s.answers > 0 && s.answer.Ran == attempt.No {
+	if s.answers > 0 && s.answer.Execution == attempt.NotExecuted {
 		c.broken[ruleSentAfterNo]++
 	}
 }
@@ -113,7 +113,7 @@
 }
 
 func (c *orderChecker) answered(now clock.Millis, a order.Answer) *orderSubmission {
-	s := c.subs[a.Call]
+	s := c.subs[a.CallID]
 	s.answers++
 	s.answer, s.answerAt = a, now
 	return s
@@ -137,17 +137,17 @@
 }
 
 func (c *orderChecker) checkAnswer(s *orderSubmission) {
-	switch s.answer.Ran {
-	case attempt.No:
+	switch s.answer.Execution {
+	case attempt.NotExecuted:
 		if s.runs > 0 {
 			c.broken[ruleWrongNo]++
 		}
-	case attempt.Yes:
-		if c.runs[s.id] == 0 || s.answer.Outcome == order.Done && s.runs == 0 {
+	case attempt.Executed:
+		if c.runs[s.id] == 0 || s.answer.Outcome == order.OutcomeDone && s.runs == 0 {
 			c.broken[ruleWrongYes]++
 		}
 	}
-	if s.answer.Outcome != order.AlreadySubmitted {
+	if s.answer.Outcome != order.OutcomeAlreadySubmitted {
 		return
 	}
 	if at, ok := c.claimed[order.HashOf(s.id)]; !ok || at > s.answerAt {
--- a/experiment/orders_claims.go
+++ b/experiment/orders_claims.go
@@ -6,7 +6,7 @@
 // way a new owner reads them.
 func (r *ordersRun) finalClaims() map[order.Hash]order.Claim {
 	claims := make(map[order.Hash]order.Claim)
-	for n := range order.Partitions {
+	for n := range order.NumPartitions {
 		head := r.decode(order.HeadKey(n))
 		for _, ref := range head.Segments {
 			addClaims(claims, r.decode(order.SegmentKey(n, ref.Number)))
@@ -27,7 +27,7 @@
 func addClaims(claims map[order.Hash]order.Claim, head order.Head) {
 	for _, c := range head.Claims {
 		claims[c.ID] = c
-		if c.State == order.StateReleased {
+		if c.State == order.ClaimReleased {
 			delete(claims, c.ID)
 		}
 	}
--- a/experiment/orders_faults.go
+++ b/experiment/orders_faults.go
@@ -62,7 +62,7 @@
 	r.spreadViews()
 	r.loop.After(r.between(100, 2500), func() {
 		next := r.startVM(vm.name, vm.incarnation+1)
-		next.deliver(order.OwnersMsg{Live: r.liveNames()})
+		next.deliver(order.LiveVMsMsg{VMs: r.liveNames()})
 		r.spreadViews()
 	})
 }
@@ -94,7 +94,7 @@
 func (r *ordersRun) spreadViews() {
 	for _, name := range r.names {
 		r.loop.After(r.between(50, 2000), func() {
-			r.vms[name].deliver(order.OwnersMsg{Live: r.liveNames()})
+			r.vms[name].deliver(order.LiveVMsMsg{VMs: r.liveNames()})
 		})
 	}
 }
@@ -103,9 +103,9 @@
 func (r *ordersRun) skewView() {
 	vm, missing := r.anyVM(), r.anyVM()
 	live := slices.DeleteFunc(r.liveNames(), func(n string) bool { return n == missing.name })
-	vm.deliver(order.OwnersMsg{Live: live})
+	vm.deliver(order.LiveVMsMsg{VMs: live})
 	r.loop.After(r.between(200, 2500), func() {
-		r.vms[vm.name].deliver(order.OwnersMsg{Live: r.liveNames()})
+		r.vms[vm.name].deliver(order.LiveVMsMsg{VMs: r.liveNames()})
 	})
 }
 
--- a/experiment/orders_mutant_test.go
+++ b/experiment/orders_mutant_test.go
@@ -53,8 +53,8 @@
 
 // confirmAtOnce is an owner that confirms a claim before its write is known.
 func confirmAtOnce(_ *faultyMachine, _ clock.Millis, msg order.Msg, cmds []order.Cmd) []order.Cmd {
-	if c, ok := msg.(order.ClaimMsg); ok && c.Op == order.OpClaim {
-		cmds = append(cmds, order.PeerCmd{To: c.From, Msg: order.ClaimedMsg{Token: c.Token, Result: order.Claimed}})
+	if c, ok := msg.(order.ClaimRequestMsg); ok && c.Op == order.OpClaim {
+		cmds = append(cmds, order.PeerCmd{To: c.From, Msg: order.ClaimResponseMsg{Token: c.Token, Result: order.ResultClaimed}})
 	}
 	return cmds
 }
@@ -62,7 +62,7 @@
 // retryUnknown sends again after a reply that does not prove not run.
 func retryUnknown(m *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	for _, cmd := range cmds {
-		if a, ok := cmd.(order.AnswerCmd); ok && a.Answer.Outcome == order.Unknown {
+		if a, ok := cmd.(order.AnswerCmd); ok && a.Answer.Outcome == order.OutcomeUnknown {
 			cmds = append(cmds, m.attempt(m.subs[a.Answer.ID], order.Token{}))
 		}
 	}
@@ -72,10 +72,10 @@
 // unknownAsNo answers an uncertain order as not run.
 func unknownAsNo(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	return answers(cmds, func(a *order.Answer) bool {
-		if a.Outcome != order.Unknown {
+		if a.Outcome != order.OutcomeUnknown {
 			return false
 		}
-		a.Outcome, a.Ran = order.Refused, attempt.No
+		a.Outcome, a.Execution = order.OutcomeRefused, attempt.NotExecuted
 		return true
 	})
 }
@@ -93,10 +93,10 @@
 // unknownAsDone answers an uncertain order as run.
 func unknownAsDone(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	return answers(cmds, func(a *order.Answer) bool {
-		if a.Outcome != order.Unknown {
+		if a.Outcome != order.OutcomeUnknown {
 			return false
 		}
-		a.Outcome, a.Ran = order.Done, attempt.Yes
+		a.Outcome, a.Execution = order.OutcomeDone, attempt.Executed
 		return true
 	})
 }
@@ -104,10 +104,10 @@
 // refusedAsRepeat reports a claim that never existed.
 func refusedAsRepeat(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	return answers(cmds, func(a *order.Answer) bool {
-		if a.Outcome != order.Refused {
+		if a.Outcome != order.OutcomeRefused {
 			return false
 		}
-		a.Outcome, a.Ran = order.AlreadySubmitted, attempt.Unknown
+		a.Outcome, a.Execution = order.OutcomeAlreadySubmitted, attempt.ExecutionUnknown
 		return true
 	})
 }
@@ -127,7 +127,7 @@
 	var out []order.Cmd
 	for _, cmd := range cmds {
 		if p, ok := cmd.(order.PeerCmd); ok {
-			if c, ok := p.Msg.(order.ClaimMsg); ok && c.Op == order.OpRelease {
+			if c, ok := p.Msg.(order.ClaimRequestMsg); ok && c.Op == order.OpRelease {
 				continue
 			}
 		}
--- a/experiment/orders_run.go
+++ b/experiment/orders_run.go
@@ -49,7 +49,7 @@
 	vmSpread   = 3 // 7 to 9 VMs
 )
 
-func replyMsg(r attempt.Reply) order.Msg { return order.ReplyMsg{Reply: r} }
+func replyMsg(r attempt.Reply) order.Msg { return order.AttemptReplyMsg{Reply: r} }
 
 func runOrders(cfg ordersConfig) ordersResult {
 	r := newOrdersRun(cfg)
@@ -92,7 +92,7 @@
 		r.startVM(name, 1)
 	}
 	for _, name := range r.names {
-		r.vms[name].deliver(order.OwnersMsg{Live: r.names})
+		r.vms[name].deliver(order.LiveVMsMsg{VMs: r.names})
 	}
 	return r
 }
--- a/experiment/presets.go
+++ b/experiment/presets.go
@@ -80,7 +80,7 @@
 
 type reported struct {
 	change string
-	truth  preset.Truth
+	truth  preset.Acceptance
 }
 
 // race is a set of changes from the same base revision.
@@ -141,7 +141,7 @@
 
 func (h *history) operate(r *race, n *Node, id string) {
 	to := []string{"ordinary", "peak", "maintenance"}[h.rng.IntN(3)]
-	change := preset.Change{ID: id, Author: "op " + id, Reason: "race", At: h.fleet.Loop.Now(), Base: r.base, SwitchTo: to}
+	change := preset.Change{ID: id, Author: "op " + id, Reason: "race", At: h.fleet.Loop.Now(), BaseRevision: r.base, SwitchTo: to}
 	r.changes = append(r.changes, id)
 	h.fleet.Loop.After(clock.Millis(h.rng.IntN(30)), func() {
 		if !n.Running {
--- a/experiment/presets_fault.go
+++ b/experiment/presets_fault.go
@@ -87,7 +87,7 @@
 	}
 	final, _ := preset.Decode(h.fleet.Store.Entry().Value)
 	for id := range h.accepted {
-		if _, ok := final.Includes(id); !ok {
+		if _, ok := final.FindChange(id); !ok {
 			p.lost++
 		}
 	}
@@ -130,7 +130,7 @@
 
 // otherWinner reports whether a change of another race took the revision after the base.
 func (h *history) otherWinner(r *race, final *preset.Record) bool {
-	for _, past := range append(final.History, final.Latest()) {
+	for _, past := range append(final.History, final.LatestChange()) {
 		if past.Revision == r.base+1 && h.accepted[past.ChangeID] {
 			return true
 		}
--- a/experiment/querycarrier.go
+++ b/experiment/querycarrier.go
@@ -56,7 +56,7 @@
 		waited := c.loop.Now() - next.at
 		if c.loop.Now() >= next.Deadline {
 			c.reply(attempt.Reply{
-				ID: next.ID, Upstream: next.Upstream, Status: attempt.NotSent, Ran: attempt.No, QueueMs: waited,
+				ID: next.ID, Upstream: next.Upstream, Status: attempt.NotSent, Execution: attempt.NotExecuted, QueueMs: waited,
 			})
 			continue
 		}
--- a/experiment/replay/caller.go
+++ b/experiment/replay/caller.go
@@ -49,7 +49,7 @@
 		if len(ans.Receipts)+ans.Missing != len(a.route.Gather) {
 			w.wrong = append(w.wrong, name+": receipts and missing shards are not all shards")
 		}
-		if share < a.route.MinShare {
+		if share < a.route.MinShardRatio {
 			w.wrong = append(w.wrong, name+": less than the least share")
 		}
 		if w.now-a.first > a.route.TargetMs {
@@ -101,7 +101,7 @@
 		way *= 2
 	}
 	w.at(w.now+way-callerMs, func() {
-		w.update(vm, relay.ArriveMsg{ID: id, Name: w.names[id], Host: r.Host, Path: r.Prefix + "x", LeftMs: left, WayMs: way})
+		w.update(vm, relay.ArrivalMsg{ID: id, Name: w.names[id], Host: r.Host, Path: r.Prefix + "x", RemainingMs: left, RoundTripMs: way})
 	})
 }
 
--- a/experiment/replay/upstream.go
+++ b/experiment/replay/upstream.go
@@ -34,7 +34,7 @@
 func (w *World) arriveAt(vm int, c relay.SendCmd) {
 	u := w.ups[c.Upstream]
 	if u.down {
-		w.at(w.now+wayMs, func() { w.update(vm, relay.FailMsg{Attempt: c.Attempt, NotSent: true, Cause: "down"}) })
+		w.at(w.now+wayMs, func() { w.update(vm, relay.AttemptFailedMsg{Attempt: c.Attempt, NotSent: true, Cause: "down"}) })
 		return
 	}
 	name := w.names[c.Request]
--- a/experiment/replay/world.go
+++ b/experiment/replay/world.go
@@ -85,8 +85,8 @@
 		}
 	}
 	w.routes = []route.Route{
-		{Name: "urgent", Host: "h", Prefix: "/u/", Gather: names, Idempotent: true, TimeoutMs: 400, TargetMs: 50, Priority: 0, MaxAttempts: 2, Top: 5, MinShare: 0.75},
-		{Name: "ordinary", Host: "h", Prefix: "/o/", Gather: names, Idempotent: true, TimeoutMs: 800, TargetMs: 150, Priority: 1, MaxAttempts: 2, Top: 10, MinShare: 0.89},
+		{Name: "urgent", Host: "h", Prefix: "/u/", Gather: names, Idempotent: true, TimeoutMs: 400, TargetMs: 50, Priority: 0, MaxAttempts: 2, TopK: 5, MinShardRatio: 0.75},
+		{Name: "ordinary", Host: "h", Prefix: "/o/", Gather: names, Idempotent: true, TimeoutMs: 800, TargetMs: 150, Priority: 1, MaxAttempts: 2, TopK: 10, MinShardRatio: 0.89},
 	}
 	services := make([]route.Service, shards)
 	for i, n := range names {
@@ -184,25 +184,25 @@
 	case relay.CancelCmd:
 		w.at(w.now+wayMs, func() { w.cancel(vm, c.Attempt) })
 	case relay.AnswerCmd:
-		w.answered(vm, c.ID, relay.HandBack{Answer: c.Answer, ExpectedMs: c.ExpectedMs})
-	case relay.ReportCmd:
-		w.answered(vm, c.ID, relay.HandBack{Answer: c.Answer, More: true, ExpectedMs: c.ExpectedMs})
-	case relay.HandCmd:
+		w.answered(vm, c.ID, relay.DelegationResult{Answer: c.Answer, ExpectedMs: c.ExpectedMs})
+	case relay.PartialResultCmd:
+		w.answered(vm, c.ID, relay.DelegationResult{Answer: c.Answer, Partial: true, ExpectedMs: c.ExpectedMs})
+	case relay.DelegateCmd:
 		w.nextID++
 		id, to := w.nextID, w.index(c.To)
-		w.hands[id] = hand{vm, c.HandOver.ID}
-		w.names[id] = c.HandOver.Name
+		w.hands[id] = hand{vm, c.Delegation.ID}
+		w.names[id] = c.Delegation.Name
 		w.at(w.now+wayMs, func() {
-			h := c.HandOver
-			w.update(to, relay.ArriveMsg{ID: id, Name: h.Name, Host: h.Host, Path: h.Path, Handed: &h})
+			h := c.Delegation
+			w.update(to, relay.ArrivalMsg{ID: id, Name: h.Name, Host: h.Host, Path: h.Path, Delegation: &h})
 		})
-	case relay.TakenCmd:
+	case relay.AckDelegationCmd:
 		h := w.hands[c.ID]
-		w.at(w.now+wayMs, func() { w.update(h.vm, relay.TakenMsg{From: w.vmName(vm), ID: h.group}) })
-	case relay.WithdrawCmd:
+		w.at(w.now+wayMs, func() { w.update(h.vm, relay.DelegationAckMsg{From: w.vmName(vm), ID: h.group}) })
+	case relay.CancelDelegationCmd:
 		for id, h := range w.hands {
 			if h.vm == vm && h.group == c.ID {
-				w.at(w.now+wayMs, func() { w.update(w.index(c.To), relay.GoneMsg{ID: id}) })
+				w.at(w.now+wayMs, func() { w.update(w.index(c.To), relay.CallerDisconnectedMsg{ID: id}) })
 			}
 		}
 	}
@@ -220,13 +220,13 @@
 }
 
 // answered passes an answer to the caller or to the VM that handed over.
-func (w *World) answered(vm int, id uint64, back relay.HandBack) {
+func (w *World) answered(vm int, id uint64, back relay.DelegationResult) {
 	if h, ok := w.hands[id]; ok {
 		back.ID = h.group
-		if !back.More {
+		if !back.Partial {
 			delete(w.hands, id)
 		}
-		w.at(w.now+wayMs, func() { w.update(h.vm, relay.HandBackMsg{From: w.vmName(vm), HandBack: back}) })
+		w.at(w.now+wayMs, func() { w.update(h.vm, relay.DelegationResultMsg{From: w.vmName(vm), Result: back}) })
 		return
 	}
 	a := w.asked[id]
--- a/experiment/rollover.go
+++ b/experiment/rollover.go
@@ -38,7 +38,7 @@
 	r.AtLeast("queries answered", "", float64(off.answers), float64(on.answers), rolloverQueries)
 	r.Note("answers while no common version existed", "", float64(off.answers-off.common), float64(on.answers-on.common))
 	r.Note("attempts of restarts", "", float64(off.system.totals().Restarts), float64(on.system.totals().Restarts))
-	r.Note("attempts of epoch gaps", "", float64(off.system.totals().Reasks), float64(on.system.totals().Reasks))
+	r.Note("attempts of epoch gaps", "", float64(off.system.totals().EpochRetries), float64(on.system.totals().EpochRetries))
 	r.Note("urgent p99", "ms", off.system.quantileMs(99), on.system.quantileMs(99))
 	r.Note("extra attempts", "%", off.system.extraPercent(), on.system.extraPercent())
 	return r
--- a/experiment/spread.go
+++ b/experiment/spread.go
@@ -30,7 +30,7 @@
 		sizes = Sizes
 	}
 	for _, n := range sizes {
-		base := spreadOnce(seed, n, 1, fleet.WithBursts(0))
+		base := spreadOnce(seed, n, 1, fleet.WithBurstRounds(0))
 		got := spreadOnce(seed, n, spreadTrials)
 		r.AtMost(fmt.Sprintf("change in force, %d VMs", n), "ms", base.record, got.record, spreadBoundMs)
 		r.AtMost(fmt.Sprintf("upstream leaving, %d VMs", n), "ms", base.leaving, got.leaving, leavingBoundMs)
@@ -94,7 +94,7 @@
 func (f *Fleet) spreadLeaving(trial int) float64 {
 	f.RunFor(5 * clock.Second)
 	id := upstreamID(trial)
-	f.Deliver(f.Nodes[f.rng.IntN(len(f.Nodes))], fleet.LeavingMsg{Upstream: id, Leaving: true})
+	f.Deliver(f.Nodes[f.rng.IntN(len(f.Nodes))], fleet.UpstreamLeavingMsg{Upstream: id, Leaving: true})
 	return f.timeUntil(func(n *Node) bool { return n.Leaving[id] })
 }
 
--- a/experiment/tier.go
+++ b/experiment/tier.go
@@ -140,10 +140,10 @@
 		vm.WithRingEvents(1024),
 	}
 	if t.Config.OpenGate {
-		opts = append(opts, vm.WithOpenAdmission())
+		opts = append(opts, vm.WithoutAdmissionControl())
 	}
 	if t.Config.NoStall {
-		opts = append(opts, vm.WithStallMs(0))
+		opts = append(opts, vm.WithStallTimeout(0))
 	}
 	return vm.New(opts...)
 }
@@ -163,7 +163,7 @@
 				list = append(list, v)
 			}
 		}
-		n.update(vm.RosterMsg{VMs: t.Config.Hooks.roster(n.self.ID, list)})
+		n.update(vm.VMListMsg{VMs: t.Config.Hooks.roster(n.self.ID, list)})
 		t.pollRoster(n)
 	})
 }
@@ -219,9 +219,9 @@
 	t := n.tier
 	switch m := cmd.(type) {
 	case vm.AnswerQueryCmd:
-		t.answer(m.Call, m)
+		t.answer(m.CallID, m)
 	case vm.AnswerOrderCmd:
-		t.answer(m.Call, m)
+		t.answer(m.CallID, m)
 	case vm.DispatchCmd:
 		n.dispatch(m)
 	case vm.AbortCmd:
@@ -245,7 +245,7 @@
 func (n *tierNode) dispatch(m vm.DispatchCmd) {
 	t, life := n.tier, n.life
 	delay := tierHopMs
-	if m.Open {
+	if m.NewConn {
 		delay += tierOpenMs
 	}
 	t.Loop.After(delay, func() {
--- a/experiment/tier_load.go
+++ b/experiment/tier_load.go
@@ -117,12 +117,12 @@
 		l.check(id, a)
 		res.record(a, t.Loop.Now()-start)
 	}
-	n.update(vm.QueryMsg{Call: call, ID: id, Rank: r, Service: "search", MinCoverage: -1})
+	n.update(vm.QueryMsg{CallID: call, ID: id, Rank: r, Service: "search", MinCoverage: -1})
 }
 
 func (r *RankResult) record(a vm.QueryAnswer, took clock.Millis) {
 	r.Attempts += a.Attempts
-	r.Needed += a.Needed
+	r.Needed += a.AttemptsNeeded
 	switch a.Outcome {
 	case vm.Complete:
 		r.Complete++
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -60,20 +60,20 @@
 // Serve handles one request and calls done with its reply in virtual time.
 // A dead upstream refuses the connection.
 func (u *Upstream) Serve(req attempt.Request, done func(attempt.Reply)) {
-	reply := attempt.Reply{ID: req.ID, Upstream: req.Upstream, Held: u.Held, Epoch: u.Epoch, Leaving: u.Leaving}
+	reply := attempt.Reply{ID: req.ID, Upstream: req.Upstream, HeldVersions: u.Held, Epoch: u.Epoch, Leaving: u.Leaving}
 	if u.Received != nil {
 		u.Received(req)
 	}
 	if status, refused := u.refusal(req); refused {
-		reply.Status, reply.Ran = status, attempt.No
+		reply.Status, reply.Execution = status, attempt.NotExecuted
 		u.loop.After(1, func() { done(reply) })
 		return
 	}
 	begin := u.loop.Now()
 	work := func() {
 		u.run(req, func() {
-			reply.Status, reply.Ran, reply.Version = attempt.OK, attempt.Yes, req.Version
-			reply.Epoch, reply.Ranges, reply.Held, reply.Leaving = u.Epoch, u.Ranges, u.Held, u.Leaving
+			reply.Status, reply.Execution, reply.Version = attempt.OK, attempt.Executed, req.Version
+			reply.Epoch, reply.Ranges, reply.HeldVersions, reply.Leaving = u.Epoch, u.Ranges, u.Held, u.Leaving
 			reply.ServiceMs = u.loop.Now() - begin
 			if u.Answer != nil {
 				u.Answer(req, &reply)
@@ -91,7 +91,7 @@
 func (u *Upstream) refusal(req attempt.Request) (attempt.Status, bool) {
 	switch {
 	case u.Dead:
-		return attempt.Refused, true
+		return attempt.ConnRefused, true
 	case u.Leaving:
 		return attempt.Leaving, true
 	case u.ShedAbove > 0 && len(u.waiting) >= u.ShedAbove:
--- a/fleet/decode.go
+++ b/fleet/decode.go
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// Check reports whether a payload decodes within the bounds.
-func Check(payload []byte) error {
+// CheckPayload reports whether a payload decodes within the bounds.
+func CheckPayload(payload []byte) error {
 	_, err := decode(payload)
 	return err
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -92,7 +92,7 @@
 		{"planned stop and new start", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
 			f.Deliver(n, fleet.StopMsg{})
 			f.RunFor(leavingMs)
-			if !n.Model.Announced(f.Loop.Now()) || n.Model.Ready() {
+			if !n.Model.StopAnnounced(f.Loop.Now()) || n.Model.Ready() {
 				t.Error("a stopping VM is ready or has not announced its stop")
 			}
 			for _, other := range f.Nodes {
@@ -153,12 +153,14 @@
 	f.LossPercent = 5
 	honoured := func(want bool) func() bool {
 		return func() bool {
-			return f.All(func(n *experiment.Node) bool { return n.Leaving[byHand] == want && n.Model.Leaving(byHand) == want })
+			return f.All(func(n *experiment.Node) bool {
+				return n.Leaving[byHand] == want && n.Model.UpstreamLeaving(byHand) == want
+			})
 		}
 	}
 	for _, leaving := range []bool{true, false, true} {
 		for _, n := range f.Nodes[:3] { // several VMs observe the same
-			f.Deliver(n, fleet.LeavingMsg{Upstream: byHand, Leaving: leaving})
+			f.Deliver(n, fleet.UpstreamLeavingMsg{Upstream: byHand, Leaving: leaving})
 		}
 		until(t, f, leavingMs, "report", honoured(leaving))
 		f.RunFor(5 * clock.Second)
@@ -180,7 +182,7 @@
 	f := joined(t, 11)
 	f.LossPercent = 5
 	for i := range 200 {
-		f.Deliver(f.Nodes[i%2], fleet.LeavingMsg{Upstream: upstream.ID(fmt.Sprintf("s/g%d/a", i)), Leaving: true})
+		f.Deliver(f.Nodes[i%2], fleet.UpstreamLeavingMsg{Upstream: upstream.ID(fmt.Sprintf("s/g%d/a", i)), Leaving: true})
 	}
 	until(t, f, leavingMs, "200 reports", func() bool {
 		return f.All(func(n *experiment.Node) bool { return len(n.Leaving) == 200 })
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -17,8 +17,8 @@
 	Payload []byte
 }
 
-// RosterMsg is the VM list. It lags, so it only suggests whom to contact.
-type RosterMsg struct{ VMs []VM }
+// VMListMsg is the VM list. It lags, so it only suggests whom to contact.
+type VMListMsg struct{ VMs []VM }
 
 // RecordMsg is a record that this VM committed to the store itself.
 type RecordMsg struct{ Record preset.Record }
@@ -26,9 +26,9 @@
 // StoreMsg carries the answer to a StoreCmd.
 type StoreMsg struct{ Reply store.Reply }
 
-// LeavingMsg reports what this VM observed of an upstream: that it asks for
+// UpstreamLeavingMsg reports what this VM observed of an upstream: that it asks for
 // no new work, or that it takes work again.
-type LeavingMsg struct {
+type UpstreamLeavingMsg struct {
 	Upstream upstream.ID
 	Leaving  bool
 }
@@ -39,13 +39,13 @@
 // TickMsg reports that the time of NextWake has come.
 type TickMsg struct{}
 
-func (PeerMsg) fleetMsg()    {}
-func (RosterMsg) fleetMsg()  {}
-func (RecordMsg) fleetMsg()  {}
-func (StoreMsg) fleetMsg()   {}
-func (LeavingMsg) fleetMsg() {}
-func (StopMsg) fleetMsg()    {}
-func (TickMsg) fleetMsg()    {}
+func (PeerMsg) fleetMsg()            {}
+func (VMListMsg) fleetMsg()          {}
+func (RecordMsg) fleetMsg()          {}
+func (StoreMsg) fleetMsg()           {}
+func (UpstreamLeavingMsg) fleetMsg() {}
+func (StopMsg) fleetMsg()            {}
+func (TickMsg) fleetMsg()            {}
 
 // Cmd is an output of a Model.
 type Cmd interface{ fleetCmd() }
@@ -63,8 +63,8 @@
 // RecordCmd puts a committed record in force on this VM.
 type RecordCmd struct{ Record preset.Record }
 
-// UpstreamCmd tells the VM that an upstream leaves or is back.
-type UpstreamCmd struct {
+// UpstreamLeavingCmd tells the VM that an upstream leaves or is back.
+type UpstreamLeavingCmd struct {
 	Upstream upstream.ID
 	Leaving  bool
 }
@@ -75,12 +75,12 @@
 // EventCmd records an event.
 type EventCmd struct{ Event timeline.Event }
 
-func (SendCmd) fleetCmd()     {}
-func (LiveCmd) fleetCmd()     {}
-func (RecordCmd) fleetCmd()   {}
-func (UpstreamCmd) fleetCmd() {}
-func (StoreCmd) fleetCmd()    {}
-func (EventCmd) fleetCmd()    {}
+func (SendCmd) fleetCmd()            {}
+func (LiveCmd) fleetCmd()            {}
+func (RecordCmd) fleetCmd()          {}
+func (UpstreamLeavingCmd) fleetCmd() {}
+func (StoreCmd) fleetCmd()           {}
+func (EventCmd) fleetCmd()           {}
 
 // Report is the newest known statement about one upstream. The higher version
 // wins; the reporter's identifier breaks a tie.
--- a/fleet/model.go
+++ b/fleet/model.go
@@ -84,13 +84,13 @@
 	switch msg := msg.(type) {
 	case PeerMsg:
 		m.receive(now, msg)
-	case RosterMsg:
+	case VMListMsg:
 		m.sync.hints, m.sync.roster = msg.VMs[:min(len(msg.VMs), maxMembers)], true
 	case RecordMsg:
 		m.adopt(now, msg.Record, blob{})
 	case StoreMsg:
 		m.storeReply(now, msg.Reply)
-	case LeavingMsg:
+	case UpstreamLeavingMsg:
 		m.observe(now, msg)
 	case StopMsg:
 		m.stop(now)
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -23,8 +23,8 @@
 // WithSeed seeds the random choices.
 func WithSeed(seed uint64) Option { return func(c *config) { c.seed = seed } }
 
-// WithSeeds sets VMs to contact before the VM list is known.
-func WithSeeds(vms ...VM) Option { return func(c *config) { c.seeds = append(c.seeds, vms...) } }
+// WithSeedVMs sets VMs to contact before the VM list is known.
+func WithSeedVMs(vms ...VM) Option { return func(c *config) { c.seeds = append(c.seeds, vms...) } }
 
 // WithInitialRecord sets the record that is written when neither the store nor a peer has one.
 func WithInitialRecord(r preset.Record) Option { return func(c *config) { c.initial = r } }
@@ -32,6 +32,6 @@
 // WithReadInterval sets the mean time between reads of the record from the store.
 func WithReadInterval(d clock.Millis) Option { return func(c *config) { c.read = d } }
 
-// WithBursts sets how many rounds of eager messages follow news. 0 leaves the
+// WithBurstRounds sets how many rounds of eager messages follow news. 0 leaves the
 // spreading to the heartbeats, which is the baseline of the experiments.
-func WithBursts(rounds int) Option { return func(c *config) { c.bursts = rounds } }
+func WithBurstRounds(rounds int) Option { return func(c *config) { c.bursts = rounds } }
--- a/fleet/query.go
+++ b/fleet/query.go
@@ -64,16 +64,16 @@
 	return storeLost && now > m.lastPeer+peersLostMs
 }
 
-// Announced reports whether enough members know of the planned stop.
-func (m *Model) Announced(now clock.Millis) bool {
+// StopAnnounced reports whether enough members know of the planned stop.
+func (m *Model) StopAnnounced(now clock.Millis) bool {
 	if !m.stopping {
 		return false
 	}
 	return len(m.probes.announced) >= min(announceTo, len(m.eligible)) || now >= m.self.since+announceWithin
 }
 
-// Leaving reports whether the newest report says that an upstream leaves.
-func (m *Model) Leaving(id upstream.ID) bool { return m.reports.table[id].Leaving }
+// UpstreamLeaving reports whether the newest report says that an upstream leaves.
+func (m *Model) UpstreamLeaving(id upstream.ID) bool { return m.reports.table[id].Leaving }
 
 // Reports returns the newest report of each upstream, ordered by upstream.
 func (m *Model) Reports() []Report { return m.sortedReports() }
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -36,7 +36,7 @@
 
 // observe turns an observation of this VM into a report. One that agrees with
 // the newest report is dropped, because every VM observes the same upstream.
-func (m *Model) observe(now clock.Millis, msg LeavingMsg) {
+func (m *Model) observe(now clock.Millis, msg UpstreamLeavingMsg) {
 	old, ok := m.reports.table[msg.Upstream]
 	if !ok && !msg.Leaving || msg.Upstream == "" || len(msg.Upstream) > maxNameBytes {
 		return
@@ -83,7 +83,7 @@
 		k = timeline.UpstreamLeaving
 	}
 	m.event(timeline.Event{Kind: k, Upstream: string(id)})
-	m.emit(UpstreamCmd{Upstream: id, Leaving: leaving})
+	m.emit(UpstreamLeavingCmd{Upstream: id, Leaving: leaving})
 }
 
 // expireReports forgets reports that no VM has renewed.
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -28,7 +28,7 @@
 	f.StartAll(100)
 	f.RunFor(8 * clock.Second)
 	f.LossPercent = 30
-	f.Deliver(f.Nodes[0], fleet.LeavingMsg{Upstream: "a/b/c", Leaving: true})
+	f.Deliver(f.Nodes[0], fleet.UpstreamLeavingMsg{Upstream: "a/b/c", Leaving: true})
 	f.RunFor(20 * clock.Second)
 	rec := f.Nodes[0].Model.Record()
 	rec.Revision++
@@ -58,7 +58,7 @@
 				t.Errorf("an invalid record came into force: %v", err)
 			}
 		case fleet.SendCmd:
-			if err := fleet.Check(c.Payload); err != nil {
+			if err := fleet.CheckPayload(c.Payload); err != nil {
 				t.Errorf("the answer does not decode: %v", err)
 			}
 		}
@@ -71,7 +71,7 @@
 	kinds := make(map[byte]bool)
 	for _, p := range list {
 		kinds[p[1]] = true
-		if err := fleet.Check(p); err != nil {
+		if err := fleet.CheckPayload(p); err != nil {
 			t.Fatalf("own payload refused: %v", err)
 		}
 	}
@@ -120,7 +120,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var e *fleet.Error
-			if err := fleet.Check(tt.payload); !errors.As(err, &e) || e.Kind() != tt.want {
+			if err := fleet.CheckPayload(tt.payload); !errors.As(err, &e) || e.Kind() != tt.want {
 				t.Errorf("got %v, want kind %d", err, tt.want)
 			}
 		})
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -106,12 +106,12 @@
 	c := &call{answer: make(chan relay.Answer, 1)}
 	c.request = exchange.NewRequest(g.headers.Headers, r.Method, uri, r.Host, id, g.forwarded(r.Header), body)
 	n := g.calls.Add(1)
-	g.post(item{call: c, relay: relay.ArriveMsg{ID: n, Name: id, Host: r.Host, Path: uri, LeftMs: left, WayMs: wayOf(r)}})
+	g.post(item{call: c, relay: relay.ArrivalMsg{ID: n, Name: id, Host: r.Host, Path: uri, RemainingMs: left, RoundTripMs: wayOf(r)}})
 	select {
 	case a := <-c.answer:
 		g.write(w, id, a)
 	case <-r.Context().Done():
-		g.post(item{relay: relay.GoneMsg{ID: n}})
+		g.post(item{relay: relay.CallerDisconnectedMsg{ID: n}})
 	case <-g.stopped:
 		panic(http.ErrAbortHandler) // a closed connection promises nothing
 	}
@@ -209,7 +209,7 @@
 	h[g.headers.RequestID] = []string{id}
 	switch a.Outcome {
 	case relay.Relayed:
-		fields, _ := a.Reply.Carried.([]exchange.Field)
+		fields, _ := a.Reply.Header.([]exchange.Field)
 		h["Content-Type"] = nil // net/http must not guess one
 		for _, f := range fields {
 			name := http.CanonicalHeaderKey(f.Name)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -70,7 +70,7 @@
 // item is a message for the event loop.
 type item struct {
 	relay   relay.Msg
-	call    *call // of an ArriveMsg
+	call    *call // of an ArrivalMsg
 	catalog catalog.Msg
 	roster  roster.RegistrarMsg
 	peer    *peerMsg
@@ -88,7 +88,7 @@
 // New returns a Gateway.
 func New(opts ...Option) *Gateway {
 	g := &Gateway{
-		logger: log.NewNopLogger(), clock: clock.NewSteady(), limits: Limits{Grace: defaultGraceMs}, readyPath: "/ready",
+		logger: log.NewNopLogger(), clock: clock.NewMonotonic(), limits: Limits{Grace: defaultGraceMs}, readyPath: "/ready",
 		inbox: make(chan item, inboxLen), stopped: make(chan struct{}), ends: make(chan error, endsLen),
 		waiters: make(map[uint64]*call), handed: make(map[handedKey]uint64), vms: make(map[string]relay.VM),
 	}
@@ -97,13 +97,13 @@
 	}
 	g.graceMs.Store(int64(g.limits.Grace))
 	g.core = relay.New(append([]relay.Option{relay.WithSeed(g.seed), relay.WithSelf(g.self.ID, g.self.DataCentre), relay.WithBudget(g.limits.Budget)}, g.relayOptions...)...)
-	shipped := preset.Gateway()
+	shipped := preset.GatewayDefault()
 	g.presets.Store(&shipped)
-	g.core.Update(g.clock.Now(), relay.PresetMsg{Preset: shipped.Current()})
+	g.core.Update(g.clock.Now(), relay.PresetMsg{Preset: shipped.CurrentPreset()})
 	g.metrics = newMetrics()
 	g.register = roster.NewRegistrar(g.seed)
 	g.mesh = peer.New(g.self.ID, g.seed, meshHandler{g})
-	g.catalog = catalog.New(g.seed, catalog.WithPace(g.pace))
+	g.catalog = catalog.New(g.seed, catalog.WithWatchInterval(g.pace))
 	g.client = exchange.New(func(r exchange.Result) { g.post(item{result: &r}) },
 		exchange.WithHeaders(g.headers.Headers), exchange.WithClock(g.clock))
 	return g
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -63,12 +63,12 @@
 	case it.result != nil:
 		g.step(resultMsg(*it.result))
 	case it.call != nil:
-		arrive := it.relay.(relay.ArriveMsg)
+		arrive := it.relay.(relay.ArrivalMsg)
 		g.waiters[arrive.ID] = it.call
 		g.step(arrive)
 	default:
 		g.step(it.relay)
-		if gone, ok := it.relay.(relay.GoneMsg); ok {
+		if gone, ok := it.relay.(relay.CallerDisconnectedMsg); ok {
 			g.forgetCall(gone.ID)
 		}
 	}
@@ -77,12 +77,12 @@
 // resultMsg turns the end of an exchange into a message.
 func resultMsg(r exchange.Result) relay.Msg {
 	if r.Err != nil {
-		return relay.FailMsg{Attempt: r.Attempt, NotSent: !r.Err.Kind().Sent(), Cause: r.Err.Kind().String()}
+		return relay.AttemptFailedMsg{Attempt: r.Attempt, NotSent: !r.Err.Kind().Sent(), Cause: r.Err.Kind().String()}
 	}
 	rep := r.Reply
 	return relay.ReplyMsg{Attempt: r.Attempt, Reply: relay.Reply{
 		Status: rep.Status, Receipt: rep.Receipt, Body: rep.Body, NotRun: rep.NotRun,
-		Misled: rep.Status == statusMisdirected, Leaving: rep.Closing, Carried: rep.Fields,
+		WrongUpstream: rep.Status == statusMisdirected, Leaving: rep.Closing, Header: rep.Fields,
 	}}
 }
 
@@ -128,37 +128,37 @@
 		g.metrics.sent.Inc()
 		w := g.waiters[c.Request]
 		if w == nil {
-			g.post(item{relay: relay.FailMsg{Attempt: c.Attempt, NotSent: true, Cause: "no_request"}})
+			g.post(item{relay: relay.AttemptFailedMsg{Attempt: c.Attempt, NotSent: true, Cause: "no_request"}})
 			return
 		}
 		g.client.Send(exchange.Call{
 			Attempt: c.Attempt, Upstream: c.Upstream, Address: c.Address, Request: w.request,
-			LeftMs: c.LeftMs, Fresh: c.Fresh, WithHead: !c.Gather,
+			LeftMs: c.RemainingMs, Fresh: c.NonIdempotent, WithHead: !c.Gather,
 		})
 	case relay.CancelCmd:
 		g.client.Cancel(c.Attempt)
 	case relay.AnswerCmd:
 		g.answer(c)
-	case relay.ReportCmd:
+	case relay.PartialResultCmd:
 		if w := g.waiters[c.ID]; w != nil && w.handed != nil {
-			g.tell(w.handed.from, "", relay.HandBack{ID: w.handed.id, Answer: c.Answer, More: true, ExpectedMs: c.ExpectedMs})
+			g.tell(w.handed.from, "", relay.DelegationResult{ID: w.handed.id, Answer: c.Answer, Partial: true, ExpectedMs: c.ExpectedMs})
 		}
-	case relay.TakenCmd:
+	case relay.AckDelegationCmd:
 		if w := g.waiters[c.ID]; w != nil && w.handed != nil {
-			g.tell(w.handed.from, "", relay.Taken{ID: w.handed.id})
+			g.tell(w.handed.from, "", relay.DelegationAck{ID: w.handed.id})
 		}
-	case relay.HandCmd:
+	case relay.DelegateCmd:
 		g.metrics.handed.Inc()
 		w := g.waiters[c.Request]
-		c.HandOver.Head, c.HandOver.Body = w.request.Head(), w.request.Body()
-		g.tell(c.To, c.Address, c.HandOver)
-	case relay.WithdrawCmd:
-		g.tell(c.To, "", relay.Withdraw{ID: c.ID})
-	case relay.MeetCmd:
+		c.Delegation.Head, c.Delegation.Body = w.request.Head(), w.request.Body()
+		g.tell(c.To, c.Address, c.Delegation)
+	case relay.CancelDelegationCmd:
+		g.tell(c.To, "", relay.DelegationCancel{ID: c.ID})
+	case relay.ConnectPeerCmd:
 		g.mesh.Open(c.VM, c.Address)
-	case relay.ConnectCmd:
+	case relay.ConnectUpstreamCmd:
 		g.client.Connect(c.Upstream, c.Address)
-	case relay.ForgetCmd:
+	case relay.CloseIdleCmd:
 		g.client.Forget(c.Upstream)
 	case relay.EventCmd:
 		g.logEvent(c.Event)
@@ -173,7 +173,7 @@
 	}
 	g.forgetCall(c.ID)
 	if w.handed != nil {
-		g.tell(w.handed.from, "", relay.HandBack{ID: w.handed.id, Answer: c.Answer, ExpectedMs: c.ExpectedMs})
+		g.tell(w.handed.from, "", relay.DelegationResult{ID: w.handed.id, Answer: c.Answer, ExpectedMs: c.ExpectedMs})
 		return
 	}
 	g.metrics.answered(c.Answer)
@@ -185,29 +185,29 @@
 	for _, cmd := range g.catalog.Update(g.clock.Now(), msg) {
 		switch c := cmd.(type) {
 		case catalog.ListCmd:
-			go func() { g.list(io, c.Stale) }()
-		case catalog.FollowCmd:
+			go func() { g.list(io, c.AllowStale) }()
+		case catalog.WatchCmd:
 			go func() { g.follow(io, c) }()
 		case catalog.SubscribeCmd:
 			g.tell(c.To, "", c.Subscribe)
-		case catalog.ShareCmd:
+		case catalog.PublishCmd:
 			for _, to := range c.To {
 				g.tell(to, "", c.Update)
 			}
-		case catalog.FeederCmd:
+		case catalog.PublisherCmd:
 			_ = g.logger.Log("event", "catalog_feeder", "feeder", c.VM)
 			g.stepRegister(io, roster.FedMsg{Fed: c.VM != ""})
 		case catalog.PutCmd:
 			g.put(c.Item)
-		case catalog.DropCmd:
+		case catalog.DeleteCmd:
 			if id, ok := g.translator.Upstream(c.Key); ok {
-				g.step(relay.RemovedMsg{ID: id})
+				g.step(relay.UpstreamRemovedMsg{ID: id})
 			}
 			if id, ok := g.translator.VM(c.Key); ok {
 				g.setVM(id, nil)
 			}
-		case catalog.ContactCmd:
-			_ = g.logger.Log("event", "store_contact", "reached", c.Reached, "cause", c.Kind)
+		case catalog.StoreStatusCmd:
+			_ = g.logger.Log("event", "store_contact", "reached", c.Reachable, "cause", c.Kind)
 		}
 	}
 	if g.listNew {
@@ -229,7 +229,7 @@
 	if err != nil {
 		_ = g.logger.Log("event", "item_skipped", "key", it.Key, "revision", it.Revision, "err", err)
 		if id, ok := g.translator.Upstream(it.Key); ok {
-			g.step(relay.RemovedMsg{ID: id})
+			g.step(relay.UpstreamRemovedMsg{ID: id})
 		}
 		return
 	}
@@ -259,13 +259,13 @@
 	g.post(item{catalog: catalog.ListedMsg{Batch: batch}})
 }
 
-func (g *Gateway) follow(ctx context.Context, c catalog.FollowCmd) {
+func (g *Gateway) follow(ctx context.Context, c catalog.WatchCmd) {
 	batch, err := g.feed.Follow(ctx, g.translator.Prefix(), c.After, c.WaitMs)
 	if err != nil {
 		g.post(item{catalog: g.failedCall(err)})
 		return
 	}
-	g.post(item{catalog: catalog.FollowedMsg{Batch: batch}})
+	g.post(item{catalog: catalog.WatchedMsg{Batch: batch}})
 }
 
 // failedCall logs a call of the catalog that failed.
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -30,7 +30,7 @@
 type meshHandler struct{ g *Gateway }
 
 // Received delivers a message.
-func (h meshHandler) Received(from string, _ clock.Stamp, body vm.PeerBody) {
+func (h meshHandler) Received(from string, _ clock.Timestamp, body vm.PeerBody) {
 	h.g.post(item{peer: &peerMsg{vm: from, body: body}})
 }
 
@@ -46,7 +46,7 @@
 func (g *Gateway) acceptPeer(io context.Context, m *peerMsg) {
 	switch b := m.body.(type) {
 	case nil:
-		g.step(relay.PeerDownMsg{VM: m.vm})
+		g.step(relay.PeerDisconnectedMsg{VM: m.vm})
 		g.callersGone(m.vm)
 		g.stepCatalog(io, catalog.PeerLostMsg{VM: m.vm})
 	case catalog.Subscribe:
@@ -54,36 +54,36 @@
 			g.stepCatalog(io, catalog.PeerLostMsg{VM: m.vm})
 			return
 		}
-		g.stepCatalog(io, catalog.SubscribedMsg{From: m.vm, Subscribe: b})
+		g.stepCatalog(io, catalog.SubscribeMsg{From: m.vm, Subscribe: b})
 	case catalog.Update:
 		if !m.unsent {
 			g.stepCatalog(io, catalog.UpdateMsg{From: m.vm, Update: b})
 		}
-	case relay.HandOver:
+	case relay.Delegation:
 		if m.unsent {
-			g.step(relay.UnhandedMsg{To: m.vm, ID: b.ID})
+			g.step(relay.DelegationNotSentMsg{To: m.vm, ID: b.ID})
 			return
 		}
 		g.acceptHandOver(m.vm, b)
-	case relay.Taken:
+	case relay.DelegationAck:
 		if !m.unsent {
-			g.step(relay.TakenMsg{From: m.vm, ID: b.ID})
+			g.step(relay.DelegationAckMsg{From: m.vm, ID: b.ID})
 		}
-	case relay.HandBack:
+	case relay.DelegationResult:
 		if !m.unsent {
-			g.step(relay.HandBackMsg{From: m.vm, HandBack: b})
+			g.step(relay.DelegationResultMsg{From: m.vm, Result: b})
 		}
-	case relay.Withdraw:
+	case relay.DelegationCancel:
 		key := handedKey{m.vm, b.ID}
 		if n, ok := g.handed[key]; ok && !m.unsent {
 			g.forgetCall(n)
-			g.step(relay.GoneMsg{ID: n})
+			g.step(relay.CallerDisconnectedMsg{ID: n})
 		}
 	}
 }
 
 // acceptHandOver takes a request of another VM.
-func (g *Gateway) acceptHandOver(from string, h relay.HandOver) {
+func (g *Gateway) acceptHandOver(from string, h relay.Delegation) {
 	key := handedKey{from, h.ID}
 	if _, ok := g.handed[key]; ok {
 		return
@@ -91,7 +91,7 @@
 	n := g.calls.Add(1)
 	g.handed[key] = n
 	g.waiters[n] = &call{request: exchange.Handed(h.Name, h.Head, h.Body), handed: &key}
-	g.step(relay.ArriveMsg{ID: n, Name: h.Name, Host: h.Host, Path: h.Path, LeftMs: h.LeftMs, Handed: &h})
+	g.step(relay.ArrivalMsg{ID: n, Name: h.Name, Host: h.Host, Path: h.Path, RemainingMs: h.RemainingMs, Delegation: &h})
 }
 
 // callersGone ends the requests of a VM whose stream broke.
@@ -99,7 +99,7 @@
 	for key, n := range g.handed {
 		if key.from == from {
 			g.forgetCall(n)
-			g.step(relay.GoneMsg{ID: n})
+			g.step(relay.CallerDisconnectedMsg{ID: n})
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	if address == "" {
 		address = g.vms[to].Address
 	}
-	g.mesh.Send(to, address, clock.Stamp{}, body)
+	g.mesh.Send(to, address, clock.Timestamp{}, body)
 }
 
 // setVM takes over the entry of a VM, or its removal.
@@ -137,8 +137,8 @@
 		list = append(list, v)
 	}
 	g.step(relay.FleetMsg{VMs: list})
-	feeders, feeds := catalog.Feeders(g.self.ID, g.feedGroup(list))
-	g.stepCatalog(io, catalog.FeedersMsg{VMs: feeders, Feeds: feeds})
+	feeders, feeds := catalog.Publishers(g.self.ID, g.feedGroup(list))
+	g.stepCatalog(io, catalog.PublishersMsg{VMs: feeders, MayPublish: feeds})
 }
 
 // feedGroup returns the VMs of this one's data centre, which share what they read
@@ -148,7 +148,7 @@
 	var group []catalog.Member
 	for _, v := range list {
 		if v.DataCentre == g.self.DataCentre {
-			group = append(group, catalog.Member{ID: v.ID, Strength: v.CPUMilli})
+			group = append(group, catalog.Member{ID: v.ID, Capacity: v.CPUMilli})
 		}
 	}
 	return group
--- a/gateway/presets.go
+++ b/gateway/presets.go
@@ -16,7 +16,7 @@
 		return
 	}
 	g.presets.Store(&rec)
-	g.step(relay.PresetMsg{Preset: rec.Current()})
+	g.step(relay.PresetMsg{Preset: rec.CurrentPreset()})
 	_ = g.logger.Log("event", "preset_in_force", "preset", rec.InForce, "revision", rec.Revision,
 		"author", rec.Author, "reason", rec.Reason)
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -36,7 +36,7 @@
 	g.ready.Store(false)
 	_ = g.logger.Log("event", "stopping", "grace_ms", int64(grace))
 	g.post(item{roster: roster.LeaveMsg{}})
-	g.post(item{relay: relay.StopMsg{Due: end}})
+	g.post(item{relay: relay.StopMsg{Deadline: end}})
 	idleSince := clock.Millis(0)
 	for {
 		time.Sleep(stopPollMs.Duration())
--- a/order/answer.go
+++ b/order/answer.go
@@ -10,10 +10,10 @@
 
 // The outcomes of a submission.
 const (
-	Done             Outcome = "done"
-	Refused          Outcome = "refused"
-	AlreadySubmitted Outcome = "already_submitted"
-	Unknown          Outcome = "unknown"
+	OutcomeDone             Outcome = "done"
+	OutcomeRefused          Outcome = "refused"
+	OutcomeAlreadySubmitted Outcome = "already_submitted"
+	OutcomeUnknown          Outcome = "unknown"
 )
 
 // Reason explains an answer.
@@ -21,25 +21,25 @@
 
 // The reasons of an answer.
 const (
-	ReasonBadID       Reason = "bad_id"
-	ReasonTooOld      Reason = "too_old"
-	ReasonTooNew      Reason = "too_new"
-	ReasonDraining    Reason = "draining"
-	ReasonBusy        Reason = "busy"
-	ReasonDeadline    Reason = "deadline"
-	ReasonStore       Reason = "store_unavailable"
-	ReasonNoUpstream  Reason = "no_upstream"
-	ReasonNotRun      Reason = "upstream_refused"
-	ReasonUncertain   Reason = "uncertain"
-	ReasonClaimExists Reason = "claim_exists"
+	ReasonBadID            Reason = "bad_id"
+	ReasonTooOld           Reason = "too_old"
+	ReasonTooNew           Reason = "too_new"
+	ReasonDraining         Reason = "draining"
+	ReasonBusy             Reason = "busy"
+	ReasonDeadline         Reason = "deadline"
+	ReasonStoreUnavailable Reason = "store_unavailable"
+	ReasonNoUpstream       Reason = "no_upstream"
+	ReasonUpstreamRefused  Reason = "upstream_refused"
+	ReasonUncertain        Reason = "uncertain"
+	ReasonClaimExists      Reason = "claim_exists"
 )
 
 // Answer ends a submission.
 type Answer struct {
-	Call       uint64
+	CallID     uint64
 	ID         string
 	Outcome    Outcome
-	Ran        attempt.Ran
+	Execution  attempt.Execution
 	Reason     Reason
 	RetryAfter clock.Millis
 	Body       []byte
--- a/order/batch.go
+++ b/order/batch.go
@@ -9,7 +9,7 @@
 // batch is one write of the head: the operations in it and the head that it writes.
 type batch struct {
 	ops     []*operation
-	results []Result // parallel to ops, reported once the write is known
+	results []ClaimResult // parallel to ops, reported once the write is known
 	changes map[Hash]Claim
 	order   []Hash // keys of changes in order of arrival
 	touch   bool   // write even without a change
@@ -24,7 +24,7 @@
 
 func (b *batch) find(p *partition, id Hash) (Claim, bool) {
 	if c, ok := b.changes[id]; ok {
-		return c, c.State != StateReleased
+		return c, c.State != ClaimReleased
 	}
 	return p.find(id)
 }
@@ -37,7 +37,7 @@
 	b.newest = max(b.newest, issued)
 }
 
-func (b *batch) add(op *operation, r Result) {
+func (b *batch) add(op *operation, r ClaimResult) {
 	b.ops = append(b.ops, op)
 	b.results = append(b.results, r)
 }
@@ -47,20 +47,20 @@
 // a delayed claim under the token cannot take effect afterwards.
 func (b *batch) release(p *partition, op *operation) {
 	b.touch = true
-	b.add(op, ReleaseWritten)
+	b.add(op, ResultReleased)
 	c, ok := b.find(p, op.msg.ID)
-	if ok && c.Token == op.token && c.State == StateClaimed {
-		c.State = StateReleased
-		b.set(c, op.msg.Issued)
+	if ok && c.Token == op.token && c.State == ClaimHeld {
+		c.State = ClaimReleased
+		b.set(c, op.msg.IssuedAt)
 	}
 }
 
 func (b *batch) done(p *partition, op *operation) {
-	b.add(op, Claimed)
+	b.add(op, ResultClaimed)
 	c, ok := b.find(p, op.msg.ID)
-	if ok && c.Token == op.token && c.State == StateClaimed {
-		c.State = StateDone
-		b.set(c, op.msg.Issued)
+	if ok && c.Token == op.token && c.State == ClaimHeld {
+		c.State = ClaimDone
+		b.set(c, op.msg.IssuedAt)
 	}
 }
 
@@ -69,14 +69,14 @@
 	c, ok := b.find(p, op.msg.ID)
 	switch {
 	case !ok:
-		b.set(Claim{ID: op.msg.ID, Token: op.token, State: StateClaimed}, op.msg.Issued)
-		b.add(op, Claimed)
+		b.set(Claim{ID: op.msg.ID, Token: op.token, State: ClaimHeld}, op.msg.IssuedAt)
+		b.add(op, ResultClaimed)
 	case c.Token == op.token:
-		b.add(op, Claimed)
-	case c.State == StateDone:
-		b.add(op, ExistsDone)
+		b.add(op, ResultClaimed)
+	case c.State == ClaimDone:
+		b.add(op, ResultExistsDone)
 	default:
-		b.add(op, Exists)
+		b.add(op, ResultExists)
 	}
 }
 
@@ -91,13 +91,13 @@
 	}
 	for _, op := range ops {
 		switch {
-		case op.msg.Op == OpDone:
+		case op.msg.Op == OpMarkDone:
 			b.done(p, op)
 		case op.msg.Op != OpClaim:
-		case op.msg.Issued < now-Window || op.msg.Issued <= p.head.Floor:
-			b.add(op, Expired)
+		case op.msg.IssuedAt < now-MaxIDAge || op.msg.IssuedAt <= p.head.LowWatermark:
+			b.add(op, ResultExpired)
 		case released[op.msg.Token]:
-			b.add(op, Unavailable)
+			b.add(op, ResultUnavailable)
 		default:
 			b.claim(p, op)
 		}
@@ -107,26 +107,26 @@
 // build computes the head to write. A claim whose release would uncover an
 // older sealed one is kept as released.
 func (b *batch) build(now clock.Millis, p *partition) {
-	b.head = Head{Next: p.head.Next, Newest: max(b.newest, p.head.Newest), Floor: p.head.Floor}
+	b.head = Head{NextSegment: p.head.NextSegment, NewestIssued: max(b.newest, p.head.NewestIssued), LowWatermark: p.head.LowWatermark}
 	for _, s := range p.head.Segments {
-		if s.Newest < now-Window-DropMargin {
+		if s.NewestIssued < now-MaxIDAge-SegmentDropMargin {
 			b.expired = append(b.expired, s)
-			b.head.Floor = max(b.head.Floor, s.Newest)
+			b.head.LowWatermark = max(b.head.LowWatermark, s.NewestIssued)
 			continue
 		}
 		b.head.Segments = append(b.head.Segments, s)
 	}
 	if p.freshValid() {
 		b.sealed = p.fresh
-		b.head.Next = p.fresh.ref.Number + 1
-		b.head.Newest = b.newest
+		b.head.NextSegment = p.fresh.ref.Number + 1
+		b.head.NewestIssued = b.newest
 		b.head.Segments = append(b.head.Segments, p.fresh.ref)
 	} else {
 		b.keepUnchanged(p)
 	}
 	for _, id := range b.order {
 		c := b.changes[id]
-		if c.State != StateReleased || b.covers(p, id) {
+		if c.State != ClaimReleased || b.covers(p, id) {
 			b.head.Claims = append(b.head.Claims, c)
 		}
 	}
@@ -150,13 +150,13 @@
 }
 
 // durable reports whether the result of an operation rests on the cache alone.
-func (b *batch) durable(p *partition, op *operation, r Result) bool {
+func (b *batch) durable(p *partition, op *operation, r ClaimResult) bool {
 	switch r {
-	case Exists, ExistsDone:
+	case ResultExists, ResultExistsDone:
 		c, ok := p.find(op.msg.ID)
 		_, changed := b.changes[op.msg.ID]
 		return ok && !changed && c.Token != op.token
-	case Expired, Unavailable:
+	case ResultExpired, ResultUnavailable:
 		return true
 	default:
 		return false
@@ -164,7 +164,7 @@
 }
 
 // split removes the operations whose result is durable already and returns them.
-func (b *batch) split(p *partition) (early []*operation, results []Result) {
+func (b *batch) split(p *partition) (early []*operation, results []ClaimResult) {
 	keep := 0
 	for i, op := range b.ops {
 		if b.durable(p, op, b.results[i]) {
--- a/order/entry.go
+++ b/order/entry.go
@@ -41,7 +41,7 @@
 func (m *Model) submit(now clock.Millis, msg SubmitMsg) {
 	issued, reason, ran := m.check(now, msg)
 	if reason != "" {
-		m.answer(Answer{Call: msg.Call, ID: msg.ID, Outcome: Refused, Ran: ran, Reason: reason, RetryAfter: retryFor(reason)})
+		m.answer(Answer{CallID: msg.CallID, ID: msg.ID, Outcome: OutcomeRefused, Execution: ran, Reason: reason, RetryAfter: retryFor(reason)})
 		return
 	}
 	m.lastSeq++
@@ -55,23 +55,23 @@
 }
 
 // check returns the issue time of the id, or why the order is refused.
-func (m *Model) check(now clock.Millis, msg SubmitMsg) (clock.Millis, Reason, attempt.Ran) {
+func (m *Model) check(now clock.Millis, msg SubmitMsg) (clock.Millis, Reason, attempt.Execution) {
 	issued, err := ParseID(msg.ID)
 	switch {
 	case err != nil:
-		return 0, ReasonBadID, attempt.No
-	case issued < now-Window:
-		return 0, ReasonTooOld, attempt.Unknown
-	case issued > now+FutureLimit:
-		return 0, ReasonTooNew, attempt.Unknown
+		return 0, ReasonBadID, attempt.NotExecuted
+	case issued < now-MaxIDAge:
+		return 0, ReasonTooOld, attempt.ExecutionUnknown
+	case issued > now+MaxFutureSkew:
+		return 0, ReasonTooNew, attempt.ExecutionUnknown
 	case m.stopping:
-		return 0, ReasonDraining, attempt.No
+		return 0, ReasonDraining, attempt.NotExecuted
 	case len(m.open) >= m.cfg.openLimit:
-		return 0, ReasonBusy, attempt.No
+		return 0, ReasonBusy, attempt.NotExecuted
 	case now >= msg.Deadline:
-		return 0, ReasonDeadline, attempt.No
+		return 0, ReasonDeadline, attempt.NotExecuted
 	}
-	return issued, "", attempt.Unknown
+	return issued, "", attempt.ExecutionUnknown
 }
 
 func retryFor(reason Reason) clock.Millis {
@@ -91,13 +91,13 @@
 	o.asks++
 	o.nextAsk = now + m.cfg.askInterval
 	m.wakeAt(o.nextAsk, timerOrder, o.token.Seq)
-	m.tell(now, to, ClaimMsg{
-		Op: OpClaim, Token: o.token, ID: o.hash, Issued: o.issued,
-		Budget: o.msg.Deadline - now, Wait: o.msg.Outage == preset.OutageWait,
+	m.tell(now, to, ClaimRequestMsg{
+		Op: OpClaim, Token: o.token, ID: o.hash, IssuedAt: o.issued,
+		Timeout: o.msg.Deadline - now, WaitForStore: o.msg.Outage == preset.OutageWait,
 	})
 }
 
-func (m *Model) tell(now clock.Millis, to string, msg ClaimMsg) {
+func (m *Model) tell(now clock.Millis, to string, msg ClaimRequestMsg) {
 	msg.From = m.cfg.self
 	if to == m.cfg.self {
 		m.enqueue(now, msg)
@@ -107,7 +107,7 @@
 }
 
 // claimed handles an owner's answer.
-func (m *Model) claimed(now clock.Millis, msg ClaimedMsg) {
+func (m *Model) claimed(now clock.Millis, msg ClaimResponseMsg) {
 	if msg.Token.VM != m.cfg.self || msg.Token.Incarnation != m.cfg.incarnation {
 		return
 	}
@@ -117,25 +117,25 @@
 		return
 	}
 	switch msg.Result {
-	case Claimed:
+	case ResultClaimed:
 		m.send(now, o)
-	case Exists:
-		m.alreadySubmitted(now, o, attempt.Unknown)
-	case ExistsDone:
-		m.alreadySubmitted(now, o, attempt.Yes)
-	case Expired:
-		m.abandon(now, o, Answer{Outcome: Refused, Ran: attempt.Unknown, Reason: ReasonTooOld}, o.reasked)
-	case Unavailable:
+	case ResultExists:
+		m.alreadySubmitted(now, o, attempt.ExecutionUnknown)
+	case ResultExistsDone:
+		m.alreadySubmitted(now, o, attempt.Executed)
+	case ResultExpired:
+		m.abandon(now, o, Answer{Outcome: OutcomeRefused, Execution: attempt.ExecutionUnknown, Reason: ReasonTooOld}, o.reasked)
+	case ResultUnavailable:
 		if o.msg.Outage != preset.OutageWait {
-			m.abandon(now, o, Answer{Outcome: Refused, Ran: attempt.No, Reason: ReasonStore}, o.reasked)
+			m.abandon(now, o, Answer{Outcome: OutcomeRefused, Execution: attempt.NotExecuted, Reason: ReasonStoreUnavailable}, o.reasked)
 		}
-	case ReleaseWritten:
+	case ResultReleased:
 	}
 }
 
-func (m *Model) alreadySubmitted(now clock.Millis, o *submission, ran attempt.Ran) {
+func (m *Model) alreadySubmitted(now clock.Millis, o *submission, ran attempt.Execution) {
 	m.event(timeline.Event{Kind: timeline.ClaimRefused, Request: o.msg.ID, Rank: o.msg.Rank.String()})
-	m.abandon(now, o, Answer{Outcome: AlreadySubmitted, Ran: ran, Reason: ReasonClaimExists}, o.reasked)
+	m.abandon(now, o, Answer{Outcome: OutcomeAlreadySubmitted, Execution: ran, Reason: ReasonClaimExists}, o.reasked)
 }
 
 // abandon ends a submission that never sent an attempt. Once it has left the
@@ -144,13 +144,13 @@
 func (m *Model) abandon(now clock.Millis, o *submission, a Answer, mayExist bool) {
 	delete(m.open, o.token.Seq)
 	// After already_submitted the id has a claim already, so another release is not worth a write.
-	m.remember(now, o, mayExist, mayExist || a.Outcome == Refused)
+	m.remember(now, o, mayExist, mayExist || a.Outcome == OutcomeRefused)
 	m.finish(o, a)
 }
 
 func (m *Model) finish(o *submission, a Answer) {
-	a.Call, a.ID = o.msg.Call, o.msg.ID
-	if a.Outcome == Refused {
+	a.CallID, a.ID = o.msg.CallID, o.msg.ID
+	if a.Outcome == OutcomeRefused {
 		a.RetryAfter = retryFor(a.Reason)
 	}
 	m.answer(a)
@@ -164,7 +164,7 @@
 	switch {
 	case o == nil:
 	case o.state == claiming && now >= o.msg.Deadline:
-		m.abandon(now, o, Answer{Outcome: Refused, Ran: attempt.No, Reason: ReasonDeadline}, true)
+		m.abandon(now, o, Answer{Outcome: OutcomeRefused, Execution: attempt.NotExecuted, Reason: ReasonDeadline}, true)
 	case o.state == claiming && now >= o.nextAsk:
 		m.ask(now, o)
 	case o.state == sent:
--- a/order/fault_test.go
+++ b/order/fault_test.go
@@ -78,7 +78,7 @@
 				hits:   []hit{{stepClaim, faultDelayed, 0}, {stepConfirm, faultLost, delay - 100}},
 				budget: shortBudget, outage: preset.OutageWait, gap: 400,
 			},
-			order.Refused,
+			order.OutcomeRefused,
 		},
 		{
 			"claim written, then store down",
@@ -86,14 +86,14 @@
 				hits:   []hit{{stepWrite, faultUnknownDone, 0}, {stepRead, faultUnavailable, 0}},
 				budget: deadline, outage: preset.OutageRefuse, gap: 400,
 			},
-			order.Done,
+			order.OutcomeDone,
 		},
 		{
 			"claim write later than the release, no other write between",
 			scenario{
 				hits: []hit{{stepWrite, faultKillWriting, 0}}, budget: shortBudget, outage: preset.OutageWait, gap: 4000,
 			},
-			order.Refused,
+			order.OutcomeRefused,
 		},
 	}
 	for _, tt := range tests {
@@ -191,7 +191,7 @@
 		for range rapid.IntRange(0, 6).Draw(t, "views") {
 			vm := rapid.SampledFrom(names).Draw(t, "viewer")
 			live := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 3, rapid.ID[string]).Draw(t, "live")
-			r.at(clock.Millis(rapid.IntRange(0, 8000).Draw(t, "view at")), func() { r.deliver(vm, order.OwnersMsg{Live: live}) })
+			r.at(clock.Millis(rapid.IntRange(0, 8000).Draw(t, "view at")), func() { r.deliver(vm, order.LiveVMsMsg{VMs: live}) })
 		}
 		r.runUntil(start + 2*clock.Minute)
 		checkSafety(t, r)
--- a/order/head.go
+++ b/order/head.go
@@ -6,40 +6,40 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// State is the state of a claim.
-type State uint8
+// ClaimState is the state of a claim.
+type ClaimState uint8
 
 // The states of a claim. A released claim is kept only to override a claim in
 // an older sealed segment.
 const (
-	StateClaimed State = iota + 1
-	StateDone
-	StateReleased
+	ClaimHeld ClaimState = iota + 1
+	ClaimDone
+	ClaimReleased
 )
 
 // Claim records that the holder of Token may run the order with the given ID.
 type Claim struct {
 	ID    Hash
 	Token Hash
-	State State
+	State ClaimState
 }
 
 // SegmentRef names a sealed segment and the newest issue time in it.
 type SegmentRef struct {
-	Number uint64
-	Newest clock.Millis
+	Number       uint64
+	NewestIssued clock.Millis
 }
 
 // Head is the record of one partition. A sealed segment is a Head without Segments.
 type Head struct {
-	Claims   []Claim
-	Newest   clock.Millis // newest issue time among Claims
-	Next     uint64       // lowest number that a new segment may take
-	Segments []SegmentRef // oldest first
-	// Floor is the newest issue time in any dropped segment. An id at or below
+	Claims       []Claim
+	NewestIssued clock.Millis // newest issue time among Claims
+	NextSegment  uint64       // lowest number that a new segment may take
+	Segments     []SegmentRef // oldest first
+	// LowWatermark is the newest issue time in any dropped segment. An id at or below
 	// it may have had a claim, so it is never claimed again, whatever the clock
 	// of the owner says. It never decreases.
-	Floor clock.Millis
+	LowWatermark clock.Millis
 }
 
 const (
@@ -52,7 +52,7 @@
 )
 
 const (
-	claimBytes        = 2*HashBytes + 1
+	claimBytes        = 2*HashSize + 1
 	encodedClaimBytes = claimBytes + 2 // with tag and length
 )
 
@@ -66,14 +66,14 @@
 		b = append(b, c.Token[:]...)
 		b = append(b, byte(c.State))
 	}
-	b = appendUint(b, fieldNewest, uint64(h.Newest))
-	b = appendUint(b, fieldNext, h.Next)
+	b = appendUint(b, fieldNewest, uint64(h.NewestIssued))
+	b = appendUint(b, fieldNext, h.NextSegment)
 	for _, s := range h.Segments {
 		b = appendUint(b, fieldSegmentNumber, s.Number)
-		b = appendUint(b, fieldSegmentNewest, uint64(s.Newest))
+		b = appendUint(b, fieldSegmentNewest, uint64(s.NewestIssued))
 	}
-	if h.Floor != 0 {
-		b = appendUint(b, fieldFloor, uint64(h.Floor))
+	if h.LowWatermark != 0 {
+		b = appendUint(b, fieldFloor, uint64(h.LowWatermark))
 	}
 	return b
 }
@@ -116,8 +116,8 @@
 	if len(v) != claimBytes {
 		return nil, newError("decode claim", KindCorrupt, nil)
 	}
-	c := Claim{ID: Hash(v[:HashBytes]), Token: Hash(v[HashBytes : 2*HashBytes]), State: State(v[2*HashBytes])}
-	if c.State < StateClaimed || c.State > StateReleased {
+	c := Claim{ID: Hash(v[:HashSize]), Token: Hash(v[HashSize : 2*HashSize]), State: ClaimState(v[2*HashSize])}
+	if c.State < ClaimHeld || c.State > ClaimReleased {
 		return nil, newError("decode claim", KindCorrupt, nil)
 	}
 	h.Claims = append(h.Claims, c)
@@ -131,18 +131,18 @@
 	}
 	switch num {
 	case fieldNewest:
-		h.Newest = clock.Millis(v)
+		h.NewestIssued = clock.Millis(v)
 	case fieldNext:
-		h.Next = v
+		h.NextSegment = v
 	case fieldSegmentNumber:
 		h.Segments = append(h.Segments, SegmentRef{Number: v})
 	case fieldSegmentNewest:
 		if len(h.Segments) == 0 {
 			return nil, newError("decode segment", KindCorrupt, nil)
 		}
-		h.Segments[len(h.Segments)-1].Newest = clock.Millis(v)
+		h.Segments[len(h.Segments)-1].NewestIssued = clock.Millis(v)
 	case fieldFloor:
-		h.Floor = clock.Millis(v)
+		h.LowWatermark = clock.Millis(v)
 	}
 	return b[n:], nil
 }
--- a/order/head_test.go
+++ b/order/head_test.go
@@ -11,13 +11,13 @@
 func sampleHead() order.Head {
 	return order.Head{
 		Claims: []order.Claim{
-			{ID: order.HashOf("a"), Token: order.HashOf("x"), State: order.StateClaimed},
-			{ID: order.HashOf("b"), Token: order.HashOf("y"), State: order.StateDone},
-			{ID: order.HashOf("c"), Token: order.HashOf("z"), State: order.StateReleased},
+			{ID: order.HashOf("a"), Token: order.HashOf("x"), State: order.ClaimHeld},
+			{ID: order.HashOf("b"), Token: order.HashOf("y"), State: order.ClaimDone},
+			{ID: order.HashOf("c"), Token: order.HashOf("z"), State: order.ClaimReleased},
 		},
-		Newest: start, Next: 7,
-		Segments: []order.SegmentRef{{Number: 3, Newest: start - 5}, {Number: 6, Newest: start - 1}},
-		Floor:    start - 9,
+		NewestIssued: start, NextSegment: 7,
+		Segments:     []order.SegmentRef{{Number: 3, NewestIssued: start - 5}, {Number: 6, NewestIssued: start - 1}},
+		LowWatermark: start - 9,
 	}
 }
 
--- a/order/id.go
+++ b/order/id.go
@@ -9,12 +9,12 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Partitions is the number of partitions that ids are hashed to.
-const Partitions = 16
+// NumPartitions is the number of partitions that ids are hashed to.
+const NumPartitions = 16
 
-// HashBytes is the size of a Hash. 16 bytes keep the head small; callers choose
+// HashSize is the size of a Hash. 16 bytes keep the head small; callers choose
 // the ids, so the hash must resist deliberate collisions.
-const HashBytes = 16
+const HashSize = 16
 
 const (
 	maxMillisDigits = 15 // keeps the parsed time far from overflow
@@ -22,16 +22,16 @@
 )
 
 // Hash identifies an order or a token in the store.
-type Hash [HashBytes]byte
+type Hash [HashSize]byte
 
 // HashOf returns the truncated SHA-256 of s.
 func HashOf(s string) Hash {
 	sum := sha256.Sum256([]byte(s))
-	return Hash(sum[:HashBytes])
+	return Hash(sum[:HashSize])
 }
 
 // Partition returns the partition of an id.
-func (h Hash) Partition() int { return int(binary.BigEndian.Uint16(h[:]) % Partitions) }
+func (h Hash) Partition() int { return int(binary.BigEndian.Uint16(h[:]) % NumPartitions) }
 
 // ParseID returns the issue time of an id of the form <unix ms>-<random>.
 func ParseID(id string) (clock.Millis, error) {
--- a/order/message.go
+++ b/order/message.go
@@ -18,7 +18,7 @@
 // SubmitMsg is an order from a caller. Call is returned in the Answer, because
 // the same id may be submitted more than once at the same time.
 type SubmitMsg struct {
-	Call     uint64
+	CallID   uint64
 	ID       string
 	Rank     rank.Rank
 	Service  string
@@ -28,55 +28,55 @@
 	Outage   preset.OutageRule
 }
 
-// Op is what a ClaimMsg asks of the owner.
+// Op is what a ClaimRequestMsg asks of the owner.
 type Op uint8
 
 // The operations on claims. A claim is idempotent per token.
 const (
 	OpClaim Op = iota
 	OpRelease
-	OpDone
+	OpMarkDone
 )
 
-// ClaimMsg asks the owner of a partition for a change of one claim.
-type ClaimMsg struct {
-	From   string
-	Op     Op
-	Token  Token
-	ID     Hash
-	Issued clock.Millis
-	Budget clock.Millis // remaining time, so that clocks need not agree
-	Wait   bool         // keep the claim queued while the store is down
+// ClaimRequestMsg asks the owner of a partition for a change of one claim.
+type ClaimRequestMsg struct {
+	From         string
+	Op           Op
+	Token        Token
+	ID           Hash
+	IssuedAt     clock.Millis
+	Timeout      clock.Millis // remaining time, so that clocks need not agree
+	WaitForStore bool         // keep the claim queued while the store is down
 }
 
-// Result is the owner's answer to a ClaimMsg.
-type Result uint8
+// ClaimResult is the owner's answer to a ClaimRequestMsg.
+type ClaimResult uint8
 
 // The results of a claim or release. Unavailable means that this owner has not
 // written the claim and has dropped the request.
 const (
-	Unavailable Result = iota
-	Claimed
-	Exists
-	ExistsDone
-	Expired
-	ReleaseWritten
+	ResultUnavailable ClaimResult = iota
+	ResultClaimed
+	ResultExists
+	ResultExistsDone
+	ResultExpired
+	ResultReleased
 )
 
-// ClaimedMsg answers a ClaimMsg.
-type ClaimedMsg struct {
+// ClaimResponseMsg answers a ClaimRequestMsg.
+type ClaimResponseMsg struct {
 	Token  Token
-	Result Result
+	Result ClaimResult
 }
 
 // StoreMsg is the result of a StoreCmd.
 type StoreMsg struct{ Reply store.Reply }
 
-// ReplyMsg is the result of a SendCmd.
-type ReplyMsg struct{ Reply attempt.Reply }
+// AttemptReplyMsg is the result of a SendCmd.
+type AttemptReplyMsg struct{ Reply attempt.Reply }
 
-// OwnersMsg is the list of live VMs.
-type OwnersMsg struct{ Live []string }
+// LiveVMsMsg is the list of live VMs.
+type LiveVMsMsg struct{ VMs []string }
 
 // StopMsg starts the drain: new orders are refused, open ones are finished.
 type StopMsg struct{}
@@ -84,14 +84,14 @@
 // TickMsg lets the time pass.
 type TickMsg struct{}
 
-func (SubmitMsg) orderMsg()  {}
-func (ClaimMsg) orderMsg()   {}
-func (ClaimedMsg) orderMsg() {}
-func (StoreMsg) orderMsg()   {}
-func (ReplyMsg) orderMsg()   {}
-func (OwnersMsg) orderMsg()  {}
-func (StopMsg) orderMsg()    {}
-func (TickMsg) orderMsg()    {}
+func (SubmitMsg) orderMsg()        {}
+func (ClaimRequestMsg) orderMsg()  {}
+func (ClaimResponseMsg) orderMsg() {}
+func (StoreMsg) orderMsg()         {}
+func (AttemptReplyMsg) orderMsg()  {}
+func (LiveVMsMsg) orderMsg()       {}
+func (StopMsg) orderMsg()          {}
+func (TickMsg) orderMsg()          {}
 
 // SendCmd starts one attempt under a claim.
 type SendCmd struct {
@@ -102,7 +102,7 @@
 // StoreCmd asks for one call of the store.
 type StoreCmd struct{ Request store.Request }
 
-// PeerCmd sends Msg, a ClaimMsg or ClaimedMsg, to another VM.
+// PeerCmd sends Msg, a ClaimRequestMsg or ClaimResponseMsg, to another VM.
 type PeerCmd struct {
 	To  string
 	Msg Msg
--- a/order/model.go
+++ b/order/model.go
@@ -15,12 +15,12 @@
 type Model struct {
 	cfg      config
 	live     []string
-	ranked   [Partitions][]string // live VMs by rendezvous weight, owner first
+	ranked   [NumPartitions][]string // live VMs by rendezvous weight, owner first
 	open     map[uint64]*submission
 	attempts map[attempt.ID]*submission
 	releases map[uint64]*release
 	oldest   []uint64 // keys of releases by age
-	parts    [Partitions]partition
+	parts    [NumPartitions]partition
 	calls    map[uint64]storeCall // outstanding store calls by tag
 	timers   timerHeap
 	cmds     []Cmd
@@ -69,16 +69,16 @@
 	switch msg := msg.(type) {
 	case SubmitMsg:
 		m.submit(now, msg)
-	case ClaimMsg:
+	case ClaimRequestMsg:
 		m.enqueue(now, msg)
-	case ClaimedMsg:
+	case ClaimResponseMsg:
 		m.claimed(now, msg)
 	case StoreMsg:
 		m.stored(now, msg.Reply)
-	case ReplyMsg:
+	case AttemptReplyMsg:
 		m.replied(now, msg.Reply)
-	case OwnersMsg:
-		m.owners(now, msg.Live)
+	case LiveVMsMsg:
+		m.owners(now, msg.VMs)
 	case StopMsg:
 		m.stop(now)
 	case TickMsg:
--- a/order/model_test.go
+++ b/order/model_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("call %d: got %d answers, want 1", i, len(c.answers))
 		}
 		for _, a := range c.answers {
-			if a.Ran == attempt.No && c.runs > 0 || a.Ran == attempt.Yes && r.runs[c.id] == 0 {
+			if a.Execution == attempt.NotExecuted && c.runs > 0 || a.Execution == attempt.Executed && r.runs[c.id] == 0 {
 				t.Errorf("call %d: got %v, but it ran %d times", i, a, c.runs)
 			}
 		}
@@ -50,12 +50,12 @@
 func checkClaims(t interface{ Errorf(string, ...any) }, r *rig) {
 	claims := r.claims()
 	for _, id := range r.foreign {
-		if claims[id] != order.StateClaimed {
+		if claims[id] != order.ClaimHeld {
 			t.Errorf("got state %d of another owner's claim, want it kept", claims[id])
 		}
 	}
 	for id := range r.runs {
-		if s := claims[order.HashOf(id)]; s != order.StateClaimed && s != order.StateDone {
+		if s := claims[order.HashOf(id)]; s != order.ClaimHeld && s != order.ClaimDone {
 			t.Errorf("got state %d of order %s that ran, want its claim kept", s, id)
 		}
 	}
@@ -69,18 +69,18 @@
 		id     string
 		stop   bool
 		want   order.Reason
-		ran    attempt.Ran
+		ran    attempt.Execution
 		wanted order.Outcome
 	}{
-		{"no dash", "1700000000000", false, order.ReasonBadID, attempt.No, order.Refused},
-		{"no random part", "1700000000000-", false, order.ReasonBadID, attempt.No, order.Refused},
-		{"leading zero", "01700000000000-a", false, order.ReasonBadID, attempt.No, order.Refused},
-		{"signed", "+1700000000000-a", false, order.ReasonBadID, attempt.No, order.Refused},
-		{"space", "1700000000000-a b", false, order.ReasonBadID, attempt.No, order.Refused},
-		{"too old", fmt.Sprintf("%d-a", start-day-1), false, order.ReasonTooOld, attempt.Unknown, order.Refused},
-		{"oldest", fmt.Sprintf("%d-a", start-day+1000), false, "", attempt.Yes, order.Done},
-		{"too new", fmt.Sprintf("%d-a", start+5*clock.Minute+1), false, order.ReasonTooNew, attempt.Unknown, order.Refused},
-		{"draining", fmt.Sprintf("%d-a", start), true, order.ReasonDraining, attempt.No, order.Refused},
+		{"no dash", "1700000000000", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
+		{"no random part", "1700000000000-", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
+		{"leading zero", "01700000000000-a", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
+		{"signed", "+1700000000000-a", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
+		{"space", "1700000000000-a b", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
+		{"too old", fmt.Sprintf("%d-a", start-day-1), false, order.ReasonTooOld, attempt.ExecutionUnknown, order.OutcomeRefused},
+		{"oldest", fmt.Sprintf("%d-a", start-day+1000), false, "", attempt.Executed, order.OutcomeDone},
+		{"too new", fmt.Sprintf("%d-a", start+5*clock.Minute+1), false, order.ReasonTooNew, attempt.ExecutionUnknown, order.OutcomeRefused},
+		{"draining", fmt.Sprintf("%d-a", start), true, order.ReasonDraining, attempt.NotExecuted, order.OutcomeRefused},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 			c := r.submit("entry", tt.id)
 			r.runUntil(start + clock.Minute)
 			got := c.answers[0]
-			if got.Outcome != tt.wanted || got.Ran != tt.ran || got.Reason != tt.want {
+			if got.Outcome != tt.wanted || got.Execution != tt.ran || got.Reason != tt.want {
 				t.Errorf("got %v, want %v %v %v", got, tt.wanted, tt.ran, tt.want)
 			}
 		})
@@ -107,7 +107,7 @@
 		t.Error("got drained with an open order, want not drained")
 	}
 	r.runUntil(start + clock.Second)
-	if got := c.answers[0].Outcome; got != order.Done {
+	if got := c.answers[0].Outcome; got != order.OutcomeDone {
 		t.Errorf("got %v, want done", got)
 	}
 	if !r.vms["entry"].model.Drained() {
@@ -147,7 +147,7 @@
 	for _, id := range kept {
 		c := r.submit("other", id)
 		r.runUntil(r.now + clock.Second)
-		if got := c.answers[0]; got.Outcome != order.AlreadySubmitted || got.Ran != attempt.Yes {
+		if got := c.answers[0]; got.Outcome != order.OutcomeAlreadySubmitted || got.Execution != attempt.Executed {
 			t.Errorf("got %v, want already_submitted, ran yes", got)
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 // TestFloor guards against a second run when the clocks of two owners differ
-// by more than DropMargin: one drops a segment, the other still accepts its ids.
+// by more than SegmentDropMargin: one drops a segment, the other still accepts its ids.
 func TestFloor(t *testing.T) {
 	r := newRig(func(string) string { return faultNone })
 	all := ids(start, 12)
@@ -176,7 +176,7 @@
 	r.boot("owner")
 	for _, id := range all {
 		c := submit("other", id)
-		if got := c.answers[0]; got.Ran == attempt.No || r.runs[id] != 1 {
+		if got := c.answers[0]; got.Execution == attempt.NotExecuted || r.runs[id] != 1 {
 			t.Errorf("got %v and %d runs of %s, want no claim and 1 run", got, r.runs[id], id)
 		}
 	}
@@ -191,7 +191,7 @@
 	r.entries[e.Key], r.revision = e, 1
 	c := r.submit("entry", ids(start, 1)[0])
 	r.runUntil(start + clock.Minute)
-	if got := c.answers[0]; got.Outcome != order.Refused || got.Ran != attempt.No {
+	if got := c.answers[0]; got.Outcome != order.OutcomeRefused || got.Execution != attempt.NotExecuted {
 		t.Errorf("got %v, want refused, ran no", got)
 	}
 	if got := r.entries[e.Key].Revision; got != e.Revision {
@@ -212,7 +212,7 @@
 		runs  int
 	}{
 		{"not told", func(*rig, string) {}, 0},
-		{"left the view", func(r *rig, _ string) { r.deliver("owner", order.OwnersMsg{Live: []string{"owner"}}) }, 1},
+		{"left the view", func(r *rig, _ string) { r.deliver("owner", order.LiveVMsMsg{VMs: []string{"owner"}}) }, 1},
 		{"new incarnation asks", func(r *rig, id string) {
 			r.boot("entry")
 			r.submit("entry", id)
--- a/order/notcarrier_test.go
+++ b/order/notcarrier_test.go
@@ -46,15 +46,15 @@
 			}
 		}
 	}
-	feed(order.OwnersMsg{Live: []string{"vm-1"}})
-	feed(order.SubmitMsg{Call: 1, ID: fmt.Sprintf("%d-a", now), Service: "orders", Group: "d00", Deadline: now + 1000})
+	feed(order.LiveVMsMsg{VMs: []string{"vm-1"}})
+	feed(order.SubmitMsg{CallID: 1, ID: fmt.Sprintf("%d-a", now), Service: "orders", Group: "d00", Deadline: now + 1000})
 	for i := range 2 {
 		if len(sent) != i+1 {
 			t.Fatalf("got %d attempts, want %d; answers %v", len(sent), i+1, answers)
 		}
-		feed(order.ReplyMsg{Reply: attempt.Reply{ID: sent[i].ID, Upstream: sent[i].Upstream, Status: attempt.NotCarrier, Ran: attempt.No}})
+		feed(order.AttemptReplyMsg{Reply: attempt.Reply{ID: sent[i].ID, Upstream: sent[i].Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted}})
 	}
-	if len(answers) != 1 || answers[0].Outcome != order.Refused || answers[0].Ran != attempt.No {
+	if len(answers) != 1 || answers[0].Outcome != order.OutcomeRefused || answers[0].Execution != attempt.NotExecuted {
 		t.Errorf("got %v, want one refusal that was not run", answers)
 	}
 }
--- a/order/options.go
+++ b/order/options.go
@@ -6,16 +6,16 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// Window is the age up to which an id is accepted.
-const Window = 24 * clock.Hour
+// MaxIDAge is the age up to which an id is accepted.
+const MaxIDAge = 24 * clock.Hour
 
-// FutureLimit is how far an id's issue time may be ahead of this VM's clock.
-const FutureLimit = 5 * clock.Minute
+// MaxFutureSkew is how far an id's issue time may be ahead of this VM's clock.
+const MaxFutureSkew = 5 * clock.Minute
 
-// DropMargin is added to Window before a sealed segment is dropped. While the
+// SegmentDropMargin is added to Window before a sealed segment is dropped. While the
 // clocks of two VMs differ by less, no accepted id is below Head.Floor; a larger
 // difference refuses such ids as too old and never runs one twice.
-const DropMargin = 10 * clock.Minute
+const SegmentDropMargin = 10 * clock.Minute
 
 // Picker chooses the upstream of an attempt.
 type Picker func(now clock.Millis, service, group string, exclude []upstream.ID) (upstream.ID, bool)
@@ -70,11 +70,11 @@
 // WithWriteInterval sets the shortest time between two writes of one partition.
 func WithWriteInterval(d clock.Millis) Option { return func(c *config) { c.writeInterval = d } }
 
-// WithBatchLimit bounds the operations in one write; 0 means no bound.
-func WithBatchLimit(n int) Option { return func(c *config) { c.batchLimit = n } }
+// WithMaxBatch bounds the operations in one write; 0 means no bound.
+func WithMaxBatch(n int) Option { return func(c *config) { c.batchLimit = n } }
 
-// WithHeadBytes sets the size at which the head is sealed into a segment.
-func WithHeadBytes(n int) Option { return func(c *config) { c.headBytes = n } }
+// WithSealThreshold sets the size at which the head is sealed into a segment.
+func WithSealThreshold(n int) Option { return func(c *config) { c.headBytes = n } }
 
 // WithDoneMarks says whether claims of finished orders are marked done.
 func WithDoneMarks(on bool) Option { return func(c *config) { c.doneMarks = on } }
@@ -82,11 +82,11 @@
 // WithDoneDelay sets how long a done mark waits for a claim to share a write with.
 func WithDoneDelay(d clock.Millis) Option { return func(c *config) { c.doneDelay = d } }
 
-// WithAskInterval sets the time after which a claim is asked for again.
-func WithAskInterval(d clock.Millis) Option { return func(c *config) { c.askInterval = d } }
+// WithClaimRetryInterval sets the time after which a claim is asked for again.
+func WithClaimRetryInterval(d clock.Millis) Option { return func(c *config) { c.askInterval = d } }
 
-// WithOpenLimit bounds the open orders.
-func WithOpenLimit(n int) Option { return func(c *config) { c.openLimit = n } }
+// WithMaxOpenOrders bounds the open orders.
+func WithMaxOpenOrders(n int) Option { return func(c *config) { c.openLimit = n } }
 
-// WithReleaseLimit bounds the remembered releases; above it the oldest is dropped and its claim stays.
-func WithReleaseLimit(n int) Option { return func(c *config) { c.releaseLimit = n } }
+// WithMaxReleases bounds the remembered releases; above it the oldest is dropped and its claim stays.
+func WithMaxReleases(n int) Option { return func(c *config) { c.releaseLimit = n } }
--- a/order/owner.go
+++ b/order/owner.go
@@ -8,7 +8,7 @@
 )
 
 // enqueue queues an operation for the next batch of its partition.
-func (m *Model) enqueue(now clock.Millis, msg ClaimMsg) {
+func (m *Model) enqueue(now clock.Millis, msg ClaimRequestMsg) {
 	p := &m.parts[msg.ID.Partition()]
 	key := opKey{msg.Op, msg.Token}
 	if msg.Op == OpClaim {
@@ -17,15 +17,15 @@
 	if p.queued[key] != nil || msg.Op == OpClaim && p.queued[opKey{OpRelease, msg.Token}] != nil {
 		return
 	}
-	if msg.Op == OpClaim && !msg.Wait && now < p.retryAt || len(p.queued) >= m.cfg.queueLimit {
-		m.result(now, msg, Unavailable)
+	if msg.Op == OpClaim && !msg.WaitForStore && now < p.retryAt || len(p.queued) >= m.cfg.queueLimit {
+		m.result(now, msg, ResultUnavailable)
 		return
 	}
 	op := &operation{msg: msg, token: msg.Token.Hash(), due: now, expires: now + markKeepMs}
 	switch msg.Op {
 	case OpClaim:
-		op.expires = now + msg.Budget
-	case OpDone:
+		op.expires = now + msg.Timeout
+	case OpMarkDone:
 		op.due = now + m.cfg.doneDelay
 	case OpRelease:
 		p.drop(opKey{OpClaim, msg.Token})
@@ -58,11 +58,11 @@
 }
 
 // result reports on an operation, except for done marks, which nobody waits for.
-func (m *Model) result(now clock.Millis, msg ClaimMsg, r Result) {
-	if msg.Op == OpDone {
+func (m *Model) result(now clock.Millis, msg ClaimRequestMsg, r ClaimResult) {
+	if msg.Op == OpMarkDone {
 		return
 	}
-	answer := ClaimedMsg{Token: msg.Token, Result: r}
+	answer := ClaimResponseMsg{Token: msg.Token, Result: r}
 	if msg.From == m.cfg.self {
 		m.claimed(now, answer)
 		return
@@ -70,7 +70,7 @@
 	m.emit(PeerCmd{To: msg.From, Msg: answer})
 }
 
-func (m *Model) complete(now clock.Millis, p *partition, op *operation, r Result) {
+func (m *Model) complete(now clock.Millis, p *partition, op *operation, r ClaimResult) {
 	delete(p.queued, opKey{op.msg.Op, op.msg.Token})
 	m.result(now, op.msg, r)
 }
@@ -146,14 +146,14 @@
 	p.queue = nil
 	var given []*operation
 	for _, op := range queue {
-		if op.msg.Op == OpClaim && !op.msg.Wait && !op.unsure {
+		if op.msg.Op == OpClaim && !op.msg.WaitForStore && !op.unsure {
 			given = append(given, op)
 			continue
 		}
 		p.queue = append(p.queue, op)
 	}
 	for _, op := range given {
-		m.complete(now, p, op, Unavailable)
+		m.complete(now, p, op, ResultUnavailable)
 	}
 	m.advance(now, p)
 }
--- a/order/partition.go
+++ b/order/partition.go
@@ -62,9 +62,9 @@
 	token Token
 }
 
-// operation is a queued ClaimMsg.
+// operation is a queued ClaimRequestMsg.
 type operation struct {
-	msg     ClaimMsg
+	msg     ClaimRequestMsg
 	token   Hash
 	due     clock.Millis // when it asks for a write of its own
 	expires clock.Millis
@@ -106,7 +106,7 @@
 	if !ok {
 		c, ok = p.sealed[id]
 	}
-	return c, ok && c.State != StateReleased
+	return c, ok && c.State != ClaimReleased
 }
 
 func (m *Model) call(now clock.Millis, p *partition, ph phase, r store.Request) {
--- a/order/release.go
+++ b/order/release.go
@@ -68,14 +68,14 @@
 	vms := m.ranked[r.hash.Partition()]
 	to := vms[r.asks/asksPerOwner%len(vms)]
 	r.asks++
-	m.tell(now, to, ClaimMsg{Op: OpRelease, Token: r.token, ID: r.hash, Issued: r.issued, Budget: markKeepMs})
+	m.tell(now, to, ClaimRequestMsg{Op: OpRelease, Token: r.token, ID: r.hash, IssuedAt: r.issued, Timeout: markKeepMs})
 }
 
 func (m *Model) releaseDue(now clock.Millis, seq uint64) {
 	r := m.releases[seq]
 	switch {
 	case r == nil:
-	case r.pending && now > r.issued+Window, !r.pending && !r.again && now >= r.forget:
+	case r.pending && now > r.issued+MaxIDAge, !r.pending && !r.again && now >= r.forget:
 		m.forgetRelease(seq)
 	case !r.pending && now >= r.forget:
 		r.again = false
@@ -94,17 +94,17 @@
 
 // claimedLate handles an answer for a token that is no longer claiming. A token
 // under which an attempt was sent has no release unless that attempt proved not run.
-func (m *Model) claimedLate(now clock.Millis, msg ClaimedMsg) {
+func (m *Model) claimedLate(now clock.Millis, msg ClaimResponseMsg) {
 	r := m.releases[msg.Token.Seq]
 	if r == nil {
 		return
 	}
 	switch {
-	case msg.Result == ReleaseWritten:
+	case msg.Result == ResultReleased:
 		r.pending = false
 		r.forget = now + quarantineMs
 		m.wakeAt(r.forget, timerRelease, msg.Token.Seq)
-	case msg.Result == Claimed && !r.pending:
+	case msg.Result == ResultClaimed && !r.pending:
 		m.reopen(now, r)
 	}
 }
--- a/order/rig_store_test.go
+++ b/order/rig_store_test.go
@@ -68,8 +68,8 @@
 	if key == order.HeadKey(0) && err == nil {
 		id := order.HashOf(fmt.Sprintf("foreign %d", len(r.foreign)))
 		r.foreign = append(r.foreign, id)
-		head.Claims = append(head.Claims, order.Claim{ID: id, Token: order.HashOf("foreign"), State: order.StateClaimed})
-		head.Newest = max(head.Newest, start)
+		head.Claims = append(head.Claims, order.Claim{ID: id, Token: order.HashOf("foreign"), State: order.ClaimHeld})
+		head.NewestIssued = max(head.NewestIssued, start)
 		e.Value = head.Encode()
 	}
 	r.apply(r.now, store.Request{Op: store.OpSwap, Key: key, Value: e.Value, Expect: e.Revision}, &store.Reply{})
@@ -83,15 +83,15 @@
 		r.broken = append(r.broken, err.Error())
 	}
 	for _, c := range head.Claims {
-		if at := r.freed[c.Token]; c.State == order.StateClaimed && at > issued {
+		if at := r.freed[c.Token]; c.State == order.ClaimHeld && at > issued {
 			r.broken = append(r.broken, "a release was confirmed before an older write of its claim")
 		}
 	}
 }
 
 // claims returns the claims in the store as a new owner reads them.
-func (r *rig) claims() map[order.Hash]order.State {
-	out := make(map[order.Hash]order.State)
+func (r *rig) claims() map[order.Hash]order.ClaimState {
+	out := make(map[order.Hash]order.ClaimState)
 	head, _ := order.DecodeHead(r.entries[order.HeadKey(0)].Value)
 	add := func(h order.Head) {
 		for _, c := range h.Claims {
--- a/order/rig_test.go
+++ b/order/rig_test.go
@@ -131,11 +131,11 @@
 func (r *rig) boot(name string) {
 	r.starts++
 	r.vms[name] = &rigVM{model: order.New(
-		order.WithSelf(name, r.starts), order.WithHeadBytes(100),
+		order.WithSelf(name, r.starts), order.WithSealThreshold(100),
 		order.WithPicker(func(_ clock.Millis, _, _ string, exclude []upstream.ID) (upstream.ID, bool) {
 			return upstream.ID(fmt.Sprintf("desk/g/%d", len(exclude))), len(exclude) < 2
 		}))}
-	r.deliver(name, order.OwnersMsg{Live: []string{"owner"}})
+	r.deliver(name, order.LiveVMsMsg{VMs: []string{"owner"}})
 }
 
 func (r *rig) at(d clock.Millis, run func()) {
@@ -181,7 +181,7 @@
 	c.end = r.now + c.vm.ahead + budget
 	r.calls = append(r.calls, c)
 	r.deliver(vm, order.SubmitMsg{
-		Call: uint64(len(r.calls) - 1), ID: id, Service: "desk", Group: "g",
+		CallID: uint64(len(r.calls) - 1), ID: id, Service: "desk", Group: "g",
 		Body: []byte{byte(len(r.calls) - 1)}, Deadline: c.end, Outage: outage,
 	})
 	return c
@@ -213,7 +213,7 @@
 func (r *rig) perform(name string, vm *rigVM, cmd order.Cmd) {
 	switch cmd := cmd.(type) {
 	case order.PeerCmd:
-		if msg, ok := cmd.Msg.(order.ClaimedMsg); ok && msg.Result == order.ReleaseWritten && r.freed[msg.Token.Hash()] == 0 {
+		if msg, ok := cmd.Msg.(order.ClaimResponseMsg); ok && msg.Result == order.ResultReleased && r.freed[msg.Token.Hash()] == 0 {
 			r.freed[msg.Token.Hash()] = r.now
 		}
 		copies, after := r.hit(r.fault(peerStep(cmd.Msg)))
@@ -225,7 +225,7 @@
 	case order.SendCmd:
 		r.send(name, vm, cmd.Request)
 	case order.AnswerCmd:
-		c := r.calls[cmd.Answer.Call]
+		c := r.calls[cmd.Answer.CallID]
 		c.answers = append(c.answers, cmd.Answer)
 	case order.EventCmd:
 		if cmd.Event.Kind == timeline.StoreFailed {
@@ -235,10 +235,10 @@
 }
 
 func peerStep(msg order.Msg) string {
-	claim, ok := msg.(order.ClaimMsg)
-	answer, _ := msg.(order.ClaimedMsg)
+	claim, ok := msg.(order.ClaimRequestMsg)
+	answer, _ := msg.(order.ClaimResponseMsg)
 	switch {
-	case answer.Result == order.ReleaseWritten:
+	case answer.Result == order.ResultReleased:
 		return stepFreed
 	case !ok:
 		return stepConfirm
@@ -260,7 +260,7 @@
 	}
 	r.at(req.Deadline-r.now-vm.ahead, func() {
 		if timeout {
-			r.deliverTo(name, vm, order.ReplyMsg{Reply: attempt.Reply{ID: req.ID, Status: attempt.TimedOut}})
+			r.deliverTo(name, vm, order.AttemptReplyMsg{Reply: attempt.Reply{ID: req.ID, Status: attempt.TimedOut}})
 		}
 	})
 }
@@ -268,29 +268,29 @@
 // serve runs or sheds an attempt and replies. It reports whether the carrier
 // reports a timeout at the deadline; a carrier whose timer is late does not.
 func (r *rig) serve(name string, vm *rigVM, req attempt.Request) (timeout bool) {
-	reply := attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.OK, Ran: attempt.Yes}
+	reply := attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.OK, Execution: attempt.Executed}
 	if r.sheds > 0 {
 		r.sheds--
-		reply.Status, reply.Ran = attempt.Shed, attempt.No
+		reply.Status, reply.Execution = attempt.Shed, attempt.NotExecuted
 	} else {
 		r.runs[req.OrderID]++
 		r.calls[req.Body[0]].runs++
 	}
 	fault := r.fault(stepReply)
 	copies, after := r.hit(fault)
-	if reply.Ran == attempt.Yes {
+	if reply.Execution == attempt.Executed {
 		after += serviceMs
 	}
 	switch fault {
 	case faultNoStatus:
-		reply.Status, reply.Ran, copies = attempt.Shed, attempt.Unknown, 1
+		reply.Status, reply.Execution, copies = attempt.Shed, attempt.ExecutionUnknown, 1
 	case faultNoProof:
-		reply.Status, reply.Ran, copies = attempt.Failed, attempt.No, 1
+		reply.Status, reply.Execution, copies = attempt.Failed, attempt.NotExecuted, 1
 	case faultPastEnd:
 		after, copies = max(req.Deadline-r.now-vm.ahead, 0)+20, 1
 	}
 	for range copies {
-		r.at(after, func() { r.deliverTo(name, vm, order.ReplyMsg{Reply: reply}) })
+		r.at(after, func() { r.deliverTo(name, vm, order.AttemptReplyMsg{Reply: reply}) })
 	}
 	return fault != faultPastEnd
 }
--- a/order/seal.go
+++ b/order/seal.go
@@ -18,10 +18,10 @@
 		p.sealSkip = max(p.sealSkip, p.fresh.ref.Number+1)
 		p.fresh = nil
 	}
-	p.sealing = max(p.head.Next, p.sealSkip)
+	p.sealing = max(p.head.NextSegment, p.sealSkip)
 	p.nextWrite = now + m.cfg.writeInterval
 	m.stats.Writes++
-	segment := Head{Claims: p.head.Claims, Newest: p.head.Newest}
+	segment := Head{Claims: p.head.Claims, NewestIssued: p.head.NewestIssued}
 	m.call(now, p, phaseSeal, store.Request{
 		Op: store.OpSwap, Key: SegmentKey(p.n, p.sealing), Value: segment.Encode(),
 	})
@@ -31,7 +31,7 @@
 // be, is skipped: its segment may differ from this head.
 func (m *Model) sealed(now clock.Millis, p *partition, r store.Reply) {
 	if r.Kind == store.KindOK {
-		p.fresh = &freshSegment{ref: SegmentRef{Number: p.sealing, Newest: p.head.Newest}, revision: p.revision}
+		p.fresh = &freshSegment{ref: SegmentRef{Number: p.sealing, NewestIssued: p.head.NewestIssued}, revision: p.revision}
 		m.advance(now, p)
 		return
 	}
@@ -62,7 +62,7 @@
 	for _, n := range p.garbage {
 		switch {
 		case listed[n]:
-		case !found && n < p.head.Next:
+		case !found && n < p.head.NextSegment:
 			next, found = n, true
 		default:
 			rest = append(rest, n)
--- a/order/send.go
+++ b/order/send.go
@@ -51,7 +51,7 @@
 	m.close(o)
 	m.remember(now, o, true, true)
 	if o.state != answered {
-		m.finish(o, Answer{Outcome: Refused, Ran: attempt.No, Reason: reason})
+		m.finish(o, Answer{Outcome: OutcomeRefused, Execution: attempt.NotExecuted, Reason: reason})
 	}
 }
 
@@ -70,17 +70,17 @@
 	switch {
 	case provesNotRun(r):
 		m.notRun(now, o)
-	case r.Ran == attempt.Yes:
+	case r.Execution == attempt.Executed:
 		m.ran(now, o, r)
 	default:
 		m.close(o)
-		m.finishOnce(o, Answer{Outcome: Unknown, Ran: attempt.Unknown, Reason: ReasonUncertain})
+		m.finishOnce(o, Answer{Outcome: OutcomeUnknown, Execution: attempt.ExecutionUnknown, Reason: ReasonUncertain})
 	}
 }
 
 func (m *Model) notRun(now clock.Millis, o *submission) {
 	if o.state == answered || len(o.tried) >= maxAttempts {
-		m.settle(now, o, ReasonNotRun)
+		m.settle(now, o, ReasonUpstreamRefused)
 		return
 	}
 	m.send(now, o)
@@ -89,13 +89,13 @@
 func (m *Model) ran(now clock.Millis, o *submission, r attempt.Reply) {
 	m.close(o)
 	if m.cfg.doneMarks {
-		m.tell(now, m.ranked[o.hash.Partition()][0], ClaimMsg{Op: OpDone, Token: o.token, ID: o.hash, Issued: o.issued})
+		m.tell(now, m.ranked[o.hash.Partition()][0], ClaimRequestMsg{Op: OpMarkDone, Token: o.token, ID: o.hash, IssuedAt: o.issued})
 	}
-	outcome := Done
+	outcome := OutcomeDone
 	if r.Status != attempt.OK {
-		outcome = Unknown
+		outcome = OutcomeUnknown
 	}
-	m.finishOnce(o, Answer{Outcome: outcome, Ran: attempt.Yes, Body: r.Body})
+	m.finishOnce(o, Answer{Outcome: outcome, Execution: attempt.Executed, Body: r.Body})
 }
 
 func (m *Model) finishOnce(o *submission, a Answer) {
@@ -109,7 +109,7 @@
 	if now < o.msg.Deadline+replyGraceMs {
 		return
 	}
-	m.finish(o, Answer{Outcome: Unknown, Ran: attempt.Unknown, Reason: ReasonUncertain})
+	m.finish(o, Answer{Outcome: OutcomeUnknown, Execution: attempt.ExecutionUnknown, Reason: ReasonUncertain})
 	o.state = answered
 	o.forget = now + lateReplyMs
 	m.wakeAt(o.forget, timerOrder, o.token.Seq)
@@ -118,11 +118,11 @@
 // provesNotRun accepts Ran only together with a status that can carry the
 // proof; a contradictory reply counts as uncertain.
 func provesNotRun(r attempt.Reply) bool {
-	if r.Ran != attempt.No {
+	if r.Execution != attempt.NotExecuted {
 		return false
 	}
 	switch r.Status {
-	case attempt.VersionGone, attempt.Shed, attempt.Leaving, attempt.NotSent, attempt.Refused, attempt.Cancelled,
+	case attempt.VersionGone, attempt.Shed, attempt.Leaving, attempt.NotSent, attempt.ConnRefused, attempt.Cancelled,
 		attempt.NotCarrier:
 		return true
 	default:
--- a/order/write.go
+++ b/order/write.go
@@ -17,7 +17,7 @@
 	}
 	b := newBatch()
 	b.fill(now, p, p.queue[:n])
-	if slices.Contains(b.results, Exists) && now > p.readAt+cacheAgeMs {
+	if slices.Contains(b.results, ResultExists) && now > p.readAt+cacheAgeMs {
 		m.readHead(now, p)
 		return
 	}
@@ -106,7 +106,7 @@
 func (m *Model) batchEvent(p *partition, b *batch) {
 	claims := 0
 	for i, op := range b.ops {
-		if op.msg.Op == OpClaim && b.results[i] == Claimed {
+		if op.msg.Op == OpClaim && b.results[i] == ResultClaimed {
 			claims++
 		}
 	}
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -30,7 +30,7 @@
 	}
 	memory, goroutines := inUse()
 	for i, p := range peers {
-		hub.mesh.Send(fmt.Sprintf("vm-%d", i), p.addr, clock.Stamp{}, vm.Fleet{Payload: []byte("hello")})
+		hub.mesh.Send(fmt.Sprintf("vm-%d", i), p.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hello")})
 	}
 	for _, p := range peers {
 		select {
--- a/peer/claim.go
+++ b/peer/claim.go
@@ -16,26 +16,26 @@
 	return order.Token{VM: t.GetVm(), Incarnation: t.GetIncarnation(), Seq: t.GetSeq()}
 }
 
-func encodeClaim(m order.ClaimMsg) *peerpb.Claim {
+func encodeClaim(m order.ClaimRequestMsg) *peerpb.Claim {
 	return &peerpb.Claim{
 		From: m.From, Op: uint32(m.Op), Token: encodeToken(m.Token), Id: m.ID[:],
-		IssuedMs: int64(m.Issued), BudgetMs: int64(m.Budget), Wait: m.Wait,
+		IssuedMs: int64(m.IssuedAt), BudgetMs: int64(m.Timeout), Wait: m.WaitForStore,
 	}
 }
 
-func decodeClaim(c *peerpb.Claim) (order.ClaimMsg, error) {
-	if len(c.GetId()) != order.HashBytes || c.GetOp() > uint32(order.OpDone) {
-		return order.ClaimMsg{}, wrap("decode claim", KindDecode, errors.New("id or op out of range"))
+func decodeClaim(c *peerpb.Claim) (order.ClaimRequestMsg, error) {
+	if len(c.GetId()) != order.HashSize || c.GetOp() > uint32(order.OpMarkDone) {
+		return order.ClaimRequestMsg{}, wrap("decode claim", KindDecode, errors.New("id or op out of range"))
 	}
-	return order.ClaimMsg{
+	return order.ClaimRequestMsg{
 		From: c.GetFrom(), Op: order.Op(c.GetOp()), Token: decodeToken(c.GetToken()), ID: order.Hash(c.GetId()),
-		Issued: clock.Millis(c.GetIssuedMs()), Budget: clock.Millis(c.GetBudgetMs()), Wait: c.GetWait(),
+		IssuedAt: clock.Millis(c.GetIssuedMs()), Timeout: clock.Millis(c.GetBudgetMs()), WaitForStore: c.GetWait(),
 	}, nil
 }
 
-func decodeClaimed(c *peerpb.Claimed) (order.ClaimedMsg, error) {
-	if c.GetResult() > uint32(order.ReleaseWritten) {
-		return order.ClaimedMsg{}, wrap("decode claimed", KindDecode, errors.New("result out of range"))
+func decodeClaimed(c *peerpb.Claimed) (order.ClaimResponseMsg, error) {
+	if c.GetResult() > uint32(order.ResultReleased) {
+		return order.ClaimResponseMsg{}, wrap("decode claimed", KindDecode, errors.New("result out of range"))
 	}
-	return order.ClaimedMsg{Token: decodeToken(c.GetToken()), Result: order.Result(c.GetResult())}, nil
+	return order.ClaimResponseMsg{Token: decodeToken(c.GetToken()), Result: order.ClaimResult(c.GetResult())}, nil
 }
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -15,7 +15,7 @@
 
 // Encode converts a message to its wire form. Deadlines become the budget
 // that remains at now.
-func Encode(now clock.Millis, stamp clock.Stamp, body vm.PeerBody) *peerpb.Envelope {
+func Encode(now clock.Millis, stamp clock.Timestamp, body vm.PeerBody) *peerpb.Envelope {
 	env := &peerpb.Envelope{WallMs: int64(stamp.WallMs), Logical: stamp.Logical}
 	switch b := body.(type) {
 	case vm.Forward:
@@ -24,37 +24,37 @@
 		env.Body = &peerpb.Envelope_Result{Result: encodeReply(b.Reply)}
 	case vm.CancelForward:
 		env.Body = &peerpb.Envelope_Cancel{Cancel: &peerpb.Cancel{Id: encodeID(b.ID), Upstream: b.Upstream}}
-	case vm.Fleet:
+	case vm.FleetMessage:
 		env.Body = &peerpb.Envelope_Fleet{Fleet: b.Payload}
-	case vm.Claim:
+	case vm.ClaimRequest:
 		env.Body = &peerpb.Envelope_Claim{Claim: encodeClaim(b.Msg)}
-	case vm.Claimed:
+	case vm.ClaimResponse:
 		env.Body = &peerpb.Envelope_Claimed{Claimed: &peerpb.Claimed{
 			Token: encodeToken(b.Msg.Token), Result: uint32(b.Msg.Result),
 		}}
-	case vm.Ask:
+	case vm.AdminRequest:
 		env.Body = &peerpb.Envelope_Ask{Ask: &peerpb.Ask{Id: b.ID, Kind: uint32(b.Kind), Payload: b.Payload}}
-	case relay.HandOver:
+	case relay.Delegation:
 		env.Body = &peerpb.Envelope_HandOver{HandOver: encodeHandOver(b)}
-	case relay.Taken:
+	case relay.DelegationAck:
 		env.Body = &peerpb.Envelope_Taken{Taken: &peerpb.Taken{Id: b.ID}}
-	case relay.HandBack:
+	case relay.DelegationResult:
 		env.Body = &peerpb.Envelope_HandBack{HandBack: encodeHandBack(b)}
-	case relay.Withdraw:
+	case relay.DelegationCancel:
 		env.Body = &peerpb.Envelope_Withdraw{Withdraw: &peerpb.Withdraw{Id: b.ID}}
 	case catalog.Subscribe:
 		env.Body = &peerpb.Envelope_Subscribe{Subscribe: &peerpb.Subscribe{After: b.After}}
 	case catalog.Update:
 		env.Body = &peerpb.Envelope_Update{Update: encodeUpdate(b)}
-	case vm.Told:
+	case vm.AdminResponse:
 		env.Body = &peerpb.Envelope_Told{Told: &peerpb.Told{Id: b.ID, Payload: b.Payload}}
 	}
 	return env
 }
 
 // Decode converts a wire message. Budgets become deadlines on the local clock.
-func Decode(now clock.Millis, env *peerpb.Envelope) (vm.PeerBody, clock.Stamp, error) {
-	stamp := clock.Stamp{WallMs: clock.Millis(env.GetWallMs()), Logical: env.GetLogical()}
+func Decode(now clock.Millis, env *peerpb.Envelope) (vm.PeerBody, clock.Timestamp, error) {
+	stamp := clock.Timestamp{WallMs: clock.Millis(env.GetWallMs()), Logical: env.GetLogical()}
 	switch b := env.GetBody().(type) {
 	case *peerpb.Envelope_Forward:
 		req, err := decodeRequest(now, b.Forward)
@@ -65,30 +65,30 @@
 	case *peerpb.Envelope_Cancel:
 		return vm.CancelForward{ID: decodeID(b.Cancel.GetId()), Upstream: b.Cancel.GetUpstream()}, stamp, nil
 	case *peerpb.Envelope_Fleet:
-		return vm.Fleet{Payload: b.Fleet}, stamp, nil
+		return vm.FleetMessage{Payload: b.Fleet}, stamp, nil
 	case *peerpb.Envelope_Claim:
 		msg, err := decodeClaim(b.Claim)
-		return vm.Claim{Msg: msg}, stamp, err
+		return vm.ClaimRequest{Msg: msg}, stamp, err
 	case *peerpb.Envelope_Claimed:
 		msg, err := decodeClaimed(b.Claimed)
-		return vm.Claimed{Msg: msg}, stamp, err
+		return vm.ClaimResponse{Msg: msg}, stamp, err
 	case *peerpb.Envelope_Ask:
-		return vm.Ask{ID: b.Ask.GetId(), Kind: vm.AskKind(b.Ask.GetKind()), Payload: b.Ask.GetPayload()}, stamp, nil
+		return vm.AdminRequest{ID: b.Ask.GetId(), Kind: vm.AdminKind(b.Ask.GetKind()), Payload: b.Ask.GetPayload()}, stamp, nil
 	case *peerpb.Envelope_HandOver:
 		return decodeHandOver(b.HandOver), stamp, nil
 	case *peerpb.Envelope_Taken:
-		return relay.Taken{ID: b.Taken.GetId()}, stamp, nil
+		return relay.DelegationAck{ID: b.Taken.GetId()}, stamp, nil
 	case *peerpb.Envelope_HandBack:
 		back, err := decodeHandBack(b.HandBack)
 		return back, stamp, err
 	case *peerpb.Envelope_Withdraw:
-		return relay.Withdraw{ID: b.Withdraw.GetId()}, stamp, nil
+		return relay.DelegationCancel{ID: b.Withdraw.GetId()}, stamp, nil
 	case *peerpb.Envelope_Subscribe:
 		return catalog.Subscribe{After: b.Subscribe.GetAfter()}, stamp, nil
 	case *peerpb.Envelope_Update:
 		return decodeUpdate(b.Update), stamp, nil
 	case *peerpb.Envelope_Told:
-		return vm.Told{ID: b.Told.GetId(), Payload: b.Told.GetPayload()}, stamp, nil
+		return vm.AdminResponse{ID: b.Told.GetId(), Payload: b.Told.GetPayload()}, stamp, nil
 	}
 	return nil, stamp, wrap("decode", KindDecode, errors.New("unknown envelope body"))
 }
@@ -122,8 +122,8 @@
 
 func encodeReply(r attempt.Reply) *peerpb.Result {
 	out := &peerpb.Result{
-		Id: encodeID(r.ID), Upstream: r.Upstream, Status: uint32(r.Status), Ran: uint32(r.Ran),
-		Version: r.Version, Epoch: r.Epoch, Held: r.Held, Body: r.Body, Leaving: r.Leaving,
+		Id: encodeID(r.ID), Upstream: r.Upstream, Status: uint32(r.Status), Ran: uint32(r.Execution),
+		Version: r.Version, Epoch: r.Epoch, Held: r.HeldVersions, Body: r.Body, Leaving: r.Leaving,
 		QueueMs: int64(r.QueueMs), ServiceMs: int64(r.ServiceMs), RetryAfterMs: int64(r.RetryAfter),
 	}
 	for _, rg := range r.Ranges {
@@ -136,12 +136,12 @@
 }
 
 func decodeReply(r *peerpb.Result) (attempt.Reply, error) {
-	if r.GetStatus() > uint32(attempt.NotCarrier) || r.GetRan() > uint32(attempt.Yes) {
+	if r.GetStatus() > uint32(attempt.NotCarrier) || r.GetRan() > uint32(attempt.Executed) {
 		return attempt.Reply{}, wrap("decode result", KindDecode, errors.New("status or ran out of range"))
 	}
 	reply := attempt.Reply{
-		ID: decodeID(r.GetId()), Upstream: r.GetUpstream(), Status: attempt.Status(r.GetStatus()), Ran: attempt.Ran(r.GetRan()),
-		Version: r.GetVersion(), Epoch: r.GetEpoch(), Held: r.GetHeld(), Body: r.GetBody(), Leaving: r.GetLeaving(),
+		ID: decodeID(r.GetId()), Upstream: r.GetUpstream(), Status: attempt.Status(r.GetStatus()), Execution: attempt.Execution(r.GetRan()),
+		Version: r.GetVersion(), Epoch: r.GetEpoch(), HeldVersions: r.GetHeld(), Body: r.GetBody(), Leaving: r.GetLeaving(),
 		QueueMs: clock.Millis(r.GetQueueMs()), ServiceMs: clock.Millis(r.GetServiceMs()), RetryAfter: clock.Millis(r.GetRetryAfterMs()),
 	}
 	for _, rg := range r.GetRanges() {
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -22,14 +22,14 @@
 	for _, body := range []vm.PeerBody{
 		vm.Forward{Request: attempt.Request{ID: id, Upstream: "s/g/a", Service: "s", Group: "g", Deadline: 500, Version: 3, Body: []byte("{}")}},
 		vm.Result{Reply: attempt.Reply{
-			ID: id, Upstream: "s/g/a", Ran: attempt.Yes, Ranges: []coverage.Range{{From: 1, To: 5}},
-			Rows: []coverage.Row{{Key: 1, Value: "x"}}, Held: []uint64{1, 2},
+			ID: id, Upstream: "s/g/a", Execution: attempt.Executed, Ranges: []coverage.Range{{From: 1, To: 5}},
+			Rows: []coverage.Row{{Key: 1, Value: "x"}}, HeldVersions: []uint64{1, 2},
 		}},
-		vm.CancelForward{ID: id, Upstream: "s/g/a"}, vm.Fleet{Payload: []byte("x")},
-		vm.Claim{Msg: order.ClaimMsg{From: "vm-1", ID: order.HashOf("a"), Issued: 5, Budget: 7}},
-		vm.Claimed{Msg: order.ClaimedMsg{Result: order.Exists}}, vm.Ask{ID: 1, Payload: []byte("{}")}, vm.Told{ID: 1},
+		vm.CancelForward{ID: id, Upstream: "s/g/a"}, vm.FleetMessage{Payload: []byte("x")},
+		vm.ClaimRequest{Msg: order.ClaimRequestMsg{From: "vm-1", ID: order.HashOf("a"), IssuedAt: 5, Timeout: 7}},
+		vm.ClaimResponse{Msg: order.ClaimResponseMsg{Result: order.ResultExists}}, vm.AdminRequest{ID: 1, Payload: []byte("{}")}, vm.AdminResponse{ID: 1},
 	} {
-		data, err := proto.Marshal(peer.Encode(100, clock.Stamp{WallMs: 100, Logical: 2}, body))
+		data, err := proto.Marshal(peer.Encode(100, clock.Timestamp{WallMs: 100, Logical: 2}, body))
 		if err != nil {
 			f.Fatal(err)
 		}
--- a/peer/handover_test.go
+++ b/peer/handover_test.go
@@ -16,23 +16,23 @@
 // TestHandOverCodec guards against a field of a handed request that is lost on the way.
 func TestHandOverCodec(t *testing.T) {
 	bodies := []vm.PeerBody{
-		relay.HandOver{
+		relay.Delegation{
 			ID: 1, Version: 2, Name: "r", Host: "h", Path: "/p", Services: []string{"a", "b"}, Head: []byte("GET"), Body: []byte("x"),
-			LeftMs: 3, AnswerInMs: 4, Returning: true,
+			RemainingMs: 3, TargetInMs: 4, CallerRetry: true,
 		},
-		relay.Taken{ID: 5},
-		relay.HandBack{ID: 6, More: true, ExpectedMs: 9, Answer: relay.Answer{
+		relay.DelegationAck{ID: 5},
+		relay.DelegationResult{ID: 6, Partial: true, ExpectedMs: 9, Answer: relay.Answer{
 			Outcome: relay.Gathered, Body: []byte("records"), Receipts: []string{"x", "y"}, Missing: 1, Version: 2,
 		}},
-		relay.HandBack{ID: 6, Answer: relay.Answer{Outcome: relay.Refused, Reason: "full", RetryAfterMs: 7}},
-		relay.Withdraw{ID: 8},
+		relay.DelegationResult{ID: 6, Answer: relay.Answer{Outcome: relay.Refused, Reason: "full", RetryAfterMs: 7}},
+		relay.DelegationCancel{ID: 8},
 		catalog.Subscribe{After: 10},
-		catalog.Update{From: 11, To: 12, Lost: true, Items: []store.Item{
+		catalog.Update{From: 11, To: 12, StoreLost: true, Items: []store.Item{
 			{Key: "k", Value: []byte("v"), Revision: 12}, {Key: "gone", Revision: 11, Removed: true},
 		}},
 	}
 	for _, want := range bodies {
-		got, _, err := peer.Decode(0, peer.Encode(0, clock.Stamp{}, want))
+		got, _, err := peer.Decode(0, peer.Encode(0, clock.Timestamp{}, want))
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("got %+v, %v, want %+v", got, err, want)
 		}
--- a/peer/link.go
+++ b/peer/link.go
@@ -7,7 +7,7 @@
 
 // outgoing is a message that waits for a stream.
 type outgoing struct {
-	stamp clock.Stamp
+	stamp clock.Timestamp
 	body  vm.PeerBody
 }
 
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -25,7 +25,7 @@
 // several goroutines and must not block.
 type Handler interface {
 	// Received delivers a message.
-	Received(from string, stamp clock.Stamp, body vm.PeerBody)
+	Received(from string, stamp clock.Timestamp, body vm.PeerBody)
 	// Unsent reports a message that certainly never left this VM.
 	Unsent(to string, body vm.PeerBody)
 	// Down reports that a stream with a VM broke; what was sent may or may not have arrived.
@@ -81,7 +81,7 @@
 
 // Send queues a message for a peer and opens a stream if there is none. A
 // message that does not fit in the queue is reported as unsent.
-func (m *Mesh) Send(to, address string, stamp clock.Stamp, body vm.PeerBody) {
+func (m *Mesh) Send(to, address string, stamp clock.Timestamp, body vm.PeerBody) {
 	m.mu.Lock()
 	l := m.link(to, address)
 	queued := l.push(outgoing{stamp: stamp, body: body})
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -32,14 +32,14 @@
 	return &recorder{received: make(chan string, 4096), unsent: make(chan string, 4096), down: make(chan string, 64)}
 }
 
-func (r *recorder) Received(from string, _ clock.Stamp, body vm.PeerBody) {
+func (r *recorder) Received(from string, _ clock.Timestamp, body vm.PeerBody) {
 	r.received <- fmt.Sprintf("%s:%s", from, payload(body))
 }
 func (r *recorder) Unsent(_ string, body vm.PeerBody) { r.unsent <- payload(body) }
 func (r *recorder) Down(peer string)                  { r.down <- peer }
 
 func payload(body vm.PeerBody) string {
-	if f, ok := body.(vm.Fleet); ok {
+	if f, ok := body.(vm.FleetMessage); ok {
 		return string(f.Payload)
 	}
 	return fmt.Sprintf("%T", body)
@@ -87,11 +87,11 @@
 // TestMeshBothWays guards against a reply path that needs a second connection.
 func TestMeshBothWays(t *testing.T) {
 	a, b := startNode(t, "vm-a"), startNode(t, "vm-b")
-	a.mesh.Send("vm-b", b.addr, clock.Stamp{}, vm.Fleet{Payload: []byte("hi")})
+	a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hi")})
 	if got, want := await(t, b.rec.received, "message at b"), "vm-a:hi"; got != want {
 		t.Fatalf("b received %q, want %q", got, want)
 	}
-	b.mesh.Send("vm-a", "127.0.0.1:1", clock.Stamp{}, vm.Fleet{Payload: []byte("back")})
+	b.mesh.Send("vm-a", "127.0.0.1:1", clock.Timestamp{}, vm.FleetMessage{Payload: []byte("back")})
 	if got, want := await(t, a.rec.received, "message at a"), "vm-b:back"; got != want {
 		t.Fatalf("a received %q, want %q", got, want)
 	}
@@ -102,7 +102,7 @@
 func TestMeshReportsUnsent(t *testing.T) {
 	refuse := func(string, clock.Millis) (net.Conn, error) { return nil, errors.New("refused") }
 	a := startNode(t, "vm-a", peer.WithDialer(refuse))
-	a.mesh.Send("vm-b", "127.0.0.1:1", clock.Stamp{}, vm.Fleet{Payload: []byte("lost")})
+	a.mesh.Send("vm-b", "127.0.0.1:1", clock.Timestamp{}, vm.FleetMessage{Payload: []byte("lost")})
 	if got, want := await(t, a.rec.unsent, "unsent report"), "lost"; got != want {
 		t.Errorf("unsent = %q, want %q", got, want)
 	}
@@ -112,7 +112,7 @@
 // address of another one.
 func TestMeshWrongPeer(t *testing.T) {
 	a, b := startNode(t, "vm-a"), startNode(t, "vm-b")
-	a.mesh.Send("vm-c", b.addr, clock.Stamp{}, vm.Fleet{Payload: []byte("for c")})
+	a.mesh.Send("vm-c", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("for c")})
 	if got, want := await(t, a.rec.unsent, "unsent report"), "for c"; got != want {
 		t.Errorf("unsent = %q, want %q", got, want)
 	}
@@ -121,7 +121,7 @@
 // TestMeshReportsDown guards against waiting for ever on a VM that stopped.
 func TestMeshReportsDown(t *testing.T) {
 	a, b := startNode(t, "vm-a"), startNode(t, "vm-b")
-	a.mesh.Send("vm-b", b.addr, clock.Stamp{}, vm.Fleet{Payload: []byte("hi")})
+	a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hi")})
 	await(t, b.rec.received, "message at b")
 	b.stop()
 	if got, want := await(t, a.rec.down, "down report"), "vm-b"; got != want {
@@ -151,8 +151,8 @@
 	a, b := startNode(t, "vm-a"), startNode(t, "vm-b")
 	const n = 500
 	for i := range n {
-		a.mesh.Send("vm-b", b.addr, clock.Stamp{}, vm.Fleet{Payload: fmt.Appendf(nil, "%d", i)})
-		b.mesh.Send("vm-a", a.addr, clock.Stamp{}, vm.Fleet{Payload: fmt.Appendf(nil, "%d", i)})
+		a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: fmt.Appendf(nil, "%d", i)})
+		b.mesh.Send("vm-a", a.addr, clock.Timestamp{}, vm.FleetMessage{Payload: fmt.Appendf(nil, "%d", i)})
 	}
 	for i := range n {
 		if got, want := await(t, b.rec.received, "message at b"), fmt.Sprintf("vm-a:%d", i); got != want {
@@ -178,12 +178,12 @@
 			Version:  rapid.Uint64().Draw(t, "version"), Body: []byte("b"), OrderID: rapid.String().Draw(t, "order"),
 		}}
 		reply := vm.Result{Reply: attempt.Reply{
-			ID: id.Draw(t, "id"), Upstream: "s/g/1", Status: attempt.Shed, Ran: attempt.No, Version: 3, Epoch: 4,
-			Ranges: []coverage.Range{{From: 1, To: 5}}, Held: []uint64{2, 3}, Rows: []coverage.Row{{Key: 1, Value: "v"}},
+			ID: id.Draw(t, "id"), Upstream: "s/g/1", Status: attempt.Shed, Execution: attempt.NotExecuted, Version: 3, Epoch: 4,
+			Ranges: []coverage.Range{{From: 1, To: 5}}, HeldVersions: []uint64{2, 3}, Rows: []coverage.Row{{Key: 1, Value: "v"}},
 			Body: []byte("x"), Leaving: true, QueueMs: 5, ServiceMs: 6, RetryAfter: 7,
 		}}
 		for _, want := range []vm.PeerBody{req, reply, vm.CancelForward{ID: id.Draw(t, "id"), Upstream: "u"}} {
-			got, _, err := peer.Decode(now, peer.Encode(now, clock.Stamp{}, want))
+			got, _, err := peer.Decode(now, peer.Encode(now, clock.Timestamp{}, want))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/peer/throughput_test.go
+++ b/peer/throughput_test.go
@@ -17,7 +17,7 @@
 	b.ReportAllocs()
 	for sent := 0; sent < b.N; sent += burst {
 		for range burst {
-			from.mesh.Send("to", to.addr, clock.Stamp{}, body)
+			from.mesh.Send("to", to.addr, clock.Timestamp{}, body)
 		}
 		for range burst {
 			<-to.rec.received
--- a/peer/update.go
+++ b/peer/update.go
@@ -7,7 +7,7 @@
 )
 
 func encodeUpdate(u catalog.Update) *peerpb.Update {
-	out := &peerpb.Update{From: u.From, To: u.To, Lost: u.Lost}
+	out := &peerpb.Update{From: u.From, To: u.To, Lost: u.StoreLost}
 	for _, it := range u.Items {
 		out.Items = append(out.Items, &peerpb.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Removed: it.Removed})
 	}
@@ -15,7 +15,7 @@
 }
 
 func decodeUpdate(u *peerpb.Update) catalog.Update {
-	out := catalog.Update{From: u.GetFrom(), To: u.GetTo(), Lost: u.GetLost()}
+	out := catalog.Update{From: u.GetFrom(), To: u.GetTo(), StoreLost: u.GetLost()}
 	for _, it := range u.GetItems() {
 		out.Items = append(out.Items, store.Item{
 			Key: it.GetKey(), Value: it.GetValue(), Revision: it.GetRevision(), Removed: it.GetRemoved(),
--- a/pool/accessors.go
+++ b/pool/accessors.go
@@ -2,8 +2,8 @@
 
 import "lentillink.example/lentillink/clock"
 
-// Running returns the number of busy connections of an upstream.
-func (m *Model) Running(upstream string) int {
+// BusyConns returns the number of busy connections of an upstream.
+func (m *Model) BusyConns(upstream string) int {
 	if l := m.lanes[upstream]; l != nil {
 		return l.conns.busy
 	}
@@ -26,24 +26,24 @@
 	return 0
 }
 
-// Open returns the number of open connections of an upstream, busy and idle.
-func (m *Model) Open(upstream string) int {
+// OpenConns returns the number of open connections of an upstream, busy and idle.
+func (m *Model) OpenConns(upstream string) int {
 	if l := m.lanes[upstream]; l != nil {
 		return l.conns.open()
 	}
 	return 0
 }
 
-// Opened returns how many connections were opened to an upstream so far.
-func (m *Model) Opened(upstream string) int {
+// OpenedConns returns how many connections were opened to an upstream so far.
+func (m *Model) OpenedConns(upstream string) int {
 	if l := m.lanes[upstream]; l != nil {
 		return l.conns.opened
 	}
 	return 0
 }
 
-// Stray returns the number of messages about unknown or doubled attempts.
-func (m *Model) Stray() int { return m.stray }
+// Unmatched returns the number of messages about unknown or doubled attempts.
+func (m *Model) Unmatched() int { return m.stray }
 
 // Idle reports whether no attempt is queued or running.
 func (m *Model) Idle() bool { return len(m.attempts) == 0 }
--- a/pool/command.go
+++ b/pool/command.go
@@ -9,7 +9,7 @@
 // connection is left and a new one has to be opened.
 type DispatchCmd struct {
 	attempt.Request
-	Open bool
+	NewConn bool
 }
 
 // AbortCmd cancels a running attempt at the upstream. The runtime answers
--- a/pool/dispatch.go
+++ b/pool/dispatch.go
@@ -31,7 +31,7 @@
 	it.dispatched = now
 	it.ends = it.req.Deadline + m.cfg.graceMs
 	l.running.add(it)
-	return DispatchCmd{Request: it.req, Open: l.conns.take()}
+	return DispatchCmd{Request: it.req, NewConn: l.conns.take()}
 }
 
 // expireRunning returns attempts whose reply is overdue, and frees the slots
@@ -78,7 +78,7 @@
 func (m *Model) notRun(now clock.Millis, it *item, status attempt.Status, cmds []Cmd) []Cmd {
 	l := it.lane
 	l.queue.remove(it)
-	reply := attempt.Reply{ID: it.req.ID, Upstream: l.id, Status: status, Ran: attempt.No}
+	reply := attempt.Reply{ID: it.req.ID, Upstream: l.id, Status: status, Execution: attempt.NotExecuted}
 	switch {
 	case l.closed(now):
 		reply.RetryAfter = l.closedTill - now
--- a/pool/lane.go
+++ b/pool/lane.go
@@ -102,7 +102,7 @@
 // hopeless reports whether the attempt can no longer finish by its deadline.
 func (l *lane) hopeless(now clock.Millis, it *item) bool {
 	left := it.req.Deadline - now
-	return left <= 0 || left < l.service.At(now)
+	return left <= 0 || left < l.service.Estimate(now)
 }
 
 // refusal returns the status of work that the upstream cannot take now.
@@ -113,7 +113,7 @@
 	case l.limit == 0:
 		return attempt.NotSent, true
 	case l.closed(now):
-		return attempt.Refused, true
+		return attempt.ConnRefused, true
 	}
 	return attempt.OK, false
 }
@@ -121,14 +121,14 @@
 // drainMs estimates how long the queue takes, so that work that was shed does
 // not come back before there is room for it.
 func (l *lane) drainMs(now clock.Millis) clock.Millis {
-	return clock.Millis(l.queue.size) * l.service.At(now) / clock.Millis(max(l.effective, 1))
+	return clock.Millis(l.queue.size) * l.service.Estimate(now) / clock.Millis(max(l.effective, 1))
 }
 
 // due returns when the lane has to be pumped next if no message comes before.
 func (l *lane) due(now, idleMs clock.Millis) clock.Millis {
 	at := never
 	if it := l.queue.earliest(); it != nil {
-		at = min(at, it.req.Deadline, it.req.Deadline-l.service.At(now)+1)
+		at = min(at, it.req.Deadline, it.req.Deadline-l.service.Estimate(now)+1)
 		if l.effective < l.limit {
 			at = min(at, l.recoverAt)
 		}
--- a/pool/message.go
+++ b/pool/message.go
@@ -35,8 +35,8 @@
 // LeavingMsg says that an upstream takes no new work.
 type LeavingMsg struct{ Upstream string }
 
-// BackMsg says that an upstream takes work again.
-type BackMsg struct{ Upstream string }
+// AvailableMsg says that an upstream takes work again.
+type AvailableMsg struct{ Upstream string }
 
 // PolicyMsg sets the guaranteed shares of dispatches from the floors of a preset.
 type PolicyMsg struct{ Preset preset.Preset }
@@ -44,12 +44,12 @@
 // TickMsg lets time pass.
 type TickMsg struct{}
 
-func (EnqueueMsg) poolMsg() {}
-func (ReplyMsg) poolMsg()   {}
-func (AbortedMsg) poolMsg() {}
-func (CancelMsg) poolMsg()  {}
-func (LimitMsg) poolMsg()   {}
-func (LeavingMsg) poolMsg() {}
-func (BackMsg) poolMsg()    {}
-func (PolicyMsg) poolMsg()  {}
-func (TickMsg) poolMsg()    {}
+func (EnqueueMsg) poolMsg()   {}
+func (ReplyMsg) poolMsg()     {}
+func (AbortedMsg) poolMsg()   {}
+func (CancelMsg) poolMsg()    {}
+func (LimitMsg) poolMsg()     {}
+func (LeavingMsg) poolMsg()   {}
+func (AvailableMsg) poolMsg() {}
+func (PolicyMsg) poolMsg()    {}
+func (TickMsg) poolMsg()      {}
--- a/pool/model.go
+++ b/pool/model.go
@@ -45,7 +45,7 @@
 		l := m.lane(v.Upstream)
 		l.leaving = true
 		return m.pump(now, l, nil)
-	case BackMsg:
+	case AvailableMsg:
 		l := m.lane(v.Upstream)
 		l.leaving = false
 		return m.pump(now, l, nil)
@@ -84,7 +84,7 @@
 	}
 	l := m.lanes[msg.Upstream]
 	if l == nil {
-		reply := attempt.Reply{ID: msg.ID, Upstream: msg.Upstream, Status: attempt.NotSent, Ran: attempt.No}
+		reply := attempt.Reply{ID: msg.ID, Upstream: msg.Upstream, Status: attempt.NotSent, Execution: attempt.NotExecuted}
 		return []Cmd{ReturnCmd{To: msg.From, Reply: reply}}
 	}
 	it := m.newItem()
@@ -123,7 +123,7 @@
 	if r.Leaving || r.Status == attempt.Leaving {
 		l.leaving = true
 	}
-	if r.Status == attempt.Refused {
+	if r.Status == attempt.ConnRefused {
 		l.refused(now)
 		return
 	}
