--- a/pool/model_test.go
+++ b/pool/model_test.go
@@ -19,7 +19,7 @@
 }
 
 func reply(seq uint64, s attempt.Status) pool.ReplyMsg {
-	return pool.ReplyMsg{Reply: attempt.Reply{ID: request(seq, 0, 0, 0).ID, Upstream: up, Status: s, Ran: attempt.Yes}}
+	return pool.ReplyMsg{Reply: attempt.Reply{ID: request(seq, 0, 0, 0).ID, Upstream: up, Status: s, Execution: attempt.Executed}}
 }
 
 func returned(cmds []pool.Cmd) map[uint64]attempt.Reply {
@@ -59,31 +59,31 @@
 		steps   []step
 		seq     uint64
 		status  attempt.Status
-		ran     attempt.Ran
+		ran     attempt.Execution
 		queueMs clock.Millis
 		running int
 	}{
-		{"reply", []step{busy, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Yes, 0, 0},
-		{"queued, then reply", []step{busy, waits, {7, reply(1, attempt.OK)}, {9, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Yes, 7, 0},
-		{"cancelled while queued", []step{busy, waits, {3, pool.CancelMsg{ID: id(2)}}}, 2, attempt.Cancelled, attempt.No, 3, 1},
-		{"cancelled while running", []step{busy, {3, pool.CancelMsg{ID: id(1)}}, {4, pool.AbortedMsg{ID: id(1)}}}, 1, attempt.Cancelled, attempt.Unknown, 0, 0},
-		{"cancelled while running, not confirmed by the deadline", []step{busy, {3, pool.CancelMsg{ID: id(1)}}, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.Unknown, 0, 1},
-		{"cancelled while running, not confirmed by the bound", []step{{0, request(1, rank.Urgent, 9, 90_000)}, {3, pool.CancelMsg{ID: id(1)}}, {5003, pool.TickMsg{}}}, 1, attempt.Cancelled, attempt.Unknown, 0, 0},
-		{"limit falls to 0", []step{busy, waits, {3, pool.LimitMsg{Upstream: up}}}, 2, attempt.NotSent, attempt.No, 3, 1},
-		{"upstream leaves", []step{busy, waits, {3, pool.LeavingMsg{Upstream: up}}}, 2, attempt.Leaving, attempt.No, 3, 1},
-		{"upstream says that it leaves", []step{busy, waits, {3, reply(1, attempt.Leaving)}}, 2, attempt.Leaving, attempt.No, 3, 0},
-		{"deadline passes in the queue", []step{busy, {0, request(2, rank.Urgent, 5, 50)}, {50, pool.TickMsg{}}}, 2, attempt.NotSent, attempt.No, 50, 1},
-		{"no reply", []step{busy, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.Unknown, 0, 1},
-		{"no reply and no abort", []step{busy, {1020, pool.TickMsg{}}, {6020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.Unknown, 0, 0},
-		{"late reply frees the slot", []step{busy, {1020, pool.TickMsg{}}, {1500, reply(1, attempt.OK)}}, 1, attempt.TimedOut, attempt.Unknown, 0, 0},
-		{"forwarded twice", []step{busy, busy, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Yes, 0, 0},
-		{"less time than service takes", []step{busy, {40, reply(1, attempt.OK)}, {40, request(2, rank.Urgent, 5, 70)}}, 2, attempt.NotSent, attempt.No, 0, 0},
-		{"service times forgotten after a second", []step{busy, {40, reply(1, attempt.OK)}, {1041, request(2, rank.Urgent, 5, 1071)}, {1050, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Yes, 0, 0},
-		{"queue full, lowest priority leaves", []step{busy, waits, {0, request(3, rank.Urgent, 1, long)}, {0, request(4, rank.Urgent, 7, long)}}, 3, attempt.Shed, attempt.No, 0, 1},
+		{"reply", []step{busy, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Executed, 0, 0},
+		{"queued, then reply", []step{busy, waits, {7, reply(1, attempt.OK)}, {9, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Executed, 7, 0},
+		{"cancelled while queued", []step{busy, waits, {3, pool.CancelMsg{ID: id(2)}}}, 2, attempt.Cancelled, attempt.NotExecuted, 3, 1},
+		{"cancelled while running", []step{busy, {3, pool.CancelMsg{ID: id(1)}}, {4, pool.AbortedMsg{ID: id(1)}}}, 1, attempt.Cancelled, attempt.ExecutionUnknown, 0, 0},
+		{"cancelled while running, not confirmed by the deadline", []step{busy, {3, pool.CancelMsg{ID: id(1)}}, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 1},
+		{"cancelled while running, not confirmed by the bound", []step{{0, request(1, rank.Urgent, 9, 90_000)}, {3, pool.CancelMsg{ID: id(1)}}, {5003, pool.TickMsg{}}}, 1, attempt.Cancelled, attempt.ExecutionUnknown, 0, 0},
+		{"limit falls to 0", []step{busy, waits, {3, pool.LimitMsg{Upstream: up}}}, 2, attempt.NotSent, attempt.NotExecuted, 3, 1},
+		{"upstream leaves", []step{busy, waits, {3, pool.LeavingMsg{Upstream: up}}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 1},
+		{"upstream says that it leaves", []step{busy, waits, {3, reply(1, attempt.Leaving)}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 0},
+		{"deadline passes in the queue", []step{busy, {0, request(2, rank.Urgent, 5, 50)}, {50, pool.TickMsg{}}}, 2, attempt.NotSent, attempt.NotExecuted, 50, 1},
+		{"no reply", []step{busy, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 1},
+		{"no reply and no abort", []step{busy, {1020, pool.TickMsg{}}, {6020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
+		{"late reply frees the slot", []step{busy, {1020, pool.TickMsg{}}, {1500, reply(1, attempt.OK)}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
+		{"forwarded twice", []step{busy, busy, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Executed, 0, 0},
+		{"less time than service takes", []step{busy, {40, reply(1, attempt.OK)}, {40, request(2, rank.Urgent, 5, 70)}}, 2, attempt.NotSent, attempt.NotExecuted, 0, 0},
+		{"service times forgotten after a second", []step{busy, {40, reply(1, attempt.OK)}, {1041, request(2, rank.Urgent, 5, 1071)}, {1050, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Executed, 0, 0},
+		{"queue full, lowest priority leaves", []step{busy, waits, {0, request(3, rank.Urgent, 1, long)}, {0, request(4, rank.Urgent, 7, long)}}, 3, attempt.Shed, attempt.NotExecuted, 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m := pool.New(pool.WithUpstream(up, 1), pool.WithQueue(rank.NewTable(2, 2, 2)))
+			m := pool.New(pool.WithUpstream(up, 1), pool.WithQueueLimits(rank.NewTable(2, 2, 2)))
 			got := make(map[uint64]attempt.Reply)
 			for _, s := range tt.steps {
 				for seq, r := range returned(m.Update(s.at, s.msg)) {
@@ -94,11 +94,11 @@
 				}
 			}
 			r, ok := got[tt.seq]
-			if !ok || r.Status != tt.status || r.Ran != tt.ran || r.QueueMs != tt.queueMs {
+			if !ok || r.Status != tt.status || r.Execution != tt.ran || r.QueueMs != tt.queueMs {
 				t.Errorf("got %v %s ran %s queue %d, want %s ran %s queue %d",
-					ok, r.Status, r.Ran, r.QueueMs, tt.status, tt.ran, tt.queueMs)
+					ok, r.Status, r.Execution, r.QueueMs, tt.status, tt.ran, tt.queueMs)
 			}
-			if got := m.Running(up); got != tt.running {
+			if got := m.BusyConns(up); got != tt.running {
 				t.Errorf("got %d running, want %d", got, tt.running)
 			}
 		})
@@ -180,7 +180,7 @@
 	for seq := range uint64(4) {
 		m.Update(0, request(seq, rank.Urgent, 0, 100_000))
 	}
-	m.Update(1, reply(0, attempt.Refused))
+	m.Update(1, reply(0, attempt.ConnRefused))
 	if got := m.Limit(up); got != 3 {
 		t.Errorf("got limit %d after a refusal, want 3", got)
 	}
@@ -189,15 +189,15 @@
 		t.Errorf("got limit %d after a second, want 4", got)
 	}
 	for seq := uint64(1); seq < 4; seq++ {
-		m.Update(1002, reply(seq, attempt.Refused))
+		m.Update(1002, reply(seq, attempt.ConnRefused))
 	}
 	cmds := m.Update(1003, request(10, rank.Urgent, 0, 100_000))
-	if r := returned(cmds)[10]; r.Status != attempt.Refused || r.Ran != attempt.No || r.RetryAfter <= 0 {
-		t.Errorf("got %s ran %s retry %d during backoff, want refused, no, positive", r.Status, r.Ran, r.RetryAfter)
+	if r := returned(cmds)[10]; r.Status != attempt.ConnRefused || r.Execution != attempt.NotExecuted || r.RetryAfter <= 0 {
+		t.Errorf("got %s ran %s retry %d during backoff, want refused, no, positive", r.Status, r.Execution, r.RetryAfter)
 	}
 	m.Update(1200, request(11, rank.Urgent, 0, 100_000))
 	m.Update(1200, request(12, rank.Urgent, 0, 100_000))
-	if got := m.Running(up); got != 1 {
+	if got := m.BusyConns(up); got != 1 {
 		t.Errorf("got %d running after the backoff, want 1 probe", got)
 	}
 }
@@ -209,7 +209,7 @@
 		m.Update(clock.Millis(i), request(i, rank.Urgent, 0, 100_000))
 		m.Update(clock.Millis(i)+1, reply(i, attempt.OK))
 	}
-	if got := m.Opened(up); got != 1 {
+	if got := m.OpenedConns(up); got != 1 {
 		t.Errorf("got %d opened, want 1", got)
 	}
 	at, ok := m.NextWake()
@@ -217,7 +217,7 @@
 		t.Fatalf("got wake %d %v, want 30010", at, ok)
 	}
 	cmds := m.Update(at, pool.TickMsg{})
-	if got := m.Open(up); got != 0 || len(cmds) != 1 {
+	if got := m.OpenConns(up); got != 0 || len(cmds) != 1 {
 		t.Errorf("got %d open and %d commands after the idle timeout, want 0 and 1", got, len(cmds))
 	}
 }
--- a/pool/options.go
+++ b/pool/options.go
@@ -25,19 +25,19 @@
 // WithShares sets the guaranteed share of dispatches of each rank, 0 to 1.
 func WithShares(shares rank.Table[float64]) Option { return func(c *config) { c.shares = shares } }
 
-// WithQueue bounds the queue of each rank at one upstream.
-func WithQueue(bounds rank.Table[int]) Option { return func(c *config) { c.queue = bounds } }
+// WithQueueLimits bounds the queue of each rank at one upstream.
+func WithQueueLimits(bounds rank.Table[int]) Option { return func(c *config) { c.queue = bounds } }
 
 // WithIdleTimeout sets how long an unused connection is kept.
 func WithIdleTimeout(ms clock.Millis) Option { return func(c *config) { c.idleMs = ms } }
 
-// WithGrace sets how long after its deadline a dispatched attempt is returned
+// WithReplyGrace sets how long after its deadline a dispatched attempt is returned
 // as timed out.
-func WithGrace(ms clock.Millis) Option { return func(c *config) { c.graceMs = ms } }
+func WithReplyGrace(ms clock.Millis) Option { return func(c *config) { c.graceMs = ms } }
 
-// WithAbortBound sets how long the connection of an aborted attempt counts as
+// WithAbortTimeout sets how long the connection of an aborted attempt counts as
 // busy if neither a reply nor an AbortedMsg comes.
-func WithAbortBound(ms clock.Millis) Option { return func(c *config) { c.boundMs = ms } }
+func WithAbortTimeout(ms clock.Millis) Option { return func(c *config) { c.boundMs = ms } }
 
 func newConfig(opts []Option) config {
 	c := config{
--- a/pool/property_test.go
+++ b/pool/property_test.go
@@ -31,7 +31,7 @@
 		h := &history{
 			t: t, limit: 3, running: map[uint64]bool{}, aborted: map[uint64]bool{},
 			returned: map[uint64]int{}, sent: map[uint64]bool{},
-			m: pool.New(pool.WithUpstream(up, 3), pool.WithQueue(rank.NewTable(3, 3, 3))),
+			m: pool.New(pool.WithUpstream(up, 3), pool.WithQueueLimits(rank.NewTable(3, 3, 3))),
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			h.now += clock.Millis(rapid.IntRange(0, 30).Draw(t, "dt"))
@@ -64,7 +64,7 @@
 	case 9:
 		h.limit = rapid.IntRange(0, 4).Draw(h.t, "limit")
 		h.update(pool.LimitMsg{Upstream: up, Connections: h.limit})
-		h.update(pool.BackMsg{Upstream: up})
+		h.update(pool.AvailableMsg{Upstream: up})
 	}
 }
 
@@ -80,17 +80,17 @@
 				h.t.Fatalf("attempt %d dispatched after it was sent or returned", c.ID.Seq)
 			}
 			h.sent[c.ID.Seq], h.running[c.ID.Seq] = true, true
-			if got := h.m.Running(up); got > h.limit {
+			if got := h.m.BusyConns(up); got > h.limit {
 				h.t.Fatalf("got %d running after a dispatch, want at most %d", got, h.limit)
 			}
 		case pool.AbortCmd:
 			h.aborted[c.ID.Seq] = true
 		case pool.ReturnCmd:
 			h.returned[c.ID.Seq]++
-			if !h.sent[c.ID.Seq] && c.Ran != attempt.No {
-				h.t.Fatalf("attempt %d was not sent, got ran %s", c.ID.Seq, c.Ran)
+			if !h.sent[c.ID.Seq] && c.Execution != attempt.NotExecuted {
+				h.t.Fatalf("attempt %d was not sent, got ran %s", c.ID.Seq, c.Execution)
 			}
-			if h.sent[c.ID.Seq] && c.Status == attempt.TimedOut && c.Ran == attempt.No {
+			if h.sent[c.ID.Seq] && c.Status == attempt.TimedOut && c.Execution == attempt.NotExecuted {
 				h.t.Fatalf("attempt %d was sent, got ran no", c.ID.Seq)
 			}
 		}
@@ -123,7 +123,7 @@
 			h.t.Fatalf("attempt %d returned %d times, want once", seq, h.returned[seq])
 		}
 	}
-	if got := h.m.Running(up); got != 0 || !h.m.Idle() {
+	if got := h.m.BusyConns(up); got != 0 || !h.m.Idle() {
 		h.t.Fatalf("got %d running at the end, want 0", got)
 	}
 }
--- a/preset/change.go
+++ b/preset/change.go
@@ -8,13 +8,13 @@
 
 // Change is an operator's change to the record. Exactly one of SwitchTo and Preset is set.
 type Change struct {
-	ID       string       `json:"change_id"`
-	Author   string       `json:"author"`
-	Reason   string       `json:"reason"`
-	At       clock.Millis `json:"at_ms"`
-	Base     uint64       `json:"base_revision"` // revision that the operator looked at; 0 accepts any
-	SwitchTo string       `json:"switch_to,omitempty"`
-	Preset   *Preset      `json:"preset,omitempty"` // replaces or adds the preset of that name
+	ID           string       `json:"change_id"`
+	Author       string       `json:"author"`
+	Reason       string       `json:"reason"`
+	At           clock.Millis `json:"at_ms"`
+	BaseRevision uint64       `json:"base_revision"` // revision that the operator looked at; 0 accepts any
+	SwitchTo     string       `json:"switch_to,omitempty"`
+	Preset       *Preset      `json:"preset,omitempty"` // replaces or adds the preset of that name
 }
 
 // Apply performs c on rec. It is a pure function.
@@ -33,7 +33,7 @@
 	if err := c.check("switch", &rec); err != nil {
 		return rec, err
 	}
-	if _, ok := rec.Find(c.SwitchTo); !ok {
+	if _, ok := rec.FindPreset(c.SwitchTo); !ok {
 		return rec, fail("switch", KindNotFound, "switch_to: %q is not one of %v", c.SwitchTo, names(rec.Presets))
 	}
 	next := advance(rec, c)
@@ -70,11 +70,11 @@
 		return fail(op, KindInvalid, "author: must have 1 to %d bytes", maxTextBytes)
 	case c.Reason == "" || len(c.Reason) > maxTextBytes:
 		return fail(op, KindInvalid, "reason: must have 1 to %d bytes", maxTextBytes)
-	case c.Base != 0 && c.Base != rec.Revision:
-		last := rec.Latest()
-		return fail(op, KindConflict, "revision is %d, not %d: %s", rec.Revision, c.Base, last)
+	case c.BaseRevision != 0 && c.BaseRevision != rec.Revision:
+		last := rec.LatestChange()
+		return fail(op, KindConflict, "revision is %d, not %d: %s", rec.Revision, c.BaseRevision, last)
 	}
-	if past, ok := rec.Includes(c.ID); ok {
+	if past, ok := rec.FindChange(c.ID); ok {
 		return fail(op, KindConflict, "change_id %q was used: %s", c.ID, past)
 	}
 	return nil
@@ -83,7 +83,7 @@
 func advance(rec Record, c Change) Record {
 	next := rec
 	next.Presets = slices.Clone(rec.Presets)
-	next.History = append([]Past{rec.Latest()}, rec.History[:min(len(rec.History), MaxHistory-1)]...)
+	next.History = append([]AppliedChange{rec.LatestChange()}, rec.History[:min(len(rec.History), MaxHistory-1)]...)
 	next.Revision++
 	next.Author, next.Reason, next.ChangeID, next.At = c.Author, c.Reason, c.ID, c.At
 	return next
--- a/preset/changer.go
+++ b/preset/changer.go
@@ -33,32 +33,32 @@
 func (StoreCmd) changerCmd()  {}
 func (ResultCmd) changerCmd() {}
 
-// Truth says whether a change was accepted by the store.
-type Truth string
+// Acceptance says whether a change was accepted by the store.
+type Acceptance string
 
 // The values of Truth.
 const (
-	Accepted    Truth = "yes"
-	NotAccepted Truth = "no"
-	Undecided   Truth = "unknown" // read the record again and look for the change identifier
+	Accepted          Acceptance = "yes"
+	NotAccepted       Acceptance = "no"
+	AcceptanceUnknown Acceptance = "unknown" // read the record again and look for the change identifier
 )
 
 // Result tells the operator what became of the change.
 type Result struct {
-	Accepted Truth
+	Accepted Acceptance
 	Record   Record // newest committed record that was read; revision 0 if none was
 	Err      error  // nil if Accepted is yes
 	// Superseded is set when the change was accepted and a later one has replaced it.
 	Superseded bool
 }
 
-// Changer carries out one operator's change against the store.
+// Committer carries out one operator's change against the store.
 //
 // It reads the record, applies the change and compares and swaps. After a
 // lost answer it sends the same swap again: because both swaps expect the same
 // store revision, at most one takes effect, and a conflict proves that the
 // outcome can be read back by the change identifier.
-type Changer struct {
+type Committer struct {
 	change   Change
 	known    Record
 	deadline clock.Millis
@@ -90,15 +90,15 @@
 	retryPauseMs clock.Millis = 200
 )
 
-// NewChanger returns a Changer that gives up at deadline. known is the newest
+// NewCommitter returns a Changer that gives up at deadline. known is the newest
 // committed record of this VM: the new revision exceeds it even if the store
 // was restored from an old copy or emptied.
-func NewChanger(change Change, known Record, deadline clock.Millis) *Changer {
-	return &Changer{change: change, known: known, deadline: deadline}
+func NewCommitter(change Change, known Record, deadline clock.Millis) *Committer {
+	return &Committer{change: change, known: known, deadline: deadline}
 }
 
 // Update handles one message.
-func (c *Changer) Update(now clock.Millis, msg Msg) []Cmd {
+func (c *Committer) Update(now clock.Millis, msg Msg) []Cmd {
 	if c.step == stepDone {
 		return nil
 	}
@@ -115,7 +115,7 @@
 	return c.tick(now)
 }
 
-func (c *Changer) tick(now clock.Millis) []Cmd {
+func (c *Committer) tick(now clock.Millis) []Cmd {
 	switch {
 	case c.step == stepIdle:
 		return nil
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (c *Changer) call(now clock.Millis, s step) []Cmd {
+func (c *Committer) call(now clock.Millis, s step) []Cmd {
 	c.step, c.sent, c.retryAt = s, now, 0
 	c.tag++
 	req := store.Request{Owner: "preset", Tag: c.tag, Op: store.OpGet, Key: StoreKey}
@@ -140,7 +140,7 @@
 	return []Cmd{StoreCmd{req}}
 }
 
-func (c *Changer) answered(now clock.Millis, r store.Reply) []Cmd {
+func (c *Committer) answered(now clock.Millis, r store.Reply) []Cmd {
 	if r.Kind != store.KindOK && r.Kind != store.KindConflict {
 		return c.failed(now, r.Kind)
 	}
--- a/preset/changer_result.go
+++ b/preset/changer_result.go
@@ -6,7 +6,7 @@
 )
 
 // NextWake returns when the Changer wants a TickMsg.
-func (c *Changer) NextWake() (clock.Millis, bool) {
+func (c *Committer) NextWake() (clock.Millis, bool) {
 	switch {
 	case c.step == stepIdle || c.step == stepDone:
 		return 0, false
@@ -17,7 +17,7 @@
 }
 
 // prepare applies the change to the record that was read.
-func (c *Changer) prepare(now clock.Millis, entry store.Entry) []Cmd {
+func (c *Committer) prepare(now clock.Millis, entry store.Entry) []Cmd {
 	rec := c.known
 	if entry.Revision > 0 {
 		stored, err := Decode(entry.Value)
@@ -33,7 +33,7 @@
 		rec = Default()
 	}
 	c.last = rec
-	if past, ok := rec.Includes(c.change.ID); ok {
+	if past, ok := rec.FindChange(c.change.ID); ok {
 		return c.finish(Result{Accepted: Accepted, Record: rec, Superseded: past.Revision != rec.Revision})
 	}
 	next, err := Apply(rec, c.change)
@@ -49,7 +49,7 @@
 
 // failed handles a call that the store did not answer or did not accept. The
 // same step is repeated until the deadline.
-func (c *Changer) failed(now clock.Millis, kind store.Kind) []Cmd {
+func (c *Committer) failed(now clock.Millis, kind store.Kind) []Cmd {
 	if kind == store.KindTooLarge {
 		err := fail("change", KindInvalid, "the store refuses a record of %d bytes", len(c.value))
 		return c.finish(Result{Accepted: NotAccepted, Record: c.last, Err: err})
@@ -65,36 +65,36 @@
 }
 
 // readBack looks for the change after a conflict.
-func (c *Changer) readBack(entry store.Entry) []Cmd {
+func (c *Committer) readBack(entry store.Entry) []Cmd {
 	if entry.Revision == 0 {
-		return c.finish(Result{Accepted: Undecided, Err: fail("change", KindUnknown, "the record was removed from the store")})
+		return c.finish(Result{Accepted: AcceptanceUnknown, Err: fail("change", KindUnknown, "the record was removed from the store")})
 	}
 	rec, err := Decode(entry.Value)
 	if err != nil {
-		return c.finish(Result{Accepted: Undecided, Err: err})
+		return c.finish(Result{Accepted: AcceptanceUnknown, Err: err})
 	}
-	if past, ok := rec.Includes(c.change.ID); ok {
+	if past, ok := rec.FindChange(c.change.ID); ok {
 		return c.finish(Result{Accepted: Accepted, Record: rec, Superseded: past.Revision != rec.Revision})
 	}
 	if rec.Revision > c.next.Revision+uint64(len(rec.History)) {
 		err := fail("change", KindUnknown, "the history no longer reaches back to revision %d", c.next.Revision)
-		return c.finish(Result{Accepted: Undecided, Record: rec, Err: err})
+		return c.finish(Result{Accepted: AcceptanceUnknown, Record: rec, Err: err})
 	}
-	err = fail("change", KindConflict, "not in force, another change came first: %s", rec.Latest())
+	err = fail("change", KindConflict, "not in force, another change came first: %s", rec.LatestChange())
 	return c.finish(Result{Accepted: NotAccepted, Record: rec, Err: err})
 }
 
-func (c *Changer) giveUp() []Cmd {
+func (c *Committer) giveUp() []Cmd {
 	if c.doubt > 0 || c.refused {
 		err := fail("change", KindUnknown,
 			"the store did not say whether the write took effect; look for change %s in the history before repeating it", c.change.ID)
-		return c.finish(Result{Accepted: Undecided, Record: c.last, Err: err})
+		return c.finish(Result{Accepted: AcceptanceUnknown, Record: c.last, Err: err})
 	}
 	err := fail("change", KindUnavailable, "the store cannot be reached; the change was not written and is not in force")
 	return c.finish(Result{Accepted: NotAccepted, Record: c.last, Err: err})
 }
 
-func (c *Changer) finish(r Result) []Cmd {
+func (c *Committer) finish(r Result) []Cmd {
 	c.step = stepDone
 	return []Cmd{ResultCmd{r}}
 }
--- a/preset/changer_test.go
+++ b/preset/changer_test.go
@@ -53,7 +53,7 @@
 	s.entry.Revision += 3
 }
 
-func run(t *testing.T, c *preset.Changer, s *fakeStore) preset.Result {
+func run(t *testing.T, c *preset.Committer, s *fakeStore) preset.Result {
 	t.Helper()
 	now := clock.Millis(0)
 	cmds := c.Update(now, preset.StartMsg{})
@@ -96,7 +96,7 @@
 		name   string
 		faults []string
 		base   uint64
-		want   preset.Truth
+		want   preset.Acceptance
 		kind   preset.Kind
 		later  bool
 	}{
@@ -109,22 +109,22 @@
 		{name: "lost after the write, then rival", faults: []string{"", "lost after", "rival"}, want: preset.Accepted, later: true},
 		{name: "lost before the write, then rival", faults: []string{"", "lost before", "rival"}, want: preset.NotAccepted, kind: preset.KindConflict},
 		{name: "outage", faults: forever, want: preset.NotAccepted, kind: preset.KindUnavailable},
-		{name: "outage right after the write", faults: append([]string{"", "lost after"}, forever...), want: preset.Undecided, kind: preset.KindUnknown},
-		{name: "silence from the first write on", faults: append([]string{""}, silent...), want: preset.Undecided, kind: preset.KindUnknown},
+		{name: "outage right after the write", faults: append([]string{"", "lost after"}, forever...), want: preset.AcceptanceUnknown, kind: preset.KindUnknown},
+		{name: "silence from the first write on", faults: append([]string{""}, silent...), want: preset.AcceptanceUnknown, kind: preset.KindUnknown},
 		{name: "old base", base: 9, want: preset.NotAccepted, kind: preset.KindConflict},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			value, _ := preset.Encode(preset.Default())
 			s := &fakeStore{entry: store.Entry{Value: value, Revision: 4}, faults: tt.faults}
-			change := preset.Change{ID: "mine", Author: "ann", Reason: "fair", SwitchTo: "peak", Base: tt.base}
-			got := run(t, preset.NewChanger(change, preset.Record{}, 10_000), s)
+			change := preset.Change{ID: "mine", Author: "ann", Reason: "fair", SwitchTo: "peak", BaseRevision: tt.base}
+			got := run(t, preset.NewCommitter(change, preset.Record{}, 10_000), s)
 			if got.Accepted != tt.want || got.Superseded != tt.later {
 				t.Fatalf("accepted %s superseded %v (%v), want %s %v", got.Accepted, got.Superseded, got.Err, tt.want, tt.later)
 			}
 			rec, _ := preset.Decode(s.entry.Value)
-			_, there := rec.Includes("mine")
-			if tt.want != preset.Undecided && there != (tt.want == preset.Accepted) {
+			_, there := rec.FindChange("mine")
+			if tt.want != preset.AcceptanceUnknown && there != (tt.want == preset.Accepted) {
 				t.Errorf("store holds the change: %v, reported %s", there, got.Accepted)
 			}
 			var e *preset.Error
@@ -142,7 +142,7 @@
 	old, _ := preset.Encode(preset.Default())
 	for _, entry := range []store.Entry{{}, {Value: old, Revision: 2}} {
 		change := preset.Change{ID: "c", Author: "a", Reason: "r", SwitchTo: "peak"}
-		got := run(t, preset.NewChanger(change, known, 10_000), &fakeStore{entry: entry})
+		got := run(t, preset.NewCommitter(change, known, 10_000), &fakeStore{entry: entry})
 		if got.Record.Revision != 58 {
 			t.Errorf("got revision %d, want 58 (store entry %d)", got.Record.Revision, entry.Revision)
 		}
--- a/preset/codec.go
+++ b/preset/codec.go
@@ -15,7 +15,7 @@
 // Encode returns r as JSON.
 func Encode(r Record) ([]byte, error) {
 	if r.History == nil {
-		r.History = []Past{}
+		r.History = []AppliedChange{}
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
--- a/preset/defaults.go
+++ b/preset/defaults.go
@@ -9,7 +9,7 @@
 		Author:   "lentillink",
 		Reason:   "shipped with the program",
 		ChangeID: "default",
-		History:  []Past{},
+		History:  []AppliedChange{},
 	}
 }
 
@@ -54,10 +54,10 @@
 	return p
 }
 
-// Gateway returns the record that gateways follow until operators write another.
+// GatewayDefault returns the record that gateways follow until operators write another.
 // Its hedges and retries are bounded by the users' budget of extra attempts, a
 // fifth of the requests, and a route's own share of shards is never lowered.
-func Gateway() Record {
+func GatewayDefault() Record {
 	rec := Default()
 	rec.Reason = "shipped with the gateway"
 	for i := range rec.Presets {
--- a/preset/diff.go
+++ b/preset/diff.go
@@ -21,7 +21,7 @@
 		list = append(list, Difference{"in_force", a.InForce, b.InForce})
 	}
 	for _, p := range a.Presets {
-		other, ok := b.Find(p.Name)
+		other, ok := b.FindPreset(p.Name)
 		if !ok {
 			list = append(list, Difference{"presets." + p.Name, p.Name, ""})
 			continue
--- a/preset/record.go
+++ b/preset/record.go
@@ -20,18 +20,18 @@
 // accepted records form one chain and Revision strictly rises along it. The
 // two numbers are otherwise independent: the store may number its entries as it likes.
 type Record struct {
-	Presets  []Preset     `json:"presets"`
-	InForce  string       `json:"in_force"`
-	Revision uint64       `json:"revision"`
-	Author   string       `json:"author"`
-	Reason   string       `json:"reason"`
-	ChangeID string       `json:"change_id"`
-	At       clock.Millis `json:"at_ms"`
-	History  []Past       `json:"history"` // newest first, without the latest change
+	Presets  []Preset        `json:"presets"`
+	InForce  string          `json:"in_force"`
+	Revision uint64          `json:"revision"`
+	Author   string          `json:"author"`
+	Reason   string          `json:"reason"`
+	ChangeID string          `json:"change_id"`
+	At       clock.Millis    `json:"at_ms"`
+	History  []AppliedChange `json:"history"` // newest first, without the latest change
 }
 
-// Past is one earlier change, or the latest one as returned by Latest.
-type Past struct {
+// AppliedChange is one earlier change, or the latest one as returned by Latest.
+type AppliedChange struct {
 	Revision uint64       `json:"revision"`
 	ChangeID string       `json:"change_id"`
 	Author   string       `json:"author"`
@@ -40,8 +40,8 @@
 	InForce  string       `json:"in_force"`
 }
 
-// Find returns the preset with the given name.
-func (r *Record) Find(name string) (Preset, bool) {
+// FindPreset returns the preset with the given name.
+func (r *Record) FindPreset(name string) (Preset, bool) {
 	for _, p := range r.Presets {
 		if p.Name == name {
 			return p, true
@@ -50,36 +50,36 @@
 	return Preset{}, false
 }
 
-// Current returns the preset in force. A valid record always has one.
-func (r *Record) Current() Preset {
-	p, _ := r.Find(r.InForce)
+// CurrentPreset returns the preset in force. A valid record always has one.
+func (r *Record) CurrentPreset() Preset {
+	p, _ := r.FindPreset(r.InForce)
 	return p
 }
 
-// Latest describes the change that made r.
-func (r *Record) Latest() Past {
-	return Past{
+// LatestChange describes the change that made r.
+func (r *Record) LatestChange() AppliedChange {
+	return AppliedChange{
 		Revision: r.Revision, ChangeID: r.ChangeID, Author: r.Author,
 		Reason: r.Reason, At: r.At, InForce: r.InForce,
 	}
 }
 
-// Includes reports whether the change with the given identifier made r or a
+// FindChange reports whether the change with the given identifier made r or a
 // record in its history.
-func (r *Record) Includes(changeID string) (Past, bool) {
+func (r *Record) FindChange(changeID string) (AppliedChange, bool) {
 	if r.ChangeID == changeID {
-		return r.Latest(), true
+		return r.LatestChange(), true
 	}
 	for _, p := range r.History {
 		if p.ChangeID == changeID {
 			return p, true
 		}
 	}
-	return Past{}, false
+	return AppliedChange{}, false
 }
 
 // String says who changed what, when and why.
-func (p Past) String() string {
+func (p AppliedChange) String() string {
 	at := time.UnixMilli(int64(p.At)).UTC().Format(time.DateTime)
 	return fmt.Sprintf("revision %d by %s at %s UTC put %q in force: %s (change %s)",
 		p.Revision, p.Author, at, p.InForce, p.Reason, p.ChangeID)
--- a/quantile/query.go
+++ b/quantile/query.go
@@ -2,8 +2,8 @@
 
 import "lentillink.example/lentillink/clock"
 
-// At returns the estimate at now; it is 0 if there was no sample for a second.
-func (w *Window) At(now clock.Millis) clock.Millis {
+// Estimate returns the estimate at now; it is 0 if there was no sample for a second.
+func (w *Window) Estimate(now clock.Millis) clock.Millis {
 	if w.n == 0 || now-w.last > staleMs {
 		return 0
 	}
--- a/quantile/window_test.go
+++ b/quantile/window_test.go
@@ -33,7 +33,7 @@
 					w.Add(now, sample)
 				}
 			}
-			if got := w.At(now + tt.after); got != tt.want {
+			if got := w.Estimate(now + tt.after); got != tt.want {
 				t.Errorf("got %d, want %d", got, tt.want)
 			}
 		})
@@ -49,7 +49,7 @@
 	for i := range clock.Millis(64) {
 		w.Add(200+i, 5)
 	}
-	if got := w.At(264); got != 5 {
+	if got := w.Estimate(264); got != 5 {
 		t.Errorf("got %d, want 5", got)
 	}
 }
--- a/query/command.go
+++ b/query/command.go
@@ -43,23 +43,23 @@
 
 // Answer is the answer to one query.
 type Answer struct {
-	ID          string
-	Outcome     Outcome
-	Ran         attempt.Ran // No only if every attempt proved not run
-	Snapshot    uint64
-	Expected    uint32
-	Covered     uint32
-	Missing     []coverage.Range
-	Rows        []coverage.Row
-	Preset      string
-	Revision    uint64
-	Rank        rank.Rank
-	TookMs      clock.Millis
-	Reason      string
-	Attempts    int          // attempts sent
-	Needed      int          // attempts needed: one per group
-	MaxQueueMs  clock.Millis // longest carrier queue wait in the replies
-	MeanQueueMs clock.Millis // mean carrier queue wait in the replies
-	MeanServeMs clock.Millis // mean time of the answered attempts without that wait
-	Overloaded  bool         // an attempt was shed or dropped under load
+	ID            string
+	Outcome       Outcome
+	Execution     attempt.Execution // No only if every attempt proved not run
+	Snapshot      uint64
+	Expected      uint32
+	Covered       uint32
+	Missing       []coverage.Range
+	Rows          []coverage.Row
+	Preset        string
+	Revision      uint64
+	Rank          rank.Rank
+	TookMs        clock.Millis
+	Reason        string
+	Attempts      int          // attempts sent
+	Needed        int          // attempts needed: one per group
+	MaxQueueMs    clock.Millis // longest carrier queue wait in the replies
+	MeanQueueMs   clock.Millis // mean carrier queue wait in the replies
+	MeanServiceMs clock.Millis // mean time of the answered attempts without that wait
+	Overloaded    bool         // an attempt was shed or dropped under load
 }
--- a/query/finish.go
+++ b/query/finish.go
@@ -29,10 +29,10 @@
 
 func (q *openQuery) answer(now clock.Millis, reason string) Answer {
 	a := Answer{
-		ID: q.ID, Outcome: Failed, Ran: q.ran(), Snapshot: q.version, Preset: q.Preset, Revision: q.Revision,
+		ID: q.ID, Outcome: Failed, Execution: q.ran(), Snapshot: q.version, Preset: q.Preset, Revision: q.Revision,
 		Rank: q.Rank, TookMs: now - q.startAt, Reason: reason, Attempts: q.attempts, Needed: len(q.parts),
 		MaxQueueMs: q.maxQueue, MeanQueueMs: q.sumQueue / clock.Millis(max(q.replies, 1)), Overloaded: q.overloaded,
-		MeanServeMs: q.sumServe / clock.Millis(max(q.served, 1)),
+		MeanServiceMs: q.sumServe / clock.Millis(max(q.served, 1)),
 	}
 	if q.merge == nil {
 		return a
@@ -51,14 +51,14 @@
 	return a
 }
 
-func (q *openQuery) ran() attempt.Ran {
+func (q *openQuery) ran() attempt.Execution {
 	switch {
 	case q.ranYes:
-		return attempt.Yes
+		return attempt.Executed
 	case q.ranMaybe:
-		return attempt.Unknown
+		return attempt.ExecutionUnknown
 	}
-	return attempt.No
+	return attempt.NotExecuted
 }
 
 func (m *Model) cancelAll(now clock.Millis, q *openQuery) {
@@ -75,6 +75,6 @@
 	m.cancelAll(now, q)
 	q.done = true
 	delete(m.byID, id)
-	m.totals.Ref(q.Rank).CallerGone++
+	m.totals.Ref(q.Rank).CallerDisconnected++
 	m.event(q, timeline.Answered, "", "caller gone")
 }
--- a/query/message.go
+++ b/query/message.go
@@ -28,8 +28,8 @@
 // ReplyMsg is the end of an attempt.
 type ReplyMsg struct{ attempt.Reply }
 
-// CallerGoneMsg ends a query without an answer.
-type CallerGoneMsg struct{ ID string }
+// CallerDisconnectedMsg ends a query without an answer.
+type CallerDisconnectedMsg struct{ ID string }
 
 // OverloadMsg says whether a service is overloaded. No hedges are sent while it is.
 type OverloadMsg struct {
@@ -40,8 +40,8 @@
 // TickMsg is sent at the time that NextWake returned.
 type TickMsg struct{}
 
-func (StartMsg) queryMsg()      {}
-func (ReplyMsg) queryMsg()      {}
-func (CallerGoneMsg) queryMsg() {}
-func (OverloadMsg) queryMsg()   {}
-func (TickMsg) queryMsg()       {}
+func (StartMsg) queryMsg()              {}
+func (ReplyMsg) queryMsg()              {}
+func (CallerDisconnectedMsg) queryMsg() {}
+func (OverloadMsg) queryMsg()           {}
+func (TickMsg) queryMsg()               {}
--- a/query/model.go
+++ b/query/model.go
@@ -20,7 +20,7 @@
 	timers      timers
 	budgets     rank.Table[budget]
 	totals      rank.Table[Totals]
-	dropped     [DropReasons]int
+	dropped     [DropReasonCount]int
 	cmds        []Cmd
 }
 
@@ -107,7 +107,7 @@
 		m.start(now, msg)
 	case ReplyMsg:
 		m.reply(now, msg.Reply)
-	case CallerGoneMsg:
+	case CallerDisconnectedMsg:
 		m.callerGone(now, msg.ID)
 	case OverloadMsg:
 		if svc := m.services[msg.Service]; svc != nil {
--- a/query/model_test.go
+++ b/query/model_test.go
@@ -41,7 +41,7 @@
 	}
 	book := upstream.New(upstream.WithUpstreams(list), upstream.WithSeed(1))
 	for _, u := range list {
-		book.Observe(0, u.ID, attempt.Reply{Status: attempt.VersionGone, Held: held})
+		book.Observe(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: held})
 	}
 	return &rig{
 		book: book, events: make(map[timeline.Kind]int),
@@ -91,13 +91,13 @@
 	_, _ = fmt.Sscan(req.Group, &g)
 	keys := coverage.Range{From: g * keysPerGroup, To: (g + 1) * keysPerGroup}
 	return attempt.Reply{
-		ID: req.ID, Upstream: req.Upstream, Status: attempt.OK, Ran: attempt.Yes, Version: req.Version, Epoch: 1,
-		Ranges: []coverage.Range{keys}, Held: []uint64{req.Version}, Rows: versionRows(req.Version, keys),
+		ID: req.ID, Upstream: req.Upstream, Status: attempt.OK, Execution: attempt.Executed, Version: req.Version, Epoch: 1,
+		Ranges: []coverage.Range{keys}, HeldVersions: []uint64{req.Version}, Rows: versionRows(req.Version, keys),
 	}
 }
 
 func (r *rig) refusal(i int, st attempt.Status, held ...uint64) attempt.Reply {
-	return attempt.Reply{ID: r.sent[i].ID, Upstream: r.sent[i].Upstream, Status: st, Ran: attempt.No, Held: held}
+	return attempt.Reply{ID: r.sent[i].ID, Upstream: r.sent[i].Upstream, Status: st, Execution: attempt.NotExecuted, HeldVersions: held}
 }
 
 func versionRows(version uint64, ranges ...coverage.Range) []coverage.Row {
@@ -145,64 +145,64 @@
 		run     func(r *rig)
 		outcome query.Outcome
 		covered uint32
-		ran     attempt.Ran
+		ran     attempt.Execution
 		sent    int
-		drop    query.Drop
+		drop    query.DropReason
 		drops   int
 		event   timeline.Kind
 	}{
 		{name: "all answer", held: []uint64{1}, run: func(r *rig) {
 			r.do(query.ReplyMsg{Reply: r.ok(0)})
 			r.do(query.ReplyMsg{Reply: r.ok(1)})
-		}, outcome: query.Complete, covered: 20, ran: attempt.Yes, sent: 2},
+		}, outcome: query.Complete, covered: 20, ran: attempt.Executed, sent: 2},
 		{name: "doubled reply", held: []uint64{1}, run: func(r *rig) {
 			r.do(query.ReplyMsg{Reply: r.ok(0)})
 			r.do(query.ReplyMsg{Reply: r.ok(0)})
 			r.do(query.ReplyMsg{Reply: r.ok(1)})
-		}, outcome: query.Complete, covered: 20, ran: attempt.Yes, sent: 2, drop: query.DropFinished, drops: 1, event: timeline.ReplyDropped},
+		}, outcome: query.Complete, covered: 20, ran: attempt.Executed, sent: 2, drop: query.DropFinishedAttempt, drops: 1, event: timeline.ReplyDropped},
 		{name: "late reply", held: []uint64{1}, run: func(r *rig) {
 			r.do(query.ReplyMsg{Reply: r.ok(0)})
 			r.do(query.OverloadMsg{Service: "s", Overloaded: true})
 			r.tick(200)
 			r.do(query.ReplyMsg{Reply: r.ok(1)})
-		}, outcome: query.Partial, covered: 10, ran: attempt.Yes, sent: 2, drop: query.DropFinished, drops: 1, event: timeline.GroupMissing},
+		}, outcome: query.Partial, covered: 10, ran: attempt.Executed, sent: 2, drop: query.DropFinishedAttempt, drops: 1, event: timeline.GroupMissing},
 		{name: "crossed upstream", held: []uint64{1}, run: func(r *rig) {
 			crossed := r.ok(1)
 			crossed.ID = r.sent[0].ID
 			r.do(query.ReplyMsg{Reply: crossed})
 			r.do(query.ReplyMsg{Reply: r.ok(0)})
 			r.do(query.ReplyMsg{Reply: r.ok(1)})
-		}, outcome: query.Complete, covered: 20, ran: attempt.Yes, sent: 2, drop: query.DropUpstream, drops: 1},
+		}, outcome: query.Complete, covered: 20, ran: attempt.Executed, sent: 2, drop: query.DropWrongUpstream, drops: 1},
 		{name: "another VM's attempt", held: []uint64{1}, run: func(r *rig) {
 			foreign := r.ok(0)
 			foreign.ID.Incarnation++
 			r.do(query.ReplyMsg{Reply: foreign})
 			r.do(query.ReplyMsg{Reply: r.ok(0)})
 			r.do(query.ReplyMsg{Reply: r.ok(1)})
-		}, outcome: query.Complete, covered: 20, ran: attempt.Yes, sent: 2, drop: query.DropUnknown, drops: 1},
+		}, outcome: query.Complete, covered: 20, ran: attempt.Executed, sent: 2, drop: query.DropUnknownAttempt, drops: 1},
 		{name: "wrong version", held: []uint64{1}, run: func(r *rig) {
 			wrong := r.ok(0)
 			wrong.Version, wrong.Rows = 2, versionRows(2, wrong.Ranges...)
 			r.do(query.ReplyMsg{Reply: wrong})
 			r.do(query.ReplyMsg{Reply: r.ok(1)})
 			r.do(query.ReplyMsg{Reply: r.ok(2)})
-		}, outcome: query.Complete, covered: 20, ran: attempt.Yes, sent: 3, drop: query.DropVersion, drops: 1, event: timeline.Retried},
+		}, outcome: query.Complete, covered: 20, ran: attempt.Executed, sent: 3, drop: query.DropWrongVersion, drops: 1, event: timeline.Retried},
 		{name: "cut reply", held: []uint64{1}, run: func(r *rig) {
 			r.do(query.ReplyMsg{Reply: attempt.Reply{ID: r.sent[0].ID, Upstream: r.sent[0].Upstream, Status: attempt.Mismatched}})
 			r.do(query.ReplyMsg{Reply: r.ok(1)})
 			r.do(query.ReplyMsg{Reply: r.ok(2)})
-		}, outcome: query.Complete, covered: 20, ran: attempt.Yes, sent: 3, event: timeline.Retried},
+		}, outcome: query.Complete, covered: 20, ran: attempt.Executed, sent: 3, event: timeline.Retried},
 		{name: "every attempt refused", held: []uint64{1}, run: func(r *rig) {
 			for i := 0; len(r.answers) == 0; r.tick(r.now + 1) {
 				for ; i < len(r.sent); i++ {
-					r.do(query.ReplyMsg{Reply: r.refusal(i, attempt.Refused)})
+					r.do(query.ReplyMsg{Reply: r.refusal(i, attempt.ConnRefused)})
 				}
 			}
-		}, outcome: query.Failed, ran: attempt.No, sent: 12},
+		}, outcome: query.Failed, ran: attempt.NotExecuted, sent: 12},
 		{name: "no answer at all", held: []uint64{1}, run: func(r *rig) {
 			r.do(query.OverloadMsg{Service: "s", Overloaded: true})
 			r.tick(200)
-		}, outcome: query.Failed, ran: attempt.Unknown, sent: 2},
+		}, outcome: query.Failed, ran: attempt.ExecutionUnknown, sent: 2},
 		{name: "version gone everywhere", held: []uint64{1}, run: func(r *rig) {
 			for i := range 4 {
 				r.do(query.ReplyMsg{Reply: r.refusal(i, attempt.VersionGone, 2)})
@@ -213,17 +213,17 @@
 			for i := 2; i < len(r.sent); i++ {
 				r.do(query.ReplyMsg{Reply: r.ok(i)})
 			}
-		}, outcome: query.Complete, covered: 20, ran: attempt.Yes, sent: 6, event: timeline.VersionRestart},
+		}, outcome: query.Complete, covered: 20, ran: attempt.Executed, sent: 6, event: timeline.VersionRestart},
 		{name: "nothing known", run: func(r *rig) {
 			r.do(query.ReplyMsg{Reply: r.refusal(0, attempt.VersionGone, 4, 5)})
 			r.do(query.ReplyMsg{Reply: r.refusal(1, attempt.VersionGone, 3, 4)})
 			r.do(query.ReplyMsg{Reply: r.ok(2)})
 			r.do(query.ReplyMsg{Reply: r.ok(3)})
-		}, outcome: query.Complete, covered: 20, ran: attempt.Yes, sent: 4, event: timeline.VersionRestart},
+		}, outcome: query.Complete, covered: 20, ran: attempt.Executed, sent: 4, event: timeline.VersionRestart},
 		{name: "reply without a version", run: func(r *rig) {
 			r.do(query.ReplyMsg{Reply: r.ok(0)})
 			r.tick(200)
-		}, outcome: query.Failed, ran: attempt.Unknown, sent: 3, drop: query.DropVersion, drops: 1},
+		}, outcome: query.Failed, ran: attempt.ExecutionUnknown, sent: 3, drop: query.DropWrongVersion, drops: 1},
 		{name: "epoch gap", held: []uint64{1}, run: func(r *rig) {
 			moved := r.ok(0)
 			moved.Epoch, moved.Ranges = 2, []coverage.Range{{To: 8}}
@@ -235,13 +235,13 @@
 			again.Epoch, again.Ranges = 2, []coverage.Range{{From: 8, To: 20}}
 			again.Rows = versionRows(1, again.Ranges...)
 			r.do(query.ReplyMsg{Reply: again})
-		}, outcome: query.Complete, covered: 20, ran: attempt.Yes, sent: 3},
+		}, outcome: query.Complete, covered: 20, ran: attempt.Executed, sent: 3},
 		{name: "gap at one epoch", held: []uint64{1}, run: func(r *rig) {
 			short := r.ok(0)
 			short.Ranges, short.Rows = []coverage.Range{{To: 8}}, versionRows(1, coverage.Range{To: 8})
 			r.do(query.ReplyMsg{Reply: short})
 			r.do(query.ReplyMsg{Reply: r.ok(1)})
-		}, outcome: query.Partial, covered: 18, ran: attempt.Yes, sent: 2},
+		}, outcome: query.Partial, covered: 18, ran: attempt.Executed, sent: 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -256,8 +256,8 @@
 			if err := checkAnswer(a); err != nil {
 				t.Error(err)
 			}
-			if a.Outcome != tt.outcome || a.Covered != tt.covered || a.Ran != tt.ran {
-				t.Errorf("got %s, %d keys, ran %s, want %s, %d, %s", a.Outcome, a.Covered, a.Ran, tt.outcome, tt.covered, tt.ran)
+			if a.Outcome != tt.outcome || a.Covered != tt.covered || a.Execution != tt.ran {
+				t.Errorf("got %s, %d keys, ran %s, want %s, %d, %s", a.Outcome, a.Covered, a.Execution, tt.outcome, tt.covered, tt.ran)
 			}
 			if a.Attempts != tt.sent || a.Needed != 2 {
 				t.Errorf("%d attempts of %d needed, want %d of 2", a.Attempts, a.Needed, tt.sent)
--- a/query/reply.go
+++ b/query/reply.go
@@ -9,24 +9,24 @@
 
 func (m *Model) reply(now clock.Millis, r attempt.Reply) {
 	if r.ID.VM != m.vm || r.ID.Incarnation != m.incarnation || !m.slots.wasIssued(r.ID.Seq) {
-		m.drop(r, DropUnknown)
+		m.drop(r, DropUnknownAttempt)
 		return
 	}
 	t := m.slots.get(r.ID.Seq)
 	if t == nil {
 		// The end of an attempt that the model cancelled is expected.
 		if r.Status != attempt.Cancelled {
-			m.drop(r, DropFinished)
+			m.drop(r, DropFinishedAttempt)
 		}
 		return
 	}
 	if string(t.up) != r.Upstream {
-		m.drop(r, DropUpstream)
+		m.drop(r, DropWrongUpstream)
 		return
 	}
 	if r.Status == attempt.OK && (r.Version != t.version || t.version == 0) {
 		// The attempt is over, but nothing of the reply may be used.
-		m.drop(r, DropVersion)
+		m.drop(r, DropWrongVersion)
 		r = attempt.Reply{ID: r.ID, Upstream: r.Upstream, Status: attempt.Mismatched, QueueMs: r.QueueMs}
 	}
 	m.settle(now, *t, r)
@@ -34,9 +34,9 @@
 
 // drop counts a reply that must not be used. A reply that crossed its own
 // cancellation is expected, so it makes no event.
-func (m *Model) drop(r attempt.Reply, d Drop) {
+func (m *Model) drop(r attempt.Reply, d DropReason) {
 	m.dropped[d]++
-	if d == DropFinished && m.slots.wasCancelled(r.ID.Seq) {
+	if d == DropFinishedAttempt && m.slots.wasCancelled(r.ID.Seq) {
 		return
 	}
 	m.emit(EventCmd{timeline.Event{
@@ -49,7 +49,7 @@
 	q, p := t.q, &t.q.parts[t.group]
 	m.slots.remove(t.seq)
 	p.close(t.seq)
-	q.noteRan(r.Ran)
+	q.noteRan(r.Execution)
 	// What the query waits for includes the way to the carrier.
 	r.ServiceMs = max(now-t.sentAt-r.QueueMs, 0)
 	q.noteQueue(r)
@@ -60,7 +60,7 @@
 		m.accept(now, t, r)
 	case p.nOpen > 0:
 		// Another attempt of the group is still running.
-		p.refused = r.Ran == attempt.No
+		p.refused = r.Execution == attempt.NotExecuted
 		m.wake(now, timerHedge, q, t.group, p.open[0])
 	case r.Status == attempt.VersionGone:
 		m.versionGone(now, q, t.group)
@@ -68,7 +68,7 @@
 		// The carrier dropped it for lack of time, so a retry would not finish either.
 		m.lose(now, q, t.group, "dropped by its carrier")
 	default:
-		p.refused = r.Ran == attempt.No
+		p.refused = r.Execution == attempt.NotExecuted
 		if r.Status == attempt.Shed {
 			p.retryAt = max(p.retryAt, now+r.RetryAfter)
 		}
@@ -88,11 +88,11 @@
 	q.overloaded = q.overloaded || r.Status == attempt.Shed || r.Status == attempt.NotSent
 }
 
-func (q *openQuery) noteRan(r attempt.Ran) {
+func (q *openQuery) noteRan(r attempt.Execution) {
 	switch r {
-	case attempt.Yes:
+	case attempt.Executed:
 		q.ranYes = true
-	case attempt.Unknown:
+	case attempt.ExecutionUnknown:
 		q.ranMaybe = true
 	}
 }
--- a/query/retry.go
+++ b/query/retry.go
@@ -155,7 +155,7 @@
 
 // outOfTokens reports an exhausted budget once per query.
 func (m *Model) outOfTokens(q *openQuery, what string) {
-	m.totals.Ref(q.Rank).NoTokens++
+	m.totals.Ref(q.Rank).BudgetExhausted++
 	if !q.noTokens {
 		q.noTokens = true
 		m.event(q, timeline.BudgetExhausted, "", what)
--- a/query/retry_test.go
+++ b/query/retry_test.go
@@ -18,7 +18,7 @@
 	r.do(query.StartMsg{ID: "q", Service: "s", Deadline: timeMs})
 	r.do(query.ReplyMsg{Reply: attempt.Reply{ID: r.sent[0].ID, Upstream: r.sent[0].Upstream, Status: attempt.Failed}})
 	wakes := 0
-	for r.model.Open() > 0 {
+	for r.model.OpenQueries() > 0 {
 		at, ok := r.model.NextWake()
 		if !ok {
 			t.Fatal("an open query without a wake")
--- a/query/start.go
+++ b/query/start.go
@@ -105,7 +105,7 @@
 	case tryRestart:
 		totals.Restarts++
 	case tryReask:
-		totals.Reasks++
+		totals.EpochRetries++
 	}
 }
 
--- a/query/tail_test.go
+++ b/query/tail_test.go
@@ -63,14 +63,14 @@
 	tests := []struct {
 		name    string
 		status  attempt.Status // OK stands for no reply, which leads to hedges
-		ran     attempt.Ran
+		ran     attempt.Execution
 		percent float64
 		perCost int // extra attempts for one token
 		extra   func(query.Totals) int
 	}{
-		{"hedges", attempt.OK, attempt.Unknown, 5, 1, func(n query.Totals) int { return n.Hedges }},
-		{"retries", attempt.Failed, attempt.Unknown, 5, 1, func(n query.Totals) int { return n.Retries }},
-		{"retries after refusals", attempt.Shed, attempt.No, 0.25, 10, func(n query.Totals) int { return n.Retries }},
+		{"hedges", attempt.OK, attempt.ExecutionUnknown, 5, 1, func(n query.Totals) int { return n.Hedges }},
+		{"retries", attempt.Failed, attempt.ExecutionUnknown, 5, 1, func(n query.Totals) int { return n.Retries }},
+		{"retries after refusals", attempt.Shed, attempt.NotExecuted, 0.25, 10, func(n query.Totals) int { return n.Retries }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -86,7 +86,7 @@
 						r.do(query.ReplyMsg{Reply: r.ok(i)})
 					} else if tt.status != attempt.OK {
 						failed := r.refusal(i, tt.status)
-						failed.Ran = tt.ran
+						failed.Execution = tt.ran
 						r.do(query.ReplyMsg{Reply: failed})
 					}
 				}
@@ -136,16 +136,16 @@
 	if got := len(r.sent); got != 2 {
 		t.Errorf("%d attempts after a repeated id, want 2", got)
 	}
-	r.do(query.CallerGoneMsg{ID: "q"})
+	r.do(query.CallerDisconnectedMsg{ID: "q"})
 	r.do(query.ReplyMsg{Reply: r.ok(0)})
 	r.tick(500)
-	if len(r.answers) != 0 || len(r.cancels) != 2 || r.model.Open() != 0 {
-		t.Errorf("%d answers, %d cancelled, %d open, want 0, 2, 0", len(r.answers), len(r.cancels), r.model.Open())
+	if len(r.answers) != 0 || len(r.cancels) != 2 || r.model.OpenQueries() != 0 {
+		t.Errorf("%d answers, %d cancelled, %d open, want 0, 2, 0", len(r.answers), len(r.cancels), r.model.OpenQueries())
 	}
 	r.do(query.StartMsg{ID: "u", Service: "other", Deadline: r.now + 100})
 	r.do(query.StartMsg{ID: "d", Service: "s", Deadline: r.now - 1})
 	for _, a := range r.answers {
-		if a.Outcome != query.Failed || a.Ran != attempt.No || a.Reason == "" {
+		if a.Outcome != query.Failed || a.Execution != attempt.NotExecuted || a.Reason == "" {
 			t.Errorf("answer %+v, want failed, not run, with a reason", a)
 		}
 	}
@@ -188,8 +188,8 @@
 				t.Fatalf("query %s: %v", a.ID, err)
 			}
 		}
-		if got := len(r.answers); got != started || r.model.Open() != 0 {
-			t.Fatalf("%d answers and %d open, want %d and 0", got, r.model.Open(), started)
+		if got := len(r.answers); got != started || r.model.OpenQueries() != 0 {
+			t.Fatalf("%d answers and %d open, want %d and 0", got, r.model.OpenQueries(), started)
 		}
 		for _, req := range r.sent {
 			if got := r.book.Outstanding(upstream.ID(req.Upstream)); got != 0 {
@@ -210,7 +210,7 @@
 	case 0:
 		return r.refusal(i, attempt.VersionGone, rapid.SliceOfN(rapid.Uint64Range(1, 4), 1, 3).Draw(t, "versions")...)
 	case 1:
-		return r.refusal(i, rapid.SampledFrom([]attempt.Status{attempt.Shed, attempt.Refused, attempt.Leaving, attempt.NotSent}).Draw(t, "status"))
+		return r.refusal(i, rapid.SampledFrom([]attempt.Status{attempt.Shed, attempt.ConnRefused, attempt.Leaving, attempt.NotSent}).Draw(t, "status"))
 	case 2:
 		return attempt.Reply{ID: reply.ID, Upstream: reply.Upstream, Status: rapid.SampledFrom([]attempt.Status{
 			attempt.Failed, attempt.TimedOut, attempt.Mismatched, attempt.Cancelled,
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -28,13 +28,13 @@
 
 // Reply is the whole reply of an upstream.
 type Reply struct {
-	Status  int
-	Receipt string // proves who answered which request
-	Body    []byte
-	NotRun  bool // the upstream states that it did not run the request
-	Misled  bool // another upstream has the address; implies NotRun
-	Leaving bool // the upstream closes the connection
-	Carried any  // what the runtime needs to pass the reply on
+	Status        int
+	Receipt       string // proves who answered which request
+	Body          []byte
+	NotRun        bool // the upstream states that it did not run the request
+	WrongUpstream bool // another upstream has the address; implies NotRun
+	Leaving       bool // the upstream closes the connection
+	Header        any  // what the runtime needs to pass the reply on
 }
 
 // success reports whether the reply may be part of a gathered answer.
--- a/relay/arrive.go
+++ b/relay/arrive.go
@@ -34,12 +34,12 @@
 
 // arrive decides what happens to a request: it is refused before anything runs,
 // or its parts are divided among carriers and this VM.
-func (m *Model) arrive(now clock.Millis, msg ArriveMsg) {
-	if msg.Handed != nil && !m.confirm(msg) {
+func (m *Model) arrive(now clock.Millis, msg ArrivalMsg) {
+	if msg.Delegation != nil && !m.confirm(msg) {
 		return
 	}
 	if m.table == nil {
-		m.reject(msg, Answer{Outcome: NotReady, Reason: "no_configuration", RetryAfterMs: m.comeBack(clock.Second, msg.LeftMs)})
+		m.reject(msg, Answer{Outcome: NotReady, Reason: "no_configuration", RetryAfterMs: m.comeBack(clock.Second, msg.RemainingMs)})
 		return
 	}
 	rt, ok := m.table.Match(msg.Host, msg.Path)
@@ -48,12 +48,12 @@
 		return
 	}
 	r := m.newRequest(now, rt, msg)
-	m.addParts(r, msg.Handed)
+	m.addParts(r, msg.Delegation)
 	shares := []share{{parts: r.parts}}
-	if r.gathers() && msg.Handed == nil {
+	if r.gathers() && msg.Delegation == nil {
 		shares = m.distribute(now, r)
 	}
-	if m.policies.full(rt.Priority) && msg.Handed == nil {
+	if m.policies.full(rt.Priority) && msg.Delegation == nil {
 		m.reject(msg, Answer{
 			Outcome: Refused, Reason: "queue_full", Route: rt.Name, Version: r.version, RetryAfterMs: m.comeBack(rt.TargetMs, r.due-now),
 		})
@@ -84,15 +84,15 @@
 }
 
 // newRequest works out until when a request may be answered.
-func (m *Model) newRequest(now clock.Millis, rt *route.Route, msg ArriveMsg) *request {
+func (m *Model) newRequest(now clock.Millis, rt *route.Route, msg ArrivalMsg) *request {
 	r := &request{
 		id: msg.ID, name: msg.Name, hash: xxhash.Sum64String(msg.Name), host: msg.Host, path: msg.Path, arrived: now,
-		route: rt, version: m.table.Version(), minShare: m.policies.leastShare(rt.MinShare, rt.Priority),
+		route: rt, version: m.table.Version(), minShare: m.policies.leastShare(rt.MinShardRatio, rt.Priority),
 	}
-	if h := msg.Handed; h != nil {
+	if h := msg.Delegation; h != nil {
 		r.carried = true
-		r.due, r.returning = now+h.LeftMs, h.Returning
-		r.answerAt = min(now+h.AnswerInMs, r.due)
+		r.due, r.returning = now+h.RemainingMs, h.CallerRetry
+		r.answerAt = min(now+h.TargetInMs, r.due)
 		return r
 	}
 	timeout := rt.TimeoutMs
@@ -100,7 +100,7 @@
 		timeout = defaultTimeoutMs
 	}
 	timeout = m.policies.timeout(timeout, rt.Priority)
-	left := msg.LeftMs
+	left := msg.RemainingMs
 	if left <= 0 {
 		left = timeout
 	}
@@ -110,13 +110,13 @@
 	if m.stopAt > 0 {
 		r.due = min(r.due, max(m.stopAt, now+1))
 	}
-	reserve := handlingReserveMs + cmp.Or(msg.WayMs, defaultWayMs)
+	reserve := handlingReserveMs + cmp.Or(msg.RoundTripMs, defaultWayMs)
 	r.answerAt = min(now+max(rt.TargetMs-spent-reserve, 0), r.due)
 	return r
 }
 
 // addParts gives a request one part for each service that its answer needs.
-func (m *Model) addParts(r *request, h *HandOver) {
+func (m *Model) addParts(r *request, h *Delegation) {
 	names := m.servicesOf(r)
 	if h != nil {
 		names = h.Services
@@ -144,10 +144,10 @@
 }
 
 // reject answers a request that never becomes part of the state.
-func (m *Model) reject(msg ArriveMsg, a Answer) { m.rejectExpecting(msg, a, 0) }
+func (m *Model) reject(msg ArrivalMsg, a Answer) { m.rejectExpecting(msg, a, 0) }
 
 // rejectExpecting also tells the VM that handed the request over what to expect.
-func (m *Model) rejectExpecting(msg ArriveMsg, a Answer, expected clock.Millis) {
+func (m *Model) rejectExpecting(msg ArrivalMsg, a Answer, expected clock.Millis) {
 	m.emit(EventCmd{Event: Event{
 		Kind: "request_" + a.Outcome.String(), Request: msg.Name, Route: a.Route, Version: a.Version,
 		Detail: a.Reason, AgeMs: a.RetryAfterMs,
@@ -216,7 +216,7 @@
 		return 0
 	}
 	slices.Sort(waits)
-	least := int(math.Ceil(r.route.MinShare * float64(len(waits))))
+	least := int(math.Ceil(r.route.MinShardRatio * float64(len(waits))))
 	return waits[min(max(least-1, 0), len(waits)-1)]
 }
 
--- a/relay/carrier.go
+++ b/relay/carrier.go
@@ -110,7 +110,7 @@
 	} else if int(float64(u.service.maxConns)*(carrierConnections+otherConnections)) < m.vms {
 		return
 	}
-	m.emit(ConnectCmd{Upstream: u.info.ID, Address: u.info.Address})
+	m.emit(ConnectUpstreamCmd{Upstream: u.info.ID, Address: u.info.Address})
 }
 
 // isCarrier reports whether this VM is among the carriers of its data centre.
@@ -148,7 +148,7 @@
 	for _, dc := range sortedKeys(shards) {
 		for _, c := range m.carriers(now, dc, shards[dc]) {
 			if c.info.ID != m.cfg.self {
-				m.emit(MeetCmd{VM: c.info.ID, Address: c.info.Address})
+				m.emit(ConnectPeerCmd{VM: c.info.ID, Address: c.info.Address})
 			}
 		}
 	}
--- a/relay/carrier_test.go
+++ b/relay/carrier_test.go
@@ -19,7 +19,7 @@
 	m := relay.New(relay.WithSelf(self, dc))
 	m.Update(1000, relay.TableMsg{Table: route.NewTable(route.Config{Version: 7, Routes: []route.Route{{
 		Name: "q", Host: "h", Prefix: "/", Gather: []string{"s1", "s2"}, Idempotent: true,
-		TimeoutMs: 400, TargetMs: 50, MaxAttempts: 2, Top: 5, MinShare: 0.5,
+		TimeoutMs: 400, TargetMs: 50, MaxAttempts: 2, TopK: 5, MinShardRatio: 0.5,
 	}}})})
 	for _, s := range []string{"s1", "s2"} {
 		for i, dc := range []string{"a", "b"} {
@@ -34,10 +34,10 @@
 	return m
 }
 
-func arrive(id uint64) relay.ArriveMsg { return arriveWithin(id, 400) }
+func arrive(id uint64) relay.ArrivalMsg { return arriveWithin(id, 400) }
 
-func arriveWithin(id uint64, left clock.Millis) relay.ArriveMsg {
-	return relay.ArriveMsg{ID: id, Name: fmt.Sprint("r", id), Host: "h", Path: "/x", LeftMs: left}
+func arriveWithin(id uint64, left clock.Millis) relay.ArrivalMsg {
+	return relay.ArrivalMsg{ID: id, Name: fmt.Sprint("r", id), Host: "h", Path: "/x", RemainingMs: left}
 }
 
 // kinds lists commands by type, events left out.
@@ -45,15 +45,15 @@
 	var out []string
 	for _, c := range cmds {
 		switch c := c.(type) {
-		case relay.HandCmd:
+		case relay.DelegateCmd:
 			out = append(out, "hand "+c.To)
 		case relay.SendCmd:
 			out = append(out, "send "+c.Upstream)
 		case relay.AnswerCmd:
 			out = append(out, "answer "+c.Answer.Outcome.String())
-		case relay.WithdrawCmd:
+		case relay.CancelDelegationCmd:
 			out = append(out, "withdraw "+c.To)
-		case relay.TakenCmd:
+		case relay.AckDelegationCmd:
 			out = append(out, "taken")
 		case relay.CancelCmd:
 			out = append(out, "cancel")
@@ -90,19 +90,19 @@
 		want []string
 	}{
 		{"connection breaks", func(m *relay.Model, c string, group uint64) []relay.Cmd {
-			return m.Update(2003, relay.PeerDownMsg{VM: c})
+			return m.Update(2003, relay.PeerDisconnectedMsg{VM: c})
 		}, []string{"send", "send"}},
 		{"never left", func(m *relay.Model, c string, group uint64) []relay.Cmd {
-			return m.Update(2003, relay.UnhandedMsg{To: c, ID: group})
+			return m.Update(2003, relay.DelegationNotSentMsg{To: c, ID: group})
 		}, []string{"send", "send"}},
 		{"not confirmed in time", func(m *relay.Model, c string, group uint64) []relay.Cmd {
 			return m.Update(2020, relay.TickMsg{})
 		}, []string{"withdraw " + "x", "send", "send"}},
 		{"has an older configuration", func(m *relay.Model, c string, group uint64) []relay.Cmd {
-			return m.Update(2003, relay.HandBackMsg{From: c, HandBack: relay.HandBack{ID: group, Answer: relay.Answer{Outcome: relay.NotReady}}})
+			return m.Update(2003, relay.DelegationResultMsg{From: c, Result: relay.DelegationResult{ID: group, Answer: relay.Answer{Outcome: relay.NotReady}}})
 		}, []string{"send", "send"}},
 		{"silent after the answer was due", func(m *relay.Model, c string, group uint64) []relay.Cmd {
-			m.Update(2002, relay.TakenMsg{From: c, ID: group})
+			m.Update(2002, relay.DelegationAckMsg{From: c, ID: group})
 			return m.Update(2100, relay.TickMsg{})
 		}, []string{"withdraw " + "x", "send", "send"}},
 	}
@@ -110,8 +110,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			m := relayWithBudget(t)
 			hand := m.Update(2000, arrive(1))
-			cmd := hand[len(hand)-1].(relay.HandCmd)
-			got := tt.fail(m, cmd.To, cmd.HandOver.ID)
+			cmd := hand[len(hand)-1].(relay.DelegateCmd)
+			got := tt.fail(m, cmd.To, cmd.Delegation.ID)
 			if len(kinds(got)) != len(tt.want) {
 				t.Fatalf("got %v, want %v", kinds(got), tt.want)
 			}
@@ -133,15 +133,15 @@
 // TestCarrierConfirms guards against a carrier that works under an older
 // configuration than the VM that asked, or while it stops.
 func TestCarrierConfirms(t *testing.T) {
-	handOver := func(version uint64) relay.ArriveMsg {
-		return relay.ArriveMsg{ID: 9, Host: "h", Path: "/x", Handed: &relay.HandOver{
-			Version: version, Services: []string{"s1", "s2"}, LeftMs: 390, AnswerInMs: 38,
+	handOver := func(version uint64) relay.ArrivalMsg {
+		return relay.ArrivalMsg{ID: 9, Host: "h", Path: "/x", Delegation: &relay.Delegation{
+			Version: version, Services: []string{"s1", "s2"}, RemainingMs: 390, TargetInMs: 38,
 		}}
 	}
 	wantKinds(t, carried(t, "va", "a").Update(2000, handOver(7)), "taken", "send s1a", "send s2a")
 	wantKinds(t, carried(t, "va", "a").Update(2000, handOver(8)), "answer not_ready")
 	m := carried(t, "va", "a")
-	m.Update(2000, relay.StopMsg{Due: 7000})
+	m.Update(2000, relay.StopMsg{Deadline: 7000})
 	wantKinds(t, m.Update(2000, handOver(7)), "answer not_ready")
 }
 
@@ -150,7 +150,7 @@
 func TestCallerGoneAtCarrier(t *testing.T) {
 	m := carried(t, "vc", "c")
 	m.Update(2000, arrive(1))
-	if got := kinds(m.Update(2005, relay.GoneMsg{ID: 1})); len(got) != 1 || got[0][:8] != "withdraw" {
+	if got := kinds(m.Update(2005, relay.CallerDisconnectedMsg{ID: 1})); len(got) != 1 || got[0][:8] != "withdraw" {
 		t.Errorf("got %v, want one withdraw", got)
 	}
 }
@@ -159,13 +159,13 @@
 // did not get, or that comes without parts which it reported in time.
 func TestCarrierParts(t *testing.T) {
 	record := func(c byte) []byte { return []byte(fmt.Sprintf("%016d", c)) }
-	start := func() (*relay.Model, relay.HandCmd) {
+	start := func() (*relay.Model, relay.DelegateCmd) {
 		m := carried(t, "vc", "c")
 		cmds := m.Update(2000, arrive(1))
-		return m, cmds[len(cmds)-1].(relay.HandCmd)
+		return m, cmds[len(cmds)-1].(relay.DelegateCmd)
 	}
-	back := func(h relay.HandCmd, more bool, receipts ...string) relay.HandBackMsg {
-		return relay.HandBackMsg{From: h.To, HandBack: relay.HandBack{ID: h.HandOver.ID, More: more, Answer: relay.Answer{
+	back := func(h relay.DelegateCmd, more bool, receipts ...string) relay.DelegationResultMsg {
+		return relay.DelegationResultMsg{From: h.To, Result: relay.DelegationResult{ID: h.Delegation.ID, Partial: more, Answer: relay.Answer{
 			Outcome: relay.Gathered, Receipts: receipts, Body: record(byte(len(receipts))),
 		}}}
 	}
@@ -217,7 +217,7 @@
 	}
 	m.Update(1000, relay.TableMsg{Table: route.NewTable(route.Config{Version: 7, Routes: []route.Route{{
 		Name: "q", Host: "h", Prefix: "/", Gather: names, Idempotent: true,
-		TimeoutMs: 800, TargetMs: 150, MaxAttempts: 2, Top: 5, MinShare: 0.5,
+		TimeoutMs: 800, TargetMs: 150, MaxAttempts: 2, TopK: 5, MinShardRatio: 0.5,
 	}}})})
 	for _, s := range names {
 		m.Update(1000, relay.UpstreamMsg{Upstream: relay.Upstream{ID: s + "a", Service: s, Address: s, DataCentre: "a", Slots: 2}})
@@ -238,8 +238,8 @@
 func handed(now clock.Millis, m *relay.Model) map[string][]string {
 	out := make(map[string][]string)
 	for _, c := range m.Update(now, arriveWithin(uint64(now), 800)) {
-		if h, ok := c.(relay.HandCmd); ok {
-			out[h.To] = h.HandOver.Services
+		if h, ok := c.(relay.DelegateCmd); ok {
+			out[h.To] = h.Delegation.Services
 		}
 	}
 	return out
@@ -256,7 +256,7 @@
 	if got, want := fmt.Sprint(handed(2000, mixedFleet("v11"))), fmt.Sprint(both); got != want {
 		t.Errorf("got %s at another VM, want %s", got, want)
 	}
-	m.Update(2001, relay.PeerDownMsg{VM: "v1"})
+	m.Update(2001, relay.PeerDisconnectedMsg{VM: "v1"})
 	left := handed(2002, m)
 	if len(left["v1"]) != 0 {
 		t.Errorf("got %d shards for a VM whose connection broke, want none", len(left["v1"]))
@@ -297,7 +297,7 @@
 		{ID: "v0", Address: "v0", DataCentre: "a", CPUMilli: 800}, {ID: "v1", Address: "v1", DataCentre: "a", CPUMilli: 800},
 		{ID: "v10", Address: "v10", DataCentre: "a", CPUMilli: 192}, {ID: "w", Address: "w", DataCentre: "b", CPUMilli: 800},
 	}}) {
-		if c, ok := c.(relay.MeetCmd); ok {
+		if c, ok := c.(relay.ConnectPeerCmd); ok {
 			met[c.VM] = true
 		}
 	}
@@ -316,7 +316,7 @@
 		m := relay.New(relay.WithSelf("va", "a"))
 		m.Update(1000, relay.TableMsg{Table: route.NewTable(route.Config{Version: 7, Routes: []route.Route{{
 			Name: "q", Host: "h", Prefix: "/", Gather: []string{"s"}, Idempotent: true,
-			TimeoutMs: 400, TargetMs: 300, Priority: tt.priority, MaxAttempts: 2, Top: 5, MinShare: 0.5,
+			TimeoutMs: 400, TargetMs: 300, Priority: tt.priority, MaxAttempts: 2, TopK: 5, MinShardRatio: 0.5,
 		}}})})
 		for _, dc := range []string{"a", "b"} {
 			m.Update(1000, relay.UpstreamMsg{Upstream: relay.Upstream{ID: dc, Service: "s", Address: dc, DataCentre: dc, Slots: 2}})
--- a/relay/command.go
+++ b/relay/command.go
@@ -5,16 +5,16 @@
 // Cmd is an output of a Model.
 type Cmd interface{ relayCmd() }
 
-// SendCmd sends a request to an upstream. Exactly one ReplyMsg or FailMsg must
+// SendCmd sends a request to an upstream. Exactly one ReplyMsg or AttemptFailedMsg must
 // follow, unless a CancelCmd came first.
 type SendCmd struct {
-	Attempt  uint64
-	Request  uint64
-	Upstream string
-	Address  string
-	LeftMs   clock.Millis // how long the upstream may work
-	Gather   bool         // only the receipt and the records of the reply are needed
-	Fresh    bool         // the request must not repeat: prefer a connection that is surely open
+	Attempt       uint64
+	Request       uint64
+	Upstream      string
+	Address       string
+	RemainingMs   clock.Millis // how long the upstream may work
+	Gather        bool         // only the receipt and the records of the reply are needed
+	NonIdempotent bool         // the request must not repeat: prefer a connection that is surely open
 }
 
 // CancelCmd ends an attempt. No message about it is expected any more.
@@ -27,54 +27,54 @@
 	ExpectedMs clock.Millis // for the VM that handed the request over
 }
 
-// HandCmd hands parts of a request over to a carrier.
-type HandCmd struct {
-	Request  uint64
-	To       string
-	Address  string
-	HandOver HandOver
+// DelegateCmd hands parts of a request over to a carrier.
+type DelegateCmd struct {
+	Request    uint64
+	To         string
+	Address    string
+	Delegation Delegation
 }
 
-// ReportCmd hands back what a carrier has when the answer becomes late. An
+// PartialResultCmd hands back what a carrier has when the answer becomes late. An
 // AnswerCmd follows.
-type ReportCmd struct {
+type PartialResultCmd struct {
 	ID         uint64
 	Answer     Answer
 	ExpectedMs clock.Millis // for the VM that handed the request over
 }
 
-// TakenCmd confirms a request of another VM.
-type TakenCmd struct{ ID uint64 }
+// AckDelegationCmd confirms a request of another VM.
+type AckDelegationCmd struct{ ID uint64 }
 
-// WithdrawCmd tells a carrier that nobody waits for an answer.
-type WithdrawCmd struct {
+// CancelDelegationCmd tells a carrier that nobody waits for an answer.
+type CancelDelegationCmd struct {
 	To string
 	ID uint64
 }
 
-// MeetCmd asks for a stream to a VM before it is needed.
-type MeetCmd struct{ VM, Address string }
+// ConnectPeerCmd asks for a stream to a VM before it is needed.
+type ConnectPeerCmd struct{ VM, Address string }
 
-// ConnectCmd asks for a warm connection to an upstream.
-type ConnectCmd struct{ Upstream, Address string }
+// ConnectUpstreamCmd asks for a warm connection to an upstream.
+type ConnectUpstreamCmd struct{ Upstream, Address string }
 
-// ForgetCmd closes the idle connections to an upstream that is gone.
-type ForgetCmd struct{ Upstream string }
+// CloseIdleCmd closes the idle connections to an upstream that is gone.
+type CloseIdleCmd struct{ Upstream string }
 
 // EventCmd records a decision.
 type EventCmd struct{ Event Event }
 
-func (SendCmd) relayCmd()     {}
-func (CancelCmd) relayCmd()   {}
-func (AnswerCmd) relayCmd()   {}
-func (HandCmd) relayCmd()     {}
-func (ReportCmd) relayCmd()   {}
-func (TakenCmd) relayCmd()    {}
-func (WithdrawCmd) relayCmd() {}
-func (MeetCmd) relayCmd()     {}
-func (ConnectCmd) relayCmd()  {}
-func (ForgetCmd) relayCmd()   {}
-func (EventCmd) relayCmd()    {}
+func (SendCmd) relayCmd()             {}
+func (CancelCmd) relayCmd()           {}
+func (AnswerCmd) relayCmd()           {}
+func (DelegateCmd) relayCmd()         {}
+func (PartialResultCmd) relayCmd()    {}
+func (AckDelegationCmd) relayCmd()    {}
+func (CancelDelegationCmd) relayCmd() {}
+func (ConnectPeerCmd) relayCmd()      {}
+func (ConnectUpstreamCmd) relayCmd()  {}
+func (CloseIdleCmd) relayCmd()        {}
+func (EventCmd) relayCmd()            {}
 
 // Event is one decision with the inputs that led to it.
 type Event struct {
--- a/relay/finish.go
+++ b/relay/finish.go
@@ -48,7 +48,7 @@
 	r.reported = true
 	a := gathered(r)
 	a.Version = r.version
-	m.emit(ReportCmd{ID: r.id, Answer: a, ExpectedMs: m.expectedFor(now, r)})
+	m.emit(PartialResultCmd{ID: r.id, Answer: a, ExpectedMs: m.expectedFor(now, r)})
 }
 
 // finish sends the final answer.
--- a/relay/gather.go
+++ b/relay/gather.go
@@ -22,13 +22,13 @@
 		a.Receipts = append(a.Receipts, g.answer.Receipts...)
 		bodies = append(bodies, g.answer.Body)
 	}
-	a.Body = Greatest(r.route.Top, bodies)
+	a.Body = TopRecords(r.route.TopK, bodies)
 	return a
 }
 
-// Greatest returns the n greatest records of all bodies, greatest first. Equal
+// TopRecords returns the n greatest records of all bodies, greatest first. Equal
 // records all count.
-func Greatest(n int, bodies [][]byte) []byte {
+func TopRecords(n int, bodies [][]byte) []byte {
 	kept := make(recordHeap, 0, n)
 	for _, b := range bodies {
 		for ; len(b) >= recordBytes; b = b[recordBytes:] {
--- a/relay/handover.go
+++ b/relay/handover.go
@@ -4,49 +4,49 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// HandOver asks a carrier to gather some parts of a request. A carrier sees all
+// Delegation asks a carrier to gather some parts of a request. A carrier sees all
 // work of the upstreams in its data centre, so it knows which of them are free,
 // and one message crosses data centres where each part would.
-type HandOver struct {
-	ID         uint64 // of the group at the VM that hands it over
-	Version    uint64 // the carrier must know this version of the configuration
-	Name       string
-	Host       string
-	Path       string
-	Services   []string // the shards to gather, of one version of the configuration
-	Head       []byte   // request line and headers as upstreams get them; filled in by the runtime
-	Body       []byte
-	LeftMs     clock.Millis
-	AnswerInMs clock.Millis // when the answer becomes late
-	Returning  bool
+type Delegation struct {
+	ID          uint64 // of the group at the VM that hands it over
+	Version     uint64 // the carrier must know this version of the configuration
+	Name        string
+	Host        string
+	Path        string
+	Services    []string // the shards to gather, of one version of the configuration
+	Head        []byte   // request line and headers as upstreams get them; filled in by the runtime
+	Body        []byte
+	RemainingMs clock.Millis
+	TargetInMs  clock.Millis // when the answer becomes late
+	CallerRetry bool
 }
 
-// Taken confirms a HandOver at once.
-type Taken struct{ ID uint64 }
+// DelegationAck confirms a Delegation at once.
+type DelegationAck struct{ ID uint64 }
 
-// HandBack answers a HandOver. The answer names no missing shards: those that
+// DelegationResult answers a Delegation. The answer names no missing shards: those that
 // have no receipt are missing. With More, a later HandBack replaces it.
-type HandBack struct {
+type DelegationResult struct {
 	ID         uint64
 	Answer     Answer
-	More       bool
+	Partial    bool
 	ExpectedMs clock.Millis // how long a request of this route would take there now
 }
 
-// Withdraw ends a HandOver whose answer nobody waits for.
-type Withdraw struct{ ID uint64 }
+// DelegationCancel ends a Delegation whose answer nobody waits for.
+type DelegationCancel struct{ ID uint64 }
 
 // PeerBody marks messages between VMs.
-func (HandOver) PeerBody() {}
+func (Delegation) PeerBody() {}
 
 // PeerBody marks messages between VMs.
-func (Taken) PeerBody() {}
+func (DelegationAck) PeerBody() {}
 
 // PeerBody marks messages between VMs.
-func (HandBack) PeerBody() {}
+func (DelegationResult) PeerBody() {}
 
 // PeerBody marks messages between VMs.
-func (Withdraw) PeerBody() {}
+func (DelegationCancel) PeerBody() {}
 
 const (
 	// takenMs is how long a carrier may take to confirm, or takenShare of the time
@@ -146,26 +146,26 @@
 	for i, p := range parts {
 		names[i] = p.service.name
 	}
-	m.emit(HandCmd{Request: r.id, To: c.info.ID, Address: c.info.Address, HandOver: HandOver{
+	m.emit(DelegateCmd{Request: r.id, To: c.info.ID, Address: c.info.Address, Delegation: Delegation{
 		ID: g.id, Version: r.version, Name: r.name, Host: r.host, Path: r.path, Services: names,
-		LeftMs: max(r.due-now-g.hop, 1), AnswerInMs: max(r.answerAt-now-g.hop, 0), Returning: r.returning,
+		RemainingMs: max(r.due-now-g.hop, 1), TargetInMs: max(r.answerAt-now-g.hop, 0), CallerRetry: r.returning,
 	}})
 	m.wake(r, g.takenBy)
 }
 
 // handedBack takes a carrier's answer.
-func (m *Model) handedBack(now clock.Millis, msg HandBackMsg) {
-	g := m.groupAt(msg.From, msg.HandBack.ID)
+func (m *Model) handedBack(now clock.Millis, msg DelegationResultMsg) {
+	g := m.groupAt(msg.From, msg.Result.ID)
 	if g == nil {
 		return
 	}
-	if msg.HandBack.More && !g.reported {
+	if msg.Result.Partial && !g.reported {
 		g.carrier.timed(now - (g.req.answerAt - g.hop))
 	}
 	g.taken, g.reported = true, true
 	g.carrier.heardAt = now
-	g.carrier.expect(now, g.req.route.Name, msg.HandBack.ExpectedMs)
-	a, r := msg.HandBack.Answer, g.req
+	g.carrier.expect(now, g.req.route.Name, msg.Result.ExpectedMs)
+	a, r := msg.Result.Answer, g.req
 	switch a.Outcome {
 	case Gathered:
 		g.carrier.failures = 0
@@ -173,7 +173,7 @@
 		r.done += len(a.Receipts) - len(g.answer.Receipts)
 		r.unresolved -= len(a.Receipts) - len(g.answer.Receipts)
 		g.answer = a
-		if !msg.HandBack.More {
+		if !msg.Result.Partial {
 			r.unresolved -= len(g.parts) - len(a.Receipts)
 			m.endGroup(g)
 		}
@@ -202,7 +202,7 @@
 	return g
 }
 
-func (m *Model) taken(now clock.Millis, msg TakenMsg) {
+func (m *Model) taken(now clock.Millis, msg DelegationAckMsg) {
 	if g := m.groupAt(msg.From, msg.ID); g != nil {
 		g.taken = true
 		g.carrier.heardAt = now
@@ -220,7 +220,7 @@
 func (m *Model) withdrawGroups(r *request) {
 	for _, g := range r.groups {
 		if !g.ended {
-			m.emit(WithdrawCmd{To: g.carrier.info.ID, ID: g.id})
+			m.emit(CancelDelegationCmd{To: g.carrier.info.ID, ID: g.id})
 			m.endGroup(g)
 		}
 	}
@@ -252,7 +252,7 @@
 func (m *Model) carrierLost(now clock.Millis, g *group, cause string) {
 	m.event("carrier_lost", g.req, nil, g.carrier.info.ID+" "+cause, now-g.sentAt)
 	g.carrier.failed(now)
-	m.emit(WithdrawCmd{To: g.carrier.info.ID, ID: g.id})
+	m.emit(CancelDelegationCmd{To: g.carrier.info.ID, ID: g.id})
 	m.takeBack(now, g, true)
 }
 
@@ -281,8 +281,8 @@
 	m.advance(now, r)
 }
 
-// unhanded takes back a group whose HandOver never left this VM.
-func (m *Model) unhanded(now clock.Millis, msg UnhandedMsg) {
+// unhanded takes back a group whose Delegation never left this VM.
+func (m *Model) unhanded(now clock.Millis, msg DelegationNotSentMsg) {
 	if g := m.groupAt(msg.To, msg.ID); g != nil {
 		m.event("carrier_lost", g.req, nil, g.carrier.info.ID+" unreachable", now-g.sentAt)
 		g.carrier.failed(now)
@@ -304,10 +304,10 @@
 }
 
 // confirm tells the VM that handed a request over whether this one takes it.
-func (m *Model) confirm(msg ArriveMsg) bool {
+func (m *Model) confirm(msg ArrivalMsg) bool {
 	reason := ""
 	switch {
-	case m.table == nil || m.table.Version() < msg.Handed.Version:
+	case m.table == nil || m.table.Version() < msg.Delegation.Version:
 		reason = "older_configuration"
 	case m.stopAt > 0:
 		reason = "stopping"
@@ -317,6 +317,6 @@
 		return false
 	}
 	m.carries = true
-	m.emit(TakenCmd{ID: msg.ID})
+	m.emit(AckDelegationCmd{ID: msg.ID})
 	return true
 }
--- a/relay/model.go
+++ b/relay/model.go
@@ -56,32 +56,32 @@
 		m.setTable(t.Table)
 	case UpstreamMsg:
 		m.setUpstream(now, t.Upstream)
-	case RemovedMsg:
+	case UpstreamRemovedMsg:
 		m.removeUpstream(now, t.ID)
-	case ArriveMsg:
+	case ArrivalMsg:
 		m.arrive(now, t)
 	case ReplyMsg:
 		m.replied(now, t)
-	case FailMsg:
+	case AttemptFailedMsg:
 		m.attemptFailed(now, t)
-	case GoneMsg:
+	case CallerDisconnectedMsg:
 		m.callerGone(now, t.ID)
 	case FleetMsg:
 		m.setFleet(now, t.VMs)
-	case TakenMsg:
+	case DelegationAckMsg:
 		m.taken(now, t)
-	case HandBackMsg:
+	case DelegationResultMsg:
 		m.handedBack(now, t)
-	case UnhandedMsg:
+	case DelegationNotSentMsg:
 		m.unhanded(now, t)
-	case PeerDownMsg:
+	case PeerDisconnectedMsg:
 		m.peerDown(now, t.VM)
 	case BudgetMsg:
 		m.setBudget(t)
 	case PresetMsg:
 		m.setPreset(t.Preset)
 	case StopMsg:
-		m.stop(t.Due)
+		m.stop(t.Deadline)
 	case TickMsg:
 	}
 	m.runTimers(now)
@@ -127,10 +127,10 @@
 		return
 	}
 	m.table = t
-	m.splitter.Keep(t)
+	m.splitter.Prune(t)
 	for _, s := range m.services {
 		s.configure(t)
-		s.carried = t.Shard(s.name)
+		s.carried = t.IsShard(s.name)
 	}
 	m.emit(EventCmd{Event: Event{Kind: "config_in_force", Version: t.Version()}})
 }
@@ -142,10 +142,10 @@
 	u := m.upstreams[info.ID]
 	if u != nil {
 		old := u.info
-		if info.Born < old.Born || info.Born == old.Born && info.Sequence < old.Sequence {
+		if info.Incarnation < old.Incarnation || info.Incarnation == old.Incarnation && info.Sequence < old.Sequence {
 			return
 		}
-		restarted := info.Born > old.Born
+		restarted := info.Incarnation > old.Incarnation
 		if !restarted && old.Leaving {
 			info.Leaving = true
 		}
@@ -190,6 +190,6 @@
 			break
 		}
 	}
-	m.emit(ForgetCmd{Upstream: u.info.ID})
+	m.emit(CloseIdleCmd{Upstream: u.info.ID})
 	m.pump(now, u.service)
 }
--- a/relay/model_test.go
+++ b/relay/model_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	fail := func(notSent bool) func(a uint64) relay.Msg {
-		return func(a uint64) relay.Msg { return relay.FailMsg{Attempt: a, NotSent: notSent} }
+		return func(a uint64) relay.Msg { return relay.AttemptFailedMsg{Attempt: a, NotSent: notSent} }
 	}
 	tests := []struct {
 		name       string
@@ -79,11 +79,11 @@
 func TestMaxAttempts(t *testing.T) {
 	m := single(t, true, 4)
 	a := sent(t, m.Update(2000, arrive(1)))
-	b := sent(t, m.Update(2010, relay.FailMsg{Attempt: a.Attempt}))
+	b := sent(t, m.Update(2010, relay.AttemptFailedMsg{Attempt: a.Attempt}))
 	if a.Upstream == b.Upstream {
 		t.Errorf("got %s twice, want another upstream", a.Upstream)
 	}
-	wantKinds(t, m.Update(2020, relay.FailMsg{Attempt: b.Attempt}), "answer failed")
+	wantKinds(t, m.Update(2020, relay.AttemptFailedMsg{Attempt: b.Attempt}), "answer failed")
 }
 
 // TestBudget guards against retries beyond the fleet's budget.
@@ -93,7 +93,7 @@
 	retries, now := 0, clock.Millis(2000)
 	for id := range uint64(100) {
 		a := sent(t, m.Update(now, arrive(id+1)))
-		for _, c := range append([]relay.Cmd(nil), m.Update(now+5, relay.FailMsg{Attempt: a.Attempt})...) {
+		for _, c := range append([]relay.Cmd(nil), m.Update(now+5, relay.AttemptFailedMsg{Attempt: a.Attempt})...) {
 			if b, ok := c.(relay.SendCmd); ok {
 				retries++
 				m.Update(now+10, relay.ReplyMsg{Attempt: b.Attempt, Reply: relay.Reply{Status: 200, Receipt: "x"}})
@@ -142,7 +142,7 @@
 func TestReports(t *testing.T) {
 	up := func(born, sequence uint64, leaving bool) relay.UpstreamMsg {
 		return relay.UpstreamMsg{Upstream: relay.Upstream{
-			ID: "u0", Service: "s", Address: "a0", DataCentre: "a", Slots: 2, Born: born, Sequence: sequence, Leaving: leaving,
+			ID: "u0", Service: "s", Address: "a0", DataCentre: "a", Slots: 2, Incarnation: born, Sequence: sequence, Leaving: leaving,
 		}}
 	}
 	m := single(t, false, 0)
@@ -227,7 +227,7 @@
 	for _, way := range []clock.Millis{2, 6, 12} {
 		m := carried(t, "va", "a")
 		msg := arrive(1)
-		msg.WayMs = way
+		msg.RoundTripMs = way
 		first := m.Update(2000, msg)
 		m.Update(2005, relay.ReplyMsg{Attempt: sent(t, first).Attempt, Reply: relay.Reply{Status: 200, Receipt: "1"}})
 		const target = 50
@@ -248,11 +248,11 @@
 // TestGreatest guards against records that are lost, doubled or out of order.
 func TestGreatest(t *testing.T) {
 	rec := func(c byte) string { return fmt.Sprintf("%015d%c", 0, c) }
-	got := string(relay.Greatest(3, [][]byte{[]byte(rec('a') + rec('c') + "short"), []byte(rec('c') + rec('b')), nil}))
+	got := string(relay.TopRecords(3, [][]byte{[]byte(rec('a') + rec('c') + "short"), []byte(rec('c') + rec('b')), nil}))
 	if want := rec('c') + rec('c') + rec('b'); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if got := relay.Greatest(0, [][]byte{[]byte(rec('a'))}); len(got) != 0 {
+	if got := relay.TopRecords(0, [][]byte{[]byte(rec('a'))}); len(got) != 0 {
 		t.Errorf("got %q, want nothing", got)
 	}
 }
--- a/relay/preset_test.go
+++ b/relay/preset_test.go
@@ -11,8 +11,8 @@
 // TestPreset guards against decisions that do not follow the preset in force.
 func TestPreset(t *testing.T) {
 	with := func(change func(p *preset.Preset)) *relay.Model {
-		rec := preset.Gateway()
-		p := rec.Current()
+		rec := preset.GatewayDefault()
+		p := rec.CurrentPreset()
 		change(&p)
 		m := carried(t, "va", "a")
 		m.Update(1000, relay.BudgetMsg{Ratio: 0.2, Extra: 58, WindowMs: 10_000})
--- a/relay/reply.go
+++ b/relay/reply.go
@@ -31,7 +31,7 @@
 // notRun takes back an attempt that the upstream states it did not run.
 func (m *Model) notRun(now clock.Millis, a *attempt, rep Reply) {
 	u := a.upstream
-	if rep.Misled {
+	if rep.WrongUpstream {
 		// Another upstream has the address, so this one is gone. Each further
 		// attempt would count as work for the service of the new owner.
 		m.event("address_reused", a.part.req, u, u.info.Address, now-a.sentAt)
@@ -62,7 +62,7 @@
 	m.retry(now, p)
 }
 
-func (m *Model) attemptFailed(now clock.Millis, msg FailMsg) {
+func (m *Model) attemptFailed(now clock.Millis, msg AttemptFailedMsg) {
 	a := m.attempts[msg.Attempt]
 	if a == nil {
 		return
--- a/relay/send.go
+++ b/relay/send.go
@@ -40,7 +40,7 @@
 	m.attempts[a.id] = a
 	m.emit(SendCmd{
 		Attempt: a.id, Request: p.req.id, Upstream: u.info.ID, Address: u.info.Address,
-		LeftMs: max(p.req.due-now, 1), Gather: p.req.gathers(), Fresh: !p.req.route.Idempotent,
+		RemainingMs: max(p.req.due-now, 1), Gather: p.req.gathers(), NonIdempotent: !p.req.route.Idempotent,
 	})
 	if p.req.route.Idempotent {
 		m.wake(p.req, a.hedgeAt)
--- a/relay/service.go
+++ b/relay/service.go
@@ -97,7 +97,7 @@
 		m.services[name] = s
 		if m.table != nil {
 			s.configure(m.table)
-			s.carried = m.table.Shard(name)
+			s.carried = m.table.IsShard(name)
 		}
 	}
 	return s
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -6,15 +6,15 @@
 
 // Upstream is what one upstream says of itself.
 type Upstream struct {
-	ID         string // of one start; an address can pass to another upstream
-	Service    string
-	Address    string
-	DataCentre string
-	Slots      int // requests that it runs at once
-	Leaving    bool
-	ColdMs     clock.Millis // how much longer it is slow after its start
-	Born       uint64       // orders the starts under one ID
-	Sequence   uint64       // orders the reports of one start
+	ID          string // of one start; an address can pass to another upstream
+	Service     string
+	Address     string
+	DataCentre  string
+	Slots       int // requests that it runs at once
+	Leaving     bool
+	ColdMs      clock.Millis // how much longer it is slow after its start
+	Incarnation uint64       // orders the starts under one ID
+	Sequence    uint64       // orders the reports of one start
 }
 
 const (
--- a/route/config.go
+++ b/route/config.go
@@ -13,23 +13,23 @@
 // Route says where requests of one host and path prefix go, and how.
 // Exactly one of Service, Split and Gather is set.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Service     string
-	Split       []Share
-	Gather      []string // the shards; every one of them holds a part of the answer
-	Idempotent  bool
-	TimeoutMs   clock.Millis // longest time until the final answer
-	TargetMs    clock.Millis // an answer within this time is worth most
-	Priority    int          // 0 is the most urgent
-	MaxAttempts int          // upstreams that may run one request, per shard
-	Top         int          // records in a gathered answer
-	MinShare    float64      // share of the shards, 0 to 1, below which a gathered answer fails
+	Name          string
+	Host          string
+	Prefix        string // begins and ends with a slash
+	Service       string
+	Split         []WeightedService
+	Gather        []string // the shards; every one of them holds a part of the answer
+	Idempotent    bool
+	TimeoutMs     clock.Millis // longest time until the final answer
+	TargetMs      clock.Millis // an answer within this time is worth most
+	Priority      int          // 0 is the most urgent
+	MaxAttempts   int          // upstreams that may run one request, per shard
+	TopK          int          // records in a gathered answer
+	MinShardRatio float64      // share of the shards, 0 to 1, below which a gathered answer fails
 }
 
-// Share is one part of a split.
-type Share struct {
+// WeightedService is one part of a split.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
--- a/route/split.go
+++ b/route/split.go
@@ -36,8 +36,8 @@
 	return r.Split[best].Service
 }
 
-// Keep forgets the history of routes that t no longer splits.
-func (s *Splitter) Keep(t *Table) {
+// Prune forgets the history of routes that t no longer splits.
+func (s *Splitter) Prune(t *Table) {
 	kept := make(map[string][]float64, len(s.credits))
 	for i := range t.config.Routes {
 		r := &t.config.Routes[i]
--- a/route/table.go
+++ b/route/table.go
@@ -38,8 +38,8 @@
 // Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// Shard reports whether some route gathers parts from a service.
-func (t *Table) Shard(name string) bool { return t.shards[name] }
+// IsShard reports whether some route gathers parts from a service.
+func (t *Table) IsShard(name string) bool { return t.shards[name] }
 
 // Service returns the service with the given name.
 func (t *Table) Service(name string) (Service, bool) {
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -47,7 +47,7 @@
 
 // TestSplit guards against shares that stray from their weights, also over few requests.
 func TestSplit(t *testing.T) {
-	r := route.Route{Name: "r", Split: []route.Share{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}, {Service: "c", Weight: 0}}}
+	r := route.Route{Name: "r", Split: []route.WeightedService{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}, {Service: "c", Weight: 0}}}
 	s := route.NewSplitter()
 	got := map[string]int{}
 	for n := 1; n <= 400; n++ {
@@ -63,10 +63,10 @@
 
 // TestSplitKeep guards against shares that start anew with each version of the configuration.
 func TestSplitKeep(t *testing.T) {
-	r := route.Route{Name: "r", Split: []route.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
+	r := route.Route{Name: "r", Split: []route.WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
 	s := route.NewSplitter()
 	first := s.Next(&r)
-	s.Keep(route.NewTable(route.Config{Routes: []route.Route{r}}))
+	s.Prune(route.NewTable(route.Config{Routes: []route.Route{r}}))
 	if got := s.Next(&r); got == first {
 		t.Errorf("got %q twice in a row, want the other service", got)
 	}
--- a/standin/bench_test.go
+++ b/standin/bench_test.go
@@ -28,7 +28,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if got := c.Send(b.Context(), query(seq.Add(1), longMs)); got.Status != attempt.OK {
-				b.Fatalf("Send = %v %v", got.Status, got.Ran)
+				b.Fatalf("Send = %v %v", got.Status, got.Execution)
 			}
 		}
 	})
@@ -36,7 +36,7 @@
 
 // BenchmarkDecodeReply measures the decoding of a reply with a few rows.
 func BenchmarkDecodeReply(b *testing.B) {
-	doc := httpup.ReplyDoc{Attempt: query(1, 0).ID, Status: httpup.StatusOK, Ran: attempt.Yes, Held: []uint64{1, 2},
+	doc := httpup.ReplyDoc{Attempt: query(1, 0).ID, Status: httpup.StatusOK, Ran: attempt.Executed, Held: []uint64{1, 2},
 		Ranges: []coverage.Range{{To: 1000}}}
 	for key := range uint32(4) {
 		doc.Rows = append(doc.Rows, coverage.Row{Key: key, Value: standin.RowValue(key, 1)})
--- a/standin/deployment_test.go
+++ b/standin/deployment_test.go
@@ -43,7 +43,7 @@
 			req := query(uint64(i), longMs)
 			req.Upstream = string(id)
 			if got := c.Send(t.Context(), req); got.Status != attempt.OK {
-				t.Errorf("Send to %s = %v %v, want ok", id, got.Status, got.Ran)
+				t.Errorf("Send to %s = %v %v, want ok", id, got.Status, got.Execution)
 			}
 		}
 		c.Close()
@@ -78,7 +78,7 @@
 			req := query(uint64(i), longMs)
 			req.Upstream, req.Version = string(g.Replicas[0].ID), version-1
 			got := c.Send(t.Context(), req)
-			if got.Status != attempt.OK || got.Epoch != uint64(step)+2 || len(got.Held) != 2 {
+			if got.Status != attempt.OK || got.Epoch != uint64(step)+2 || len(got.HeldVersions) != 2 {
 				t.Fatalf("Send = %+v, want ok under epoch %d with two held versions", got, step+2)
 			}
 			for _, r := range got.Ranges {
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -95,7 +95,7 @@
 	u.data.Lock()
 	defer u.data.Unlock()
 	u.counts.add(status)
-	doc := u.document(req, status, attempt.No)
+	doc := u.document(req, status, attempt.NotExecuted)
 	if status == httpup.StatusShed {
 		doc.RetryAfterMs = shedRetryMs
 	}
@@ -150,14 +150,14 @@
 	u.data.Lock()
 	defer u.data.Unlock()
 	u.counts.add(status)
-	return u.document(req, status, attempt.Unknown)
+	return u.document(req, status, attempt.ExecutionUnknown)
 }
 
 func (u *Upstream) finish(req httpup.RequestDoc, kind attempt.Kind) httpup.ReplyDoc {
 	u.data.Lock()
 	defer u.data.Unlock()
 	u.counts.Finished++
-	doc := u.document(req, httpup.StatusOK, attempt.Yes)
+	doc := u.document(req, httpup.StatusOK, attempt.Executed)
 	doc.Version = req.Version
 	if kind == attempt.Order {
 		doc.Body = req.Body
@@ -185,7 +185,7 @@
 func RowValue(key uint32, version uint64) string { return fmt.Sprintf("v%d/%d", version, key) }
 
 // document fills the fields that every reply carries. The caller holds u.data.
-func (u *Upstream) document(req httpup.RequestDoc, status string, ran attempt.Ran) httpup.ReplyDoc {
+func (u *Upstream) document(req httpup.RequestDoc, status string, ran attempt.Execution) httpup.ReplyDoc {
 	return httpup.ReplyDoc{
 		Attempt: req.Attempt,
 		Status:  status,
--- a/standin/upstream_test.go
+++ b/standin/upstream_test.go
@@ -59,16 +59,16 @@
 		on, off any
 		budget  clock.Millis
 		status  attempt.Status
-		ran     attempt.Ran
+		ran     attempt.Execution
 	}{
-		{"down", true, false, longMs, attempt.Refused, attempt.No},
-		{"leaving", true, false, longMs, attempt.Leaving, attempt.No},
-		{"drop", 1, nil, longMs, attempt.VersionGone, attempt.No},
-		{"late_share", 1, 0, shortMs, attempt.TimedOut, attempt.Unknown},
-		{"crossed_share", 1, 0, longMs, attempt.Mismatched, attempt.Unknown},
-		{"cut_share", 1, 0, longMs, attempt.Mismatched, attempt.Unknown},
-		{"doubled_share", 1, 0, longMs, attempt.Mismatched, attempt.Unknown},
-		{"median_ms", 60_000, 0, shortMs, attempt.TimedOut, attempt.Unknown},
+		{"down", true, false, longMs, attempt.ConnRefused, attempt.NotExecuted},
+		{"leaving", true, false, longMs, attempt.Leaving, attempt.NotExecuted},
+		{"drop", 1, nil, longMs, attempt.VersionGone, attempt.NotExecuted},
+		{"late_share", 1, 0, shortMs, attempt.TimedOut, attempt.ExecutionUnknown},
+		{"crossed_share", 1, 0, longMs, attempt.Mismatched, attempt.ExecutionUnknown},
+		{"cut_share", 1, 0, longMs, attempt.Mismatched, attempt.ExecutionUnknown},
+		{"doubled_share", 1, 0, longMs, attempt.Mismatched, attempt.ExecutionUnknown},
+		{"median_ms", 60_000, 0, shortMs, attempt.TimedOut, attempt.ExecutionUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.fault, func(t *testing.T) {
@@ -80,8 +80,8 @@
 			}
 			inject(t, u, tt.fault, tt.on)
 			got := c.Send(t.Context(), query(2, tt.budget))
-			if got.Status != tt.status || got.Ran != tt.ran || len(got.Rows) > 0 {
-				t.Errorf("Send = %v %v with %d rows, want %v %v", got.Status, got.Ran, len(got.Rows), tt.status, tt.ran)
+			if got.Status != tt.status || got.Execution != tt.ran || len(got.Rows) > 0 {
+				t.Errorf("Send = %v %v with %d rows, want %v %v", got.Status, got.Execution, len(got.Rows), tt.status, tt.ran)
 			}
 			if tt.off == nil {
 				inject(t, u, "hold", 1)
@@ -121,8 +121,8 @@
 				if got.Status == attempt.OK && string(got.Body) != name {
 					t.Errorf("order %s got the reply to %s", name, got.Body)
 				}
-				if got.Status != attempt.OK && got.Ran != attempt.Unknown {
-					t.Errorf("order %s ended %v %v, want ran unknown", name, got.Status, got.Ran)
+				if got.Status != attempt.OK && got.Execution != attempt.ExecutionUnknown {
+					t.Errorf("order %s ended %v %v, want ran unknown", name, got.Status, got.Execution)
 				}
 				if runs := u.Runs(name); runs != 1 {
 					t.Errorf("order %s ran %d times, want 1", name, runs)
@@ -144,8 +144,8 @@
 	for seq := range uint64(4 * limit) {
 		wg.Go(func() {
 			got := c.Send(t.Context(), query(seq, longMs))
-			if got.Status != attempt.OK && got.Ran == attempt.Yes {
-				t.Errorf("Send = %v %v", got.Status, got.Ran)
+			if got.Status != attempt.OK && got.Execution == attempt.Executed {
+				t.Errorf("Send = %v %v", got.Status, got.Execution)
 			}
 		})
 	}
@@ -165,7 +165,7 @@
 	go func() { queued <- c.Send(t.Context(), order(2, "queued")) }()
 	waitLoad(t, c, func(l upstream.Load) bool { return l.Queued == 1 })
 
-	if got := c.Send(t.Context(), order(3, "shed")); got.Status != attempt.Shed || got.Ran != attempt.No || got.RetryAfter == 0 {
+	if got := c.Send(t.Context(), order(3, "shed")); got.Status != attempt.Shed || got.Execution != attempt.NotExecuted || got.RetryAfter == 0 {
 		t.Errorf("Send above the queue = %+v, want shed, not run, with a retry-after time", got)
 	}
 	for _, seq := range []uint64{2, 1} {
@@ -173,11 +173,11 @@
 			t.Fatal(err)
 		}
 	}
-	if got := <-queued; got.Status != attempt.Cancelled || got.Ran != attempt.No {
-		t.Errorf("cancelled while queued = %v %v, want cancelled no", got.Status, got.Ran)
+	if got := <-queued; got.Status != attempt.Cancelled || got.Execution != attempt.NotExecuted {
+		t.Errorf("cancelled while queued = %v %v, want cancelled no", got.Status, got.Execution)
 	}
-	if got := <-first; got.Status != attempt.Cancelled || got.Ran != attempt.Unknown {
-		t.Errorf("cancelled while running = %v %v, want cancelled unknown", got.Status, got.Ran)
+	if got := <-first; got.Status != attempt.Cancelled || got.Execution != attempt.ExecutionUnknown {
+		t.Errorf("cancelled while running = %v %v, want cancelled unknown", got.Status, got.Execution)
 	}
 	if u.Runs("queued")+u.Runs("shed") != 0 || u.Counts().Started != 1 {
 		t.Errorf("Counts = %+v, want one started", u.Counts())
--- a/timeline/event.go
+++ b/timeline/event.go
@@ -46,12 +46,12 @@
 // Event is one thing that happened on one VM. Machines leave Stamp and VM
 // empty; the core fills them in.
 type Event struct {
-	Stamp    clock.Stamp `json:"stamp"`
-	VM       string      `json:"vm"`
-	Kind     Kind        `json:"kind"`
-	Request  string      `json:"request,omitempty"`
-	Upstream string      `json:"upstream,omitempty"`
-	Revision uint64      `json:"revision,omitempty"`
-	Rank     string      `json:"rank,omitempty"`
-	Detail   string      `json:"detail,omitempty"`
+	Timestamp clock.Timestamp `json:"stamp"`
+	VM        string          `json:"vm"`
+	Kind      Kind            `json:"kind"`
+	Request   string          `json:"request,omitempty"`
+	Upstream  string          `json:"upstream,omitempty"`
+	Revision  uint64          `json:"revision,omitempty"`
+	Rank      string          `json:"rank,omitempty"`
+	Detail    string          `json:"detail,omitempty"`
 }
--- a/timeline/plot.go
+++ b/timeline/plot.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		xys = append(xys, plotter.XY{
-			X: float64(ev.Stamp.WallMs-events[0].Stamp.WallMs) / 1000,
+			X: float64(ev.Timestamp.WallMs-events[0].Timestamp.WallMs) / 1000,
 			Y: float64(slices.Index(vms, ev.VM)),
 		})
 	}
--- a/timeline/query.go
+++ b/timeline/query.go
@@ -12,7 +12,7 @@
 	var out []Event
 	add := func(events []Event) {
 		for _, ev := range events {
-			if f.Match(ev) {
+			if f.Matches(ev) {
 				out = append(out, ev)
 			}
 		}
@@ -27,8 +27,8 @@
 // Dropped returns how many events were replaced by newer ones.
 func (r *Ring) Dropped() uint64 { return r.dropped }
 
-// Stamp returns the most recent stamp.
-func (r *Ring) Stamp() clock.Stamp { return r.clock.Last() }
+// LastTimestamp returns the most recent stamp.
+func (r *Ring) LastTimestamp() clock.Timestamp { return r.clock.Last() }
 
 // Filter selects events. Empty fields match everything.
 type Filter struct {
@@ -37,11 +37,11 @@
 	Revision uint64
 	Kind     Kind
 	SinceMs  clock.Millis
-	After    clock.Stamp // events with a greater stamp, for following
+	After    clock.Timestamp // events with a greater stamp, for following
 }
 
-// Match reports whether ev passes the filter.
-func (f Filter) Match(ev Event) bool {
+// Matches reports whether ev passes the filter.
+func (f Filter) Matches(ev Event) bool {
 	switch {
 	case f.Request != "" && ev.Request != f.Request:
 		return false
@@ -51,10 +51,10 @@
 		return false
 	case f.Kind != "" && ev.Kind != f.Kind:
 		return false
-	case ev.Stamp.WallMs < f.SinceMs:
+	case ev.Timestamp.WallMs < f.SinceMs:
 		return false
 	}
-	return f.After == (clock.Stamp{}) || ev.Stamp.Compare(f.After) > 0
+	return f.After == (clock.Timestamp{}) || ev.Timestamp.Compare(f.After) > 0
 }
 
 // Merge joins the events of several VMs in the order of their stamps. Equal
@@ -62,7 +62,7 @@
 func Merge(lists ...[]Event) []Event {
 	out := slices.Concat(lists...)
 	slices.SortStableFunc(out, func(a, b Event) int {
-		if c := a.Stamp.Compare(b.Stamp); c != 0 {
+		if c := a.Timestamp.Compare(b.Timestamp); c != 0 {
 			return c
 		}
 		return strings.Compare(a.VM, b.VM)
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -26,7 +26,7 @@
 // Add stamps ev and stores it, replacing the oldest event of a full ring.
 // It returns the stamped event.
 func (r *Ring) Add(now clock.Millis, ev Event) Event {
-	ev.Stamp = r.clock.Next(now)
+	ev.Timestamp = r.clock.Next(now)
 	ev.VM = r.vm
 	if r.full {
 		r.dropped++
@@ -41,7 +41,7 @@
 
 // Observe merges the stamp of a message from another VM, so that events
 // caused by the message sort after its sending.
-func (r *Ring) Observe(now clock.Millis, stamp clock.Stamp) { r.clock.Observe(now, stamp) }
+func (r *Ring) Observe(now clock.Millis, stamp clock.Timestamp) { r.clock.Observe(now, stamp) }
 
-// Next returns a stamp for a message that is sent now.
-func (r *Ring) Next(now clock.Millis) clock.Stamp { return r.clock.Next(now) }
+// NextTimestamp returns a stamp for a message that is sent now.
+func (r *Ring) NextTimestamp(now clock.Millis) clock.Timestamp { return r.clock.Next(now) }
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -33,7 +33,7 @@
 	sender := timeline.NewRing("vm-b", 8)
 	receiver := timeline.NewRing("vm-a", 8)
 	sent := sender.Add(1000, timeline.Event{Kind: timeline.PresetSwitched})
-	receiver.Observe(400, sent.Stamp)
+	receiver.Observe(400, sent.Timestamp)
 	receiver.Add(400, timeline.Event{Kind: timeline.PresetApplied})
 	merged := timeline.Merge(receiver.Events(timeline.Filter{}), sender.Events(timeline.Filter{}))
 	if got, want := merged[0].Kind, timeline.PresetSwitched; got != want {
@@ -45,8 +45,8 @@
 // every stamp of the fleet into the future.
 func TestObserveIgnoresWildClock(t *testing.T) {
 	r := timeline.NewRing("vm-1", 8)
-	r.Observe(1000, clock.Stamp{WallMs: 1000 + 10*clock.Hour})
-	got := r.Add(1001, timeline.Event{}).Stamp.WallMs
+	r.Observe(1000, clock.Timestamp{WallMs: 1000 + 10*clock.Hour})
+	got := r.Add(1001, timeline.Event{}).Timestamp.WallMs
 	if want := clock.Millis(1001); got != want {
 		t.Errorf("stamp = %d, want %d", got, want)
 	}
@@ -55,7 +55,7 @@
 // TestFilter guards against events that a filter should hide or show.
 func TestFilter(t *testing.T) {
 	ev := timeline.Event{
-		Stamp: clock.Stamp{WallMs: 50, Logical: 1}, Kind: timeline.Refused,
+		Timestamp: clock.Timestamp{WallMs: 50, Logical: 1}, Kind: timeline.Refused,
 		Request: "q1", Upstream: "plots/g1/0", Revision: 7,
 	}
 	for name, tc := range map[string]struct {
@@ -71,10 +71,10 @@
 		"other revision":   {timeline.Filter{Revision: 8}, false},
 		"other kind":       {timeline.Filter{Kind: timeline.Queued}, false},
 		"since later":      {timeline.Filter{SinceMs: 51}, false},
-		"after same stamp": {timeline.Filter{After: ev.Stamp}, false},
-		"after earlier":    {timeline.Filter{After: clock.Stamp{WallMs: 50}}, true},
+		"after same stamp": {timeline.Filter{After: ev.Timestamp}, false},
+		"after earlier":    {timeline.Filter{After: clock.Timestamp{WallMs: 50}}, true},
 	} {
-		if got := tc.filter.Match(ev); got != tc.want {
+		if got := tc.filter.Matches(ev); got != tc.want {
 			t.Errorf("%s: Match = %v, want %v", name, got, tc.want)
 		}
 	}
@@ -83,8 +83,8 @@
 // TestWritePlot guards against a plot that cannot be drawn in an offered format.
 func TestWritePlot(t *testing.T) {
 	events := []timeline.Event{
-		{Stamp: clock.Stamp{WallMs: 1000}, VM: "vm-1", Kind: timeline.Queued},
-		{Stamp: clock.Stamp{WallMs: 2000}, VM: "vm-2", Kind: timeline.Refused},
+		{Timestamp: clock.Timestamp{WallMs: 1000}, VM: "vm-1", Kind: timeline.Queued},
+		{Timestamp: clock.Timestamp{WallMs: 2000}, VM: "vm-2", Kind: timeline.Refused},
 	}
 	for format, magic := range map[string]string{"png": "\x89PNG", "svg": "<?xml"} {
 		var buf bytes.Buffer
--- a/upstream/book_test.go
+++ b/upstream/book_test.go
@@ -26,7 +26,7 @@
 }
 
 func ok(ms clock.Millis, held ...uint64) attempt.Reply {
-	return attempt.Reply{Status: attempt.OK, ServiceMs: ms, Held: held}
+	return attempt.Reply{Status: attempt.OK, ServiceMs: ms, HeldVersions: held}
 }
 
 // share returns the percentage of picks that choose id.
@@ -68,11 +68,11 @@
 			b.MarkLeaving(0, one)
 			b.MarkBack(1000, one)
 		}, 7000, 40, 60},
-		{"refused", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.Refused}) }, 200, 0, 0},
+		{"refused", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused}) }, 200, 0, 0},
 		{"one failure", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.Failed}) }, 200, 40, 60},
-		{"due for a trial", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.Refused}) }, 300, 100, 100},
+		{"due for a trial", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused}) }, 300, 100, 100},
 		{"trial in flight", func(b *upstream.Book) {
-			observe(b, 0, one, attempt.Reply{Status: attempt.Refused})
+			observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused})
 			b.Sent(300, one)
 		}, 300, 0, 0},
 		{"shedding", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.Shed}) }, 20, 0, 0},
@@ -110,7 +110,7 @@
 func TestPickLastResort(t *testing.T) {
 	b := newBook()
 	b.MarkLeaving(0, two)
-	observe(b, 0, one, attempt.Reply{Status: attempt.Refused})
+	observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused})
 	if got, found := b.Pick(1, "s", "g", nil); !found || got != one {
 		t.Errorf("Pick = %q, %v, want the dead replica", got, found)
 	}
@@ -135,7 +135,7 @@
 	for range 320 {
 		if got, _ := b.PickVersion(clock.Hour, "s", "g", 2, nil); got == one {
 			lacking++
-			observe(b, clock.Hour, one, attempt.Reply{Status: attempt.VersionGone, Held: []uint64{1}})
+			observe(b, clock.Hour, one, attempt.Reply{Status: attempt.VersionGone, HeldVersions: []uint64{1}})
 		}
 	}
 	if lacking < 1 || lacking > 10 {
@@ -178,7 +178,7 @@
 			observe(b, 0, one, ok(8, 1))
 			observe(b, 0, two, ok(8, 2))
 			observe(b, 0, "s/h/1", ok(8, 1, 2))
-			observe(b, 0, two, attempt.Reply{Status: attempt.Refused})
+			observe(b, 0, two, attempt.Reply{Status: attempt.ConnRefused})
 		}, 1, true},
 	}
 	for _, tt := range tests {
--- a/upstream/httpup/httpup_test.go
+++ b/upstream/httpup/httpup_test.go
@@ -80,7 +80,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", length)
 }
 
-func whole(status string, ran attempt.Ran, at attempt.ID) string {
+func whole(status string, ran attempt.Execution, at attempt.ID) string {
 	b, _ := json.Marshal(httpup.ReplyDoc{Attempt: at, Status: status, Ran: ran, Held: []uint64{1},
 		Rows: []coverage.Row{{Key: 1, Value: at.String()}}})
 	return head(len(b)) + string(b)
@@ -108,8 +108,8 @@
 // TestSendStatus guards against a wrong claim about whether work ran, and
 // against a connection that is kept after a reply that cannot be trusted.
 func TestSendStatus(t *testing.T) {
-	ok := func(at attempt.ID) string { return whole("ok", attempt.Yes, at) }
-	reply := func(status string, ran attempt.Ran) script {
+	ok := func(at attempt.ID) string { return whole("ok", attempt.Executed, at) }
+	reply := func(status string, ran attempt.Execution) script {
 		return write(func(at attempt.ID) string { return whole(status, ran, at) }, true)
 	}
 	text := func(s string) script { return write(func(attempt.ID) string { return s }, true) }
@@ -118,32 +118,32 @@
 		answer script
 		budget clock.Millis
 		status attempt.Status
-		ran    attempt.Ran
+		ran    attempt.Execution
 		closes bool
 	}{
-		{"ok", reply("ok", attempt.Yes), longMs, attempt.OK, attempt.Yes, false},
-		{"version gone", reply("version_gone", attempt.No), longMs, attempt.VersionGone, attempt.No, false},
-		{"shed", reply("shed", attempt.No), longMs, attempt.Shed, attempt.No, false},
-		{"leaving", reply("leaving", attempt.No), longMs, attempt.Leaving, attempt.No, false},
-		{"expired before it started", reply("expired", attempt.No), longMs, attempt.TimedOut, attempt.No, false},
-		{"expired while it ran", reply("expired", attempt.Unknown), longMs, attempt.TimedOut, attempt.Unknown, false},
-		{"cancelled before it started", reply("cancelled", attempt.No), longMs, attempt.Cancelled, attempt.No, false},
-		{"cancelled while it ran", reply("cancelled", attempt.Unknown), longMs, attempt.Cancelled, attempt.Unknown, false},
-		{"ok that did not run", reply("ok", attempt.No), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"shed that ran", reply("shed", attempt.Yes), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"unknown status", reply("fine", attempt.Yes), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"another attempt", write(func(at attempt.ID) string { at.Seq++; return ok(at) }, true), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"doubled", write(func(at attempt.ID) string { return ok(at) + ok(at) }, true), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"cut body", write(func(at attempt.ID) string { s := ok(at); return s[:len(s)-3] }, false), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"cut head", write(func(attempt.ID) string { return "HTTP/1.1 200 OK\r\nContent-" }, false), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"not JSON", text(head(3) + "{]}"), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"no length", text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n"), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"no body", text("HTTP/1.1 204 No Content\r\n\r\n"), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"oversized", text(head(replyBytes+1) + strings.Repeat("x", replyBytes+1)), longMs, attempt.Mismatched, attempt.Unknown, true},
-		{"HTTP error", text("HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\n{}"), longMs, attempt.Failed, attempt.Unknown, true},
-		{"closed without a reply", func(net.Conn, httpup.RequestDoc) bool { return false }, longMs, attempt.Failed, attempt.Unknown, true},
-		{"no reply", func(net.Conn, httpup.RequestDoc) bool { return true }, shortMs, attempt.TimedOut, attempt.Unknown, true},
-		{"half a reply", text(head(10) + "{"), shortMs, attempt.TimedOut, attempt.Unknown, true},
+		{"ok", reply("ok", attempt.Executed), longMs, attempt.OK, attempt.Executed, false},
+		{"version gone", reply("version_gone", attempt.NotExecuted), longMs, attempt.VersionGone, attempt.NotExecuted, false},
+		{"shed", reply("shed", attempt.NotExecuted), longMs, attempt.Shed, attempt.NotExecuted, false},
+		{"leaving", reply("leaving", attempt.NotExecuted), longMs, attempt.Leaving, attempt.NotExecuted, false},
+		{"expired before it started", reply("expired", attempt.NotExecuted), longMs, attempt.TimedOut, attempt.NotExecuted, false},
+		{"expired while it ran", reply("expired", attempt.ExecutionUnknown), longMs, attempt.TimedOut, attempt.ExecutionUnknown, false},
+		{"cancelled before it started", reply("cancelled", attempt.NotExecuted), longMs, attempt.Cancelled, attempt.NotExecuted, false},
+		{"cancelled while it ran", reply("cancelled", attempt.ExecutionUnknown), longMs, attempt.Cancelled, attempt.ExecutionUnknown, false},
+		{"ok that did not run", reply("ok", attempt.NotExecuted), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"shed that ran", reply("shed", attempt.Executed), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"unknown status", reply("fine", attempt.Executed), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"another attempt", write(func(at attempt.ID) string { at.Seq++; return ok(at) }, true), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"doubled", write(func(at attempt.ID) string { return ok(at) + ok(at) }, true), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"cut body", write(func(at attempt.ID) string { s := ok(at); return s[:len(s)-3] }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"cut head", write(func(attempt.ID) string { return "HTTP/1.1 200 OK\r\nContent-" }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"not JSON", text(head(3) + "{]}"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"no length", text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"no body", text("HTTP/1.1 204 No Content\r\n\r\n"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"oversized", text(head(replyBytes+1) + strings.Repeat("x", replyBytes+1)), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"HTTP error", text("HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\n{}"), longMs, attempt.Failed, attempt.ExecutionUnknown, true},
+		{"closed without a reply", func(net.Conn, httpup.RequestDoc) bool { return false }, longMs, attempt.Failed, attempt.ExecutionUnknown, true},
+		{"no reply", func(net.Conn, httpup.RequestDoc) bool { return true }, shortMs, attempt.TimedOut, attempt.ExecutionUnknown, true},
+		{"half a reply", text(head(10) + "{"), shortMs, attempt.TimedOut, attempt.ExecutionUnknown, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -152,7 +152,7 @@
 			c := client(t, p.address)
 			req := request(1, tt.budget)
 			got := c.Send(t.Context(), req)
-			if got.Status != tt.status || got.Ran != tt.ran || got.ID != req.ID || got.Upstream != id {
+			if got.Status != tt.status || got.Execution != tt.ran || got.ID != req.ID || got.Upstream != id {
 				t.Errorf("Send = %+v, want status %v, ran %v", got, tt.status, tt.ran)
 			}
 			if got.Status == attempt.Mismatched && (got.Rows != nil || got.Body != nil) {
@@ -198,7 +198,7 @@
 		connections int
 		want        attempt.Status
 	}{
-		{"connection refused", t.Context(), request(1, longMs), limit, attempt.Refused},
+		{"connection refused", t.Context(), request(1, longMs), limit, attempt.ConnRefused},
 		{"deadline passed", t.Context(), request(1, -1), limit, attempt.NotSent},
 		{"context done", done, request(1, longMs), limit, attempt.NotSent},
 		{"no connection allowed", t.Context(), request(1, longMs), 0, attempt.NotSent},
@@ -208,8 +208,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := client(t, address)
 			c.SetConnections(id, tt.connections)
-			if got := c.Send(tt.ctx, tt.req); got.Status != tt.want || got.Ran != attempt.No {
-				t.Errorf("Send = %v %v, want %v no", got.Status, got.Ran, tt.want)
+			if got := c.Send(tt.ctx, tt.req); got.Status != tt.want || got.Execution != attempt.NotExecuted {
+				t.Errorf("Send = %v %v, want %v no", got.Status, got.Execution, tt.want)
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 	var runs atomic.Int64
 	p := serve(t, func(c net.Conn, doc httpup.RequestDoc) bool {
 		runs.Add(1)
-		one := whole("ok", attempt.Yes, doc.Attempt)
+		one := whole("ok", attempt.Executed, doc.Attempt)
 		_, _ = io.WriteString(c, one)
 		_, err := io.WriteString(c, one)
 		return err == nil
@@ -247,14 +247,14 @@
 
 // TestConnectionLimit guards against more open connections than allowed.
 func TestConnectionLimit(t *testing.T) {
-	p := serve(t, write(func(at attempt.ID) string { return whole("ok", attempt.Yes, at) }, true))
+	p := serve(t, write(func(at attempt.ID) string { return whole("ok", attempt.Executed, at) }, true))
 	c := client(t, p.address)
 	var wg sync.WaitGroup
 	for seq := range uint64(64) {
 		wg.Go(func() {
 			got := c.Send(t.Context(), request(seq, longMs))
-			if got.Status != attempt.OK && (got.Status != attempt.NotSent || got.Ran != attempt.No) {
-				t.Errorf("Send = %v %v, want ok or not_sent no", got.Status, got.Ran)
+			if got.Status != attempt.OK && (got.Status != attempt.NotSent || got.Execution != attempt.NotExecuted) {
+				t.Errorf("Send = %v %v, want ok or not_sent no", got.Status, got.Execution)
 			}
 		})
 	}
@@ -279,8 +279,8 @@
 		if err == nil && got.ID != want {
 			t.Errorf("got a reply to %s, want %s", got.ID, want)
 		}
-		if err == nil && got.Status == attempt.OK && got.Ran != attempt.Yes {
-			t.Errorf("got an ok reply with ran %s", got.Ran)
+		if err == nil && got.Status == attempt.OK && got.Execution != attempt.Executed {
+			t.Errorf("got an ok reply with ran %s", got.Execution)
 		}
 	})
 }
--- a/upstream/httpup/send.go
+++ b/upstream/httpup/send.go
@@ -33,11 +33,11 @@
 func (c *Client) send(ctx context.Context, req attempt.Request, budget clock.Millis) attempt.Reply {
 	h, ok := c.hosts[upstream.ID(req.Upstream)]
 	if !ok || budget <= 0 {
-		return attempt.Reply{Status: attempt.NotSent, Ran: attempt.No}
+		return attempt.Reply{Status: attempt.NotSent, Execution: attempt.NotExecuted}
 	}
 	body, err := json.Marshal(requestDoc(req, budget))
 	if err != nil {
-		return attempt.Reply{Status: attempt.NotSent, Ran: attempt.No}
+		return attempt.Reply{Status: attempt.NotSent, Execution: attempt.NotExecuted}
 	}
 	call := httpcall.Call{Method: fasthttp.MethodPost, Path: path(req.Kind), Body: body, Timeout: budget.Duration()}
 	var reply attempt.Reply
@@ -79,20 +79,20 @@
 func (h *host) failed(err error) attempt.Reply {
 	var cerr *httpcall.Error
 	if !errors.As(err, &cerr) {
-		return attempt.Reply{Status: attempt.Failed, Ran: attempt.Unknown}
+		return attempt.Reply{Status: attempt.Failed, Execution: attempt.ExecutionUnknown}
 	}
 	switch cerr.Kind() {
 	case httpcall.KindNotSent, httpcall.KindStale:
-		return attempt.Reply{Status: attempt.NotSent, Ran: attempt.No}
+		return attempt.Reply{Status: attempt.NotSent, Execution: attempt.NotExecuted}
 	case httpcall.KindDial:
-		return attempt.Reply{Status: attempt.Refused, Ran: attempt.No}
+		return attempt.Reply{Status: attempt.ConnRefused, Execution: attempt.NotExecuted}
 	case httpcall.KindTimeout:
-		return attempt.Reply{Status: attempt.TimedOut, Ran: attempt.Unknown}
+		return attempt.Reply{Status: attempt.TimedOut, Execution: attempt.ExecutionUnknown}
 	case httpcall.KindBroken:
-		return attempt.Reply{Status: attempt.Failed, Ran: attempt.Unknown}
+		return attempt.Reply{Status: attempt.Failed, Execution: attempt.ExecutionUnknown}
 	case httpcall.KindRefused:
 		if errors.As(err, new(statusError)) {
-			return attempt.Reply{Status: attempt.Failed, Ran: attempt.Unknown}
+			return attempt.Reply{Status: attempt.Failed, Execution: attempt.ExecutionUnknown}
 		}
 		h.count(err)
 	case httpcall.KindDoubled:
@@ -100,7 +100,7 @@
 	default:
 		h.cut.Add(1)
 	}
-	return attempt.Reply{Status: attempt.Mismatched, Ran: attempt.Unknown}
+	return attempt.Reply{Status: attempt.Mismatched, Execution: attempt.ExecutionUnknown}
 }
 
 func (h *host) count(err error) {
--- a/upstream/httpup/wire.go
+++ b/upstream/httpup/wire.go
@@ -27,17 +27,17 @@
 
 // ReplyDoc is the reply to POST /query and POST /order.
 type ReplyDoc struct {
-	Attempt      attempt.ID       `json:"attempt"`
-	Status       string           `json:"status"`
-	Ran          attempt.Ran      `json:"ran"`
-	Version      uint64           `json:"version"`
-	Epoch        uint64           `json:"epoch"`
-	Ranges       []coverage.Range `json:"ranges,omitempty"`
-	Held         []uint64         `json:"held,omitempty"`
-	Rows         []coverage.Row   `json:"rows,omitempty"`
-	Body         []byte           `json:"body,omitempty"`
-	Leaving      bool             `json:"leaving"`
-	RetryAfterMs clock.Millis     `json:"retry_after_ms,omitempty"`
+	Attempt      attempt.ID        `json:"attempt"`
+	Status       string            `json:"status"`
+	Ran          attempt.Execution `json:"ran"`
+	Version      uint64            `json:"version"`
+	Epoch        uint64            `json:"epoch"`
+	Ranges       []coverage.Range  `json:"ranges,omitempty"`
+	Held         []uint64          `json:"held,omitempty"`
+	Rows         []coverage.Row    `json:"rows,omitempty"`
+	Body         []byte            `json:"body,omitempty"`
+	Leaving      bool              `json:"leaving"`
+	RetryAfterMs clock.Millis      `json:"retry_after_ms,omitempty"`
 }
 
 // CancelDoc is the body of POST /cancel.
@@ -65,15 +65,15 @@
 // outcome is what a wire status means. A settled outcome fixes whether the work ran.
 type outcome struct {
 	status  attempt.Status
-	ran     attempt.Ran
+	ran     attempt.Execution
 	settled bool
 }
 
 var outcomes = map[string]outcome{
-	StatusOK:          {attempt.OK, attempt.Yes, true},
-	StatusVersionGone: {attempt.VersionGone, attempt.No, true},
-	StatusShed:        {attempt.Shed, attempt.No, true},
-	StatusLeaving:     {attempt.Leaving, attempt.No, true},
+	StatusOK:          {attempt.OK, attempt.Executed, true},
+	StatusVersionGone: {attempt.VersionGone, attempt.NotExecuted, true},
+	StatusShed:        {attempt.Shed, attempt.NotExecuted, true},
+	StatusLeaving:     {attempt.Leaving, attempt.NotExecuted, true},
 	StatusExpired:     {status: attempt.TimedOut},
 	StatusCancelled:   {status: attempt.Cancelled},
 	StatusFailed:      {status: attempt.Failed},
@@ -112,16 +112,16 @@
 
 func (d *ReplyDoc) reply(status attempt.Status) attempt.Reply {
 	return attempt.Reply{
-		ID:         d.Attempt,
-		Status:     status,
-		Ran:        d.Ran,
-		Version:    d.Version,
-		Epoch:      d.Epoch,
-		Ranges:     d.Ranges,
-		Held:       d.Held,
-		Rows:       d.Rows,
-		Body:       d.Body,
-		Leaving:    d.Leaving,
-		RetryAfter: max(d.RetryAfterMs, 0),
+		ID:           d.Attempt,
+		Status:       status,
+		Execution:    d.Ran,
+		Version:      d.Version,
+		Epoch:        d.Epoch,
+		Ranges:       d.Ranges,
+		HeldVersions: d.Held,
+		Rows:         d.Rows,
+		Body:         d.Body,
+		Leaving:      d.Leaving,
+		RetryAfter:   max(d.RetryAfterMs, 0),
 	}
 }
--- a/upstream/observe.go
+++ b/upstream/observe.go
@@ -50,7 +50,7 @@
 	case attempt.Shed:
 		s.succeeded(now)
 		s.pause(now, r.RetryAfter)
-	case attempt.Refused:
+	case attempt.ConnRefused:
 		s.failed(now, failuresUntilDead)
 	case attempt.Failed, attempt.TimedOut, attempt.Mismatched:
 		s.failed(now, 1)
@@ -133,10 +133,10 @@
 }
 
 func (s *state) learn(now clock.Millis, r attempt.Reply, sentAt clock.Millis) {
-	if len(r.Held) > 0 {
+	if len(r.HeldVersions) > 0 {
 		s.heldAt = now
 		s.probePick = s.group.picks
-		s.setHeld(now, r.Held)
+		s.setHeld(now, r.HeldVersions)
 	}
 	switch {
 	case r.Leaving || r.Status == attempt.Leaving:
--- a/vm/call.go
+++ b/vm/call.go
@@ -14,9 +14,9 @@
 
 // Reasons of refusals that the core decides itself. Admission names the others.
 const (
-	ReasonNotReady       = "not_ready"
-	ReasonUnknownService = "unknown_service"
-	ReasonOpenOrder      = "order_in_progress"
+	ReasonNotReady        = "not_ready"
+	ReasonUnknownService  = "unknown_service"
+	ReasonOrderInProgress = "order_in_progress"
 )
 
 const notReadyRetryMs clock.Millis = 1000
@@ -25,25 +25,25 @@
 	cl := &call{query: m, rank: m.Rank, service: m.Service, arrived: now}
 	if reason := c.unready(m.Service); reason != "" {
 		c.event(now, timeline.Event{Kind: timeline.Refused, Request: m.ID, Rank: m.Rank.String(), Detail: reason})
-		c.answerQuery(now, m.Call, cl, QueryAnswer{Outcome: Refused, Ran: attempt.No, Reason: reason, RetryAfterMs: notReadyRetryMs})
+		c.answerQuery(now, m.CallID, cl, QueryAnswer{Outcome: Refused, Execution: attempt.NotExecuted, Reason: reason, RetryAfterMs: notReadyRetryMs})
 		return
 	}
-	c.admit(now, m.Call, cl, m.BudgetMs, c.services[m.Service].groups)
+	c.admit(now, m.CallID, cl, m.BudgetMs, c.services[m.Service].groups)
 }
 
 func (c *Core) arriveOrder(now clock.Millis, m OrderMsg) {
 	cl := &call{order: m, isOrder: true, rank: m.Rank, service: m.Service, arrived: now}
 	if reason := c.unready(m.Service); reason != "" {
 		c.event(now, timeline.Event{Kind: timeline.Refused, Request: m.ID, Rank: m.Rank.String(), Detail: reason})
-		c.answerOrder(now, m.Call, cl, OrderAnswer{Outcome: order.Refused, Ran: attempt.No, Reason: reason, RetryAfterMs: notReadyRetryMs})
+		c.answerOrder(now, m.CallID, cl, OrderAnswer{Outcome: order.OutcomeRefused, Execution: attempt.NotExecuted, Reason: reason, RetryAfterMs: notReadyRetryMs})
 		return
 	}
 	if _, open := c.openID[m.ID]; open {
-		c.answerOrder(now, m.Call, cl, OrderAnswer{Outcome: order.AlreadySubmitted, Reason: ReasonOpenOrder})
+		c.answerOrder(now, m.CallID, cl, OrderAnswer{Outcome: order.OutcomeAlreadySubmitted, Reason: ReasonOrderInProgress})
 		return
 	}
-	c.openID[m.ID] = m.Call
-	c.admit(now, m.Call, cl, 0, 1)
+	c.openID[m.ID] = m.CallID
+	c.admit(now, m.CallID, cl, 0, 1)
 }
 
 func (c *Core) unready(service string) string {
@@ -65,7 +65,7 @@
 	}
 	cl.preset, cl.rev = c.preset.Name, c.revision
 	c.calls[n] = cl
-	c.push(admission.ArriveMsg{ID: key(n), Rank: cl.rank, Service: cl.service, Cost: cost, Deadline: now + cl.budget})
+	c.push(admission.ArrivalMsg{ID: key(n), Rank: cl.rank, Service: cl.service, Cost: cost, Deadline: now + cl.budget})
 }
 
 func (c *Core) fromGate(now clock.Millis, cmds []admission.Cmd) {
@@ -85,7 +85,7 @@
 // noticeOverload switches hedging off for services whose work has to queue.
 func (c *Core) noticeOverload() {
 	for _, s := range c.ordered {
-		if on := c.gate.Waiting(s.name) > 0; on != s.overloaded {
+		if on := c.gate.QueuedTotal(s.name) > 0; on != s.overloaded {
 			s.overloaded = on
 			c.push(query.OverloadMsg{Service: s.name, Overloaded: on})
 		}
@@ -109,7 +109,7 @@
 	cl.preset, cl.rev = c.preset.Name, c.revision
 	if cl.isOrder {
 		c.push(order.SubmitMsg{
-			Call: n, ID: cl.order.ID, Rank: cl.rank, Service: cl.service, Group: cl.order.Group,
+			CallID: n, ID: cl.order.ID, Rank: cl.rank, Service: cl.service, Group: cl.order.Group,
 			Body: cl.order.Body, Deadline: m.Deadline, Outage: c.preset.OrdersOnStoreOutage,
 		})
 		return
@@ -131,11 +131,11 @@
 	case cl == nil:
 	case cl.isOrder:
 		c.answerOrder(now, n, cl, OrderAnswer{
-			Outcome: order.Refused, Ran: attempt.No, Reason: m.Reason.String(), RetryAfterMs: m.RetryAfterMs,
+			Outcome: order.OutcomeRefused, Execution: attempt.NotExecuted, Reason: m.Reason.String(), RetryAfterMs: m.RetryAfterMs,
 		})
 	default:
 		c.answerQuery(now, n, cl, QueryAnswer{
-			Outcome: Refused, Ran: attempt.No, Reason: m.Reason.String(), RetryAfterMs: m.RetryAfterMs,
+			Outcome: Refused, Execution: attempt.NotExecuted, Reason: m.Reason.String(), RetryAfterMs: m.RetryAfterMs,
 		})
 	}
 }
@@ -157,11 +157,11 @@
 	}
 	cl.gone = true
 	if !cl.running {
-		c.push(admission.GoneMsg{ID: key(n)})
+		c.push(admission.CancelMsg{ID: key(n)})
 		delete(c.calls, n)
 		return
 	}
-	c.push(query.CallerGoneMsg{ID: key(n)})
+	c.push(query.CallerDisconnectedMsg{ID: key(n)})
 	c.push(admission.DoneMsg{ID: key(n)})
 	delete(c.calls, n)
 }
@@ -171,10 +171,10 @@
 	if cl == nil {
 		return
 	}
-	c.push(admission.DoneMsg{ID: a.ID, QueueMs: a.MeanQueueMs, ServeMs: a.MeanServeMs, TookMs: a.TookMs, Overloaded: a.Overloaded})
+	c.push(admission.DoneMsg{ID: a.ID, QueueMs: a.MeanQueueMs, ServiceMs: a.MeanServiceMs, ElapsedMs: a.TookMs, Overloaded: a.Overloaded})
 	c.answerQuery(now, n, cl, QueryAnswer{
-		Outcome: Outcome(a.Outcome), Ran: a.Ran, Snapshot: a.Snapshot, Expected: a.Expected, Covered: a.Covered,
-		Missing: a.Missing, Rows: a.Rows, Reason: a.Reason, Attempts: a.Attempts, Needed: a.Needed,
+		Outcome: Outcome(a.Outcome), Execution: a.Execution, Snapshot: a.Snapshot, Expected: a.Expected, Covered: a.Covered,
+		Missing: a.Missing, Rows: a.Rows, Reason: a.Reason, Attempts: a.Attempts, AttemptsNeeded: a.Needed,
 	})
 }
 
@@ -188,17 +188,17 @@
 			Detail: string(a.Outcome) + " " + a.Reason,
 		})
 	}
-	c.emit(AnswerQueryCmd{Call: n, Answer: a})
+	c.emit(AnswerQueryCmd{CallID: n, Answer: a})
 }
 
 func (c *Core) orderAnswered(now clock.Millis, a order.Answer) {
-	cl := c.calls[a.Call]
+	cl := c.calls[a.CallID]
 	if cl == nil {
 		return
 	}
-	c.push(admission.DoneMsg{ID: key(a.Call), TookMs: now - cl.arrived})
-	c.answerOrder(now, a.Call, cl, OrderAnswer{
-		Outcome: a.Outcome, Ran: a.Ran, Reason: string(a.Reason), RetryAfterMs: a.RetryAfter, Body: a.Body,
+	c.push(admission.DoneMsg{ID: key(a.CallID), ElapsedMs: now - cl.arrived})
+	c.answerOrder(now, a.CallID, cl, OrderAnswer{
+		Outcome: a.Outcome, Execution: a.Execution, Reason: string(a.Reason), RetryAfterMs: a.RetryAfter, Body: a.Body,
 	})
 }
 
@@ -213,5 +213,5 @@
 		Kind: timeline.Answered, Request: a.ID, Rank: a.Rank.String(), Revision: a.Revision,
 		Detail: "order " + string(a.Outcome) + " " + a.Reason,
 	})
-	c.emit(AnswerOrderCmd{Call: n, Answer: a})
+	c.emit(AnswerOrderCmd{CallID: n, Answer: a})
 }
--- a/vm/carrier_query.go
+++ b/vm/carrier_query.go
@@ -9,8 +9,8 @@
 	return t.carriers[n][i].vm
 }
 
-// Carries reports whether member is a carrier of the upstream.
-func (t *CarrierTable) Carries(upstream, member string) bool {
+// IsCarrier reports whether member is a carrier of the upstream.
+func (t *CarrierTable) IsCarrier(upstream, member string) bool {
 	for i := range carriersPerUpstream {
 		if t.Carrier(upstream, i) == member {
 			return member != ""
@@ -19,10 +19,10 @@
 	return false
 }
 
-// Limit returns how many connections to an upstream with the given limit the
+// ConnectionLimit returns how many connections to an upstream with the given limit the
 // member may open.
-func (t *CarrierTable) Limit(upstream, member string, connections int) int {
-	if !t.Carries(upstream, member) {
+func (t *CarrierTable) ConnectionLimit(upstream, member string, connections int) int {
+	if !t.IsCarrier(upstream, member) {
 		return 0
 	}
 	return max(1, connections*connectionSharePercent/100)
--- a/vm/command.go
+++ b/vm/command.go
@@ -27,30 +27,30 @@
 
 // QueryAnswer is the answer to a QueryMsg.
 type QueryAnswer struct {
-	ID           string
-	Outcome      Outcome
-	Ran          attempt.Ran
-	Snapshot     uint64
-	Expected     uint32
-	Covered      uint32
-	Missing      []coverage.Range
-	Rows         []coverage.Row
-	Rank         rank.Rank
-	Service      string
-	Preset       string
-	Revision     uint64
-	TookMs       clock.Millis
-	Reason       string
-	RetryAfterMs clock.Millis
-	Attempts     int
-	Needed       int
+	ID             string
+	Outcome        Outcome
+	Execution      attempt.Execution
+	Snapshot       uint64
+	Expected       uint32
+	Covered        uint32
+	Missing        []coverage.Range
+	Rows           []coverage.Row
+	Rank           rank.Rank
+	Service        string
+	Preset         string
+	Revision       uint64
+	TookMs         clock.Millis
+	Reason         string
+	RetryAfterMs   clock.Millis
+	Attempts       int
+	AttemptsNeeded int
 }
 
 // OrderAnswer is the answer to an OrderMsg.
 type OrderAnswer struct {
 	ID           string
 	Outcome      order.Outcome
-	Ran          attempt.Ran
+	Execution    attempt.Execution
 	Rank         rank.Rank
 	Service      string
 	Preset       string
@@ -63,13 +63,13 @@
 
 // AnswerQueryCmd answers a caller.
 type AnswerQueryCmd struct {
-	Call   uint64
+	CallID uint64
 	Answer QueryAnswer
 }
 
 // AnswerOrderCmd answers a caller.
 type AnswerOrderCmd struct {
-	Call   uint64
+	CallID uint64
 	Answer OrderAnswer
 }
 
@@ -77,7 +77,7 @@
 // connection is left.
 type DispatchCmd struct {
 	Request attempt.Request
-	Open    bool
+	NewConn bool
 }
 
 // AbortCmd cancels a dispatched attempt at its upstream.
@@ -86,8 +86,8 @@
 	Upstream string
 }
 
-// ConnectionsCmd sets how many connections this VM may open to an upstream.
-type ConnectionsCmd struct {
+// ConnectionLimitCmd sets how many connections this VM may open to an upstream.
+type ConnectionLimitCmd struct {
 	Upstream    upstream.ID
 	Connections int
 }
@@ -101,12 +101,12 @@
 // EventCmd logs an event that was added to the time line.
 type EventCmd struct{ Event timeline.Event }
 
-func (AnswerQueryCmd) vmCmd() {}
-func (AnswerOrderCmd) vmCmd() {}
-func (DispatchCmd) vmCmd()    {}
-func (AbortCmd) vmCmd()       {}
-func (ConnectionsCmd) vmCmd() {}
-func (PollLoadCmd) vmCmd()    {}
-func (StoreCmd) vmCmd()       {}
-func (EventCmd) vmCmd()       {}
-func (SendPeerCmd) vmCmd()    {}
+func (AnswerQueryCmd) vmCmd()     {}
+func (AnswerOrderCmd) vmCmd()     {}
+func (DispatchCmd) vmCmd()        {}
+func (AbortCmd) vmCmd()           {}
+func (ConnectionLimitCmd) vmCmd() {}
+func (PollLoadCmd) vmCmd()        {}
+func (StoreCmd) vmCmd()           {}
+func (EventCmd) vmCmd()           {}
+func (SendPeerCmd) vmCmd()        {}
--- a/vm/core.go
+++ b/vm/core.go
@@ -28,7 +28,7 @@
 	ordered  []*service // fixed order, so that runs repeat
 	ups      map[string]upstream.Upstream
 
-	gate      *admission.Gate
+	gate      *admission.Controller
 	queries   *query.Model
 	pool      *pool.Model
 	orders    *order.Model
@@ -103,7 +103,7 @@
 		order.WithPicker(c.book.Pick), order.WithAttemptID(c.orderAttemptID),
 	)
 	c.fleet = fleet.New(fleet.WithSelf(cfg.self), fleet.WithSeed(cfg.seed),
-		fleet.WithSeeds(cfg.seeds...), fleet.WithInitialRecord(cfg.initial))
+		fleet.WithSeedVMs(cfg.seeds...), fleet.WithInitialRecord(cfg.initial))
 	ids := make([]string, len(all))
 	for i, u := range all {
 		ids[i] = string(u.ID)
@@ -139,7 +139,7 @@
 func gateOptions(cfg config) []admission.Option {
 	var opts []admission.Option
 	if cfg.openGate {
-		opts = append(opts, admission.WithInterval(unlimited)) // never adapts
+		opts = append(opts, admission.WithAdjustInterval(unlimited)) // never adapts
 	}
 	for _, svc := range cfg.services {
 		connections := 0
--- a/vm/forward.go
+++ b/vm/forward.go
@@ -101,7 +101,7 @@
 	if c.reroute(now, f) {
 		return
 	}
-	c.deliver(now, attempt.Reply{ID: f.req.ID, Upstream: f.req.Upstream, Status: attempt.NotCarrier, Ran: attempt.No})
+	c.deliver(now, attempt.Reply{ID: f.req.ID, Upstream: f.req.Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted})
 }
 
 // resultReceived accepts a result only from the VM that was asked. After a
@@ -118,7 +118,7 @@
 	delete(c.forwards.open, r.ID)
 	c.noticeLeaving(r)
 	c.attemptEnded(now, f.req.Upstream, f.to, r)
-	if r.Status == attempt.NotCarrier && r.Ran == attempt.No && c.reroute(now, f) {
+	if r.Status == attempt.NotCarrier && r.Execution == attempt.NotExecuted && c.reroute(now, f) {
 		return
 	}
 	c.deliver(now, r)
--- a/vm/forward_test.go
+++ b/vm/forward_test.go
@@ -32,7 +32,7 @@
 		id := fmt.Sprintf("desk/g/%d", i)
 		table := vm.NewCarrierTable([]string{id})
 		table.SetMembers([]string{"a", "b", "c"})
-		if !table.Carries(id, "a") {
+		if !table.IsCarrier(id, "a") {
 			group.Replicas = append(group.Replicas, upstream.Upstream{ID: upstream.ID(id), Service: "desk", Group: "g", Connections: 10})
 		}
 	}
@@ -41,7 +41,7 @@
 		all = append(all, fleet.VM{ID: id, Address: id, Incarnation: 1})
 	}
 	for _, v := range all {
-		t.cores[v.ID] = vm.New(vm.WithSelf(v), vm.WithSeeds(all...), vm.WithServices(upstream.Service{Name: "desk", Groups: []upstream.Group{group}}))
+		t.cores[v.ID] = vm.New(vm.WithSelf(v), vm.WithSeedVMs(all...), vm.WithServices(upstream.Service{Name: "desk", Groups: []upstream.Group{group}}))
 	}
 	t.run(10 * clock.Second)
 	return t
@@ -96,7 +96,7 @@
 		return func(first, last vm.SendPeerCmd) vm.Msg {
 			f := of(first, last)
 			req := f.Body.(vm.Forward).Request
-			return vm.PeerMsg{From: f.To, Body: vm.Result{Reply: attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: s, Ran: attempt.No}}}
+			return vm.PeerMsg{From: f.To, Body: vm.Result{Reply: attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: s, Execution: attempt.NotExecuted}}}
 		}
 	}
 	first := func(first, _ vm.SendPeerCmd) vm.SendPeerCmd { return first }
@@ -114,8 +114,8 @@
 		{"shed by a former carrier", []event{result(attempt.NotCarrier, first), result(attempt.Shed, first)}, 2, 1, ""},
 		{"unsent doubled", []event{unsent, unsent}, 2, 1, ""},
 		{"unsent after not carrier", []event{result(attempt.NotCarrier, first), unsent}, 2, 1, ""},
-		{"shed after the link broke", []event{down, result(attempt.Shed, first)}, 1, 1, order.Unknown},
-		{"not carrier after the link broke", []event{down, result(attempt.NotCarrier, first)}, 1, 1, order.Unknown},
+		{"shed after the link broke", []event{down, result(attempt.Shed, first)}, 1, 1, order.OutcomeUnknown},
+		{"not carrier after the link broke", []event{down, result(attempt.NotCarrier, first)}, 1, 1, order.OutcomeUnknown},
 		{"first carrier down after rerouting", []event{result(attempt.NotCarrier, first), down}, 2, 1, ""},
 		{"shed proves not run", []event{result(attempt.Shed, first)}, 2, 2, ""},
 		{"no carrier left", []event{result(attempt.NotCarrier, first), result(attempt.NotCarrier, last)}, 3, 2, ""},
@@ -123,7 +123,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newTrio()
-			r.deliver("a", vm.OrderMsg{Call: 1, ID: fmt.Sprintf("%d-x", r.now), Rank: rank.Ordinary, Service: "desk", Group: "g"})
+			r.deliver("a", vm.OrderMsg{CallID: 1, ID: fmt.Sprintf("%d-x", r.now), Rank: rank.Ordinary, Service: "desk", Group: "g"})
 			r.run(200)
 			if len(r.forwards) != 1 {
 				t.Fatalf("got %d forwards of a new order and answers %v, want 1 forward", len(r.forwards), r.answers)
--- a/vm/handle.go
+++ b/vm/handle.go
@@ -28,8 +28,8 @@
 		c.arriveQuery(now, m)
 	case OrderMsg:
 		c.arriveOrder(now, m)
-	case CallerGoneMsg:
-		c.callerGone(m.Call)
+	case CallerDisconnectedMsg:
+		c.callerGone(m.CallID)
 	case ReplyMsg:
 		c.noticeLeaving(m.Reply)
 		c.push(pool.ReplyMsg{Reply: m.Reply})
@@ -39,11 +39,11 @@
 		c.loadReported(now, m)
 	case StoreMsg:
 		c.storeReplied(m)
-	case RosterMsg:
-		c.push(fleet.RosterMsg{VMs: m.VMs})
-	case RecordMsg:
+	case VMListMsg:
+		c.push(fleet.VMListMsg{VMs: m.VMs})
+	case PresetRecordMsg:
 		c.push(fleet.RecordMsg{Record: m.Record})
-	case SwitchedMsg:
+	case PresetSwitchedMsg:
 		c.event(now, timeline.Event{
 			Kind: timeline.PresetSwitched, Revision: m.Change.Revision,
 			Detail: fmt.Sprintf("%s by %s: %s (change %s)", m.Change.InForce, m.Change.Author, m.Change.Reason, m.Change.ChangeID),
@@ -100,7 +100,7 @@
 func (c *Core) pollUpstreams() {
 	for _, id := range c.carriers.upstreams {
 		up := upstream.ID(id)
-		if c.carriers.Carries(id, c.self.ID) && !c.polled[up] {
+		if c.carriers.IsCarrier(id, c.self.ID) && !c.polled[up] {
 			c.polled[up] = true
 			c.emit(PollLoadCmd{Upstream: up})
 		}
@@ -115,12 +115,12 @@
 // leaving. Otherwise only the expiry of the report ends the drain.
 func (c *Core) loadReported(now clock.Millis, m LoadMsg) {
 	delete(c.polled, m.Upstream)
-	leaving := c.fleet.Leaving(m.Upstream)
+	leaving := c.fleet.UpstreamLeaving(m.Upstream)
 	switch {
 	case !leaving:
 		delete(c.silentPolls, m.Upstream)
 		if m.OK && m.Load.Leaving {
-			c.push(fleet.LeavingMsg{Upstream: m.Upstream, Leaving: true})
+			c.push(fleet.UpstreamLeavingMsg{Upstream: m.Upstream, Leaving: true})
 		}
 	case !m.OK:
 		c.silentPolls[m.Upstream]++
@@ -128,7 +128,7 @@
 		delete(c.silentPolls, m.Upstream)
 	default:
 		delete(c.silentPolls, m.Upstream)
-		c.push(fleet.LeavingMsg{Upstream: m.Upstream, Leaving: false})
+		c.push(fleet.UpstreamLeavingMsg{Upstream: m.Upstream, Leaving: false})
 	}
 	if !m.OK {
 		return
@@ -137,8 +137,8 @@
 }
 
 func (c *Core) noticeLeaving(r attempt.Reply) {
-	if (r.Leaving || r.Status == attempt.Leaving) && !c.fleet.Leaving(upstream.ID(r.Upstream)) {
-		c.push(fleet.LeavingMsg{Upstream: upstream.ID(r.Upstream), Leaving: true})
+	if (r.Leaving || r.Status == attempt.Leaving) && !c.fleet.UpstreamLeaving(upstream.ID(r.Upstream)) {
+		c.push(fleet.UpstreamLeavingMsg{Upstream: upstream.ID(r.Upstream), Leaving: true})
 	}
 }
 
--- a/vm/handover.go
+++ b/vm/handover.go
@@ -35,7 +35,7 @@
 // they know of the change. Those of a dead VM are closed.
 func (c *Core) beginHandover(now clock.Millis, id string, former []carrierLoad) {
 	h := &c.handovers
-	if !c.carriers.Carries(id, c.self.ID) {
+	if !c.carriers.IsCarrier(id, c.self.ID) {
 		delete(h.open, id)
 		return
 	}
@@ -44,7 +44,7 @@
 		if f.vm == c.self.ID {
 			return
 		}
-		if !c.carriers.Carries(id, f.vm) {
+		if !c.carriers.IsCarrier(id, f.vm) {
 			gone = append(gone, f.vm)
 		}
 	}
--- a/vm/member.go
+++ b/vm/member.go
@@ -18,12 +18,12 @@
 	for _, cmd := range cmds {
 		switch m := cmd.(type) {
 		case fleet.SendCmd:
-			c.emit(SendPeerCmd{To: m.To, Address: m.Address, Stamp: c.ring.Stamp(), Body: Fleet{Payload: m.Payload}})
+			c.emit(SendPeerCmd{To: m.To, Address: m.Address, Stamp: c.ring.LastTimestamp(), Body: FleetMessage{Payload: m.Payload}})
 		case fleet.LiveCmd:
 			c.liveChanged(now, m.VMs)
 		case fleet.RecordCmd:
 			c.recordInForce(m.Record)
-		case fleet.UpstreamCmd:
+		case fleet.UpstreamLeavingCmd:
 			c.upstreamReported(now, m)
 		case fleet.StoreCmd:
 			c.emit(StoreCmd{Request: m.Request})
@@ -49,11 +49,11 @@
 		c.loads.keep(i, c.carriers.current(i))
 		c.setConnections(id)
 	}
-	c.push(order.OwnersMsg{Live: ids})
+	c.push(order.LiveVMsMsg{VMs: ids})
 }
 
 func (c *Core) setConnections(id string) {
-	limit := c.carriers.Limit(id, c.self.ID, c.ups[id].Connections)
+	limit := c.carriers.ConnectionLimit(id, c.self.ID, c.ups[id].Connections)
 	if _, open := c.handovers.open[id]; open {
 		limit = min(limit, max(1, c.ups[id].Connections*handoverPercent/100))
 	}
@@ -64,27 +64,27 @@
 		return
 	}
 	c.push(pool.LimitMsg{Upstream: id, Connections: limit})
-	c.emit(ConnectionsCmd{Upstream: upstream.ID(id), Connections: limit})
+	c.emit(ConnectionLimitCmd{Upstream: upstream.ID(id), Connections: limit})
 }
 
 func (c *Core) recordInForce(rec preset.Record) {
-	p, ok := rec.Find(rec.InForce)
+	p, ok := rec.FindPreset(rec.InForce)
 	if !ok {
 		return // Validate guarantees that the preset in force exists
 	}
 	c.preset, c.revision = p, rec.Revision
-	c.push(admission.PolicyMsg{Preset: p})
+	c.push(admission.PresetMsg{Preset: p})
 	c.push(pool.PolicyMsg{Preset: p})
 }
 
-func (c *Core) upstreamReported(now clock.Millis, m fleet.UpstreamCmd) {
+func (c *Core) upstreamReported(now clock.Millis, m fleet.UpstreamLeavingCmd) {
 	if m.Leaving {
 		c.book.MarkLeaving(now, m.Upstream)
 		c.push(pool.LeavingMsg{Upstream: string(m.Upstream)})
 		return
 	}
 	c.book.MarkBack(now, m.Upstream)
-	c.push(pool.BackMsg{Upstream: string(m.Upstream)})
+	c.push(pool.AvailableMsg{Upstream: string(m.Upstream)})
 }
 
 func (c *Core) fromPeer(now clock.Millis, m PeerMsg) {
@@ -96,20 +96,20 @@
 		c.resultReceived(now, m.From, b.Reply)
 	case CancelForward:
 		c.push(pool.CancelMsg{ID: b.ID})
-	case Fleet:
+	case FleetMessage:
 		c.push(fleet.PeerMsg{From: m.From, Payload: b.Payload})
-	case Claim:
+	case ClaimRequest:
 		c.push(b.Msg)
-	case Claimed:
+	case ClaimResponse:
 		c.push(b.Msg)
 	}
 }
 
 // forwardReceived runs an attempt for another VM if this VM carries the upstream.
 func (c *Core) forwardReceived(now clock.Millis, from string, req attempt.Request) {
-	if !c.carriers.Carries(req.Upstream, c.self.ID) {
+	if !c.carriers.IsCarrier(req.Upstream, c.self.ID) {
 		c.sendPeer(now, from, Result{Reply: attempt.Reply{
-			ID: req.ID, Upstream: req.Upstream, Status: attempt.NotCarrier, Ran: attempt.No,
+			ID: req.ID, Upstream: req.Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted,
 		}})
 		return
 	}
@@ -118,15 +118,15 @@
 
 func (c *Core) sendClaim(now clock.Millis, m order.PeerCmd) {
 	switch msg := m.Msg.(type) {
-	case order.ClaimMsg:
-		c.sendPeer(now, m.To, Claim{Msg: msg})
-	case order.ClaimedMsg:
-		c.sendPeer(now, m.To, Claimed{Msg: msg})
+	case order.ClaimRequestMsg:
+		c.sendPeer(now, m.To, ClaimRequest{Msg: msg})
+	case order.ClaimResponseMsg:
+		c.sendPeer(now, m.To, ClaimResponse{Msg: msg})
 	}
 }
 
 // sendPeer sends to a member by identifier. A message to a VM that is not a
 // member is reported as unsent by the runtime, because it has no address.
 func (c *Core) sendPeer(now clock.Millis, to string, body PeerBody) {
-	c.emit(SendPeerCmd{To: to, Address: c.fleet.Address(to), Stamp: c.ring.Next(now), Body: body})
+	c.emit(SendPeerCmd{To: to, Address: c.fleet.Address(to), Stamp: c.ring.NextTimestamp(now), Body: body})
 }
--- a/vm/message.go
+++ b/vm/message.go
@@ -16,7 +16,7 @@
 // QueryMsg is an idempotent request from a caller. Call is unique per process
 // and routes the answer back, because callers choose ID freely.
 type QueryMsg struct {
-	Call        uint64
+	CallID      uint64
 	ID          string
 	Rank        rank.Rank
 	Service     string
@@ -27,7 +27,7 @@
 
 // OrderMsg is a non-idempotent request from a caller.
 type OrderMsg struct {
-	Call    uint64
+	CallID  uint64
 	ID      string
 	Rank    rank.Rank
 	Service string
@@ -35,8 +35,8 @@
 	Body    []byte
 }
 
-// CallerGoneMsg says that nobody waits for the answer any more.
-type CallerGoneMsg struct{ Call uint64 }
+// CallerDisconnectedMsg says that nobody waits for the answer any more.
+type CallerDisconnectedMsg struct{ CallID uint64 }
 
 // ReplyMsg is the reply to a DispatchCmd.
 type ReplyMsg struct{ Reply attempt.Reply }
@@ -54,14 +54,14 @@
 // StoreMsg is the result of a StoreCmd.
 type StoreMsg struct{ Reply store.Reply }
 
-// RosterMsg is the VM list as last read.
-type RosterMsg struct{ VMs []fleet.VM }
+// VMListMsg is the VM list as last read.
+type VMListMsg struct{ VMs []fleet.VM }
 
-// RecordMsg is a record that this VM has just committed to the store.
-type RecordMsg struct{ Record preset.Record }
+// PresetRecordMsg is a record that this VM has just committed to the store.
+type PresetRecordMsg struct{ Record preset.Record }
 
-// SwitchedMsg says that this VM has carried out an operator's change.
-type SwitchedMsg struct{ Change preset.Past }
+// PresetSwitchedMsg says that this VM has carried out an operator's change.
+type PresetSwitchedMsg struct{ Change preset.AppliedChange }
 
 // StopMsg begins a planned stop.
 type StopMsg struct{}
@@ -69,18 +69,18 @@
 // TickMsg reports that the time of NextWake has come.
 type TickMsg struct{}
 
-func (QueryMsg) vmMsg()      {}
-func (OrderMsg) vmMsg()      {}
-func (CallerGoneMsg) vmMsg() {}
-func (ReplyMsg) vmMsg()      {}
-func (AbortedMsg) vmMsg()    {}
-func (LoadMsg) vmMsg()       {}
-func (StoreMsg) vmMsg()      {}
-func (RosterMsg) vmMsg()     {}
-func (RecordMsg) vmMsg()     {}
-func (SwitchedMsg) vmMsg()   {}
-func (StopMsg) vmMsg()       {}
-func (TickMsg) vmMsg()       {}
-func (PeerMsg) vmMsg()       {}
-func (PeerUnsentMsg) vmMsg() {}
-func (PeerDownMsg) vmMsg()   {}
+func (QueryMsg) vmMsg()              {}
+func (OrderMsg) vmMsg()              {}
+func (CallerDisconnectedMsg) vmMsg() {}
+func (ReplyMsg) vmMsg()              {}
+func (AbortedMsg) vmMsg()            {}
+func (LoadMsg) vmMsg()               {}
+func (StoreMsg) vmMsg()              {}
+func (VMListMsg) vmMsg()             {}
+func (PresetRecordMsg) vmMsg()       {}
+func (PresetSwitchedMsg) vmMsg()     {}
+func (StopMsg) vmMsg()               {}
+func (TickMsg) vmMsg()               {}
+func (PeerMsg) vmMsg()               {}
+func (PeerUnsentMsg) vmMsg()         {}
+func (PeerDownMsg) vmMsg()           {}
--- a/vm/options.go
+++ b/vm/options.go
@@ -39,8 +39,10 @@
 // WithSeed seeds the random choices.
 func WithSeed(seed uint64) Option { return func(c *config) { c.seed = seed } }
 
-// WithSeeds sets VMs to contact before the VM list is known.
-func WithSeeds(vms ...fleet.VM) Option { return func(c *config) { c.seeds = append(c.seeds, vms...) } }
+// WithSeedVMs sets VMs to contact before the VM list is known.
+func WithSeedVMs(vms ...fleet.VM) Option {
+	return func(c *config) { c.seeds = append(c.seeds, vms...) }
+}
 
 // WithServices sets the services and their upstreams.
 func WithServices(list ...upstream.Service) Option {
@@ -60,13 +62,13 @@
 // limits start. They adapt afterwards.
 func WithFleetSize(n int) Option { return func(c *config) { c.fleetSize = n } }
 
-// WithOpenAdmission admits every query at once. Experiments use it as their
+// WithoutAdmissionControl admits every query at once. Experiments use it as their
 // baseline.
-func WithOpenAdmission() Option { return func(c *config) { c.openGate = true } }
+func WithoutAdmissionControl() Option { return func(c *config) { c.openGate = true } }
 
-// WithStallMs sets how long a carrier may be silent while it owes results; 0
+// WithStallTimeout sets how long a carrier may be silent while it owes results; 0
 // leaves the detection to membership.
-func WithStallMs(d clock.Millis) Option { return func(c *config) { c.stallMs = d } }
+func WithStallTimeout(d clock.Millis) Option { return func(c *config) { c.stallMs = d } }
 
 func newConfig(opts []Option) config {
 	c := config{seed: 1, initial: preset.Default(), fleetSize: 9, stallMs: defaultStallMs}
--- a/vm/peer.go
+++ b/vm/peer.go
@@ -21,14 +21,14 @@
 	Upstream string
 }
 
-// Fleet carries a membership payload.
-type Fleet struct{ Payload []byte }
+// FleetMessage carries a membership payload.
+type FleetMessage struct{ Payload []byte }
 
-// Claim asks the owner of a partition for a change of one claim.
-type Claim struct{ Msg order.ClaimMsg }
+// ClaimRequest asks the owner of a partition for a change of one claim.
+type ClaimRequest struct{ Msg order.ClaimRequestMsg }
 
-// Claimed answers a Claim.
-type Claimed struct{ Msg order.ClaimedMsg }
+// ClaimResponse answers a Claim.
+type ClaimResponse struct{ Msg order.ClaimResponseMsg }
 
 // PeerBody marks messages between VMs.
 func (Forward) PeerBody() {}
@@ -40,18 +40,18 @@
 func (CancelForward) PeerBody() {}
 
 // PeerBody marks messages between VMs.
-func (Fleet) PeerBody() {}
+func (FleetMessage) PeerBody() {}
 
 // PeerBody marks messages between VMs.
-func (Claim) PeerBody() {}
+func (ClaimRequest) PeerBody() {}
 
 // PeerBody marks messages between VMs.
-func (Claimed) PeerBody() {}
+func (ClaimResponse) PeerBody() {}
 
 // PeerMsg is a message from another VM.
 type PeerMsg struct {
 	From  string
-	Stamp clock.Stamp
+	Stamp clock.Timestamp
 	Body  PeerBody
 }
 
@@ -69,35 +69,35 @@
 type SendPeerCmd struct {
 	To      string
 	Address string
-	Stamp   clock.Stamp
+	Stamp   clock.Timestamp
 	Body    PeerBody
 }
 
-// AskKind says what an Ask wants to know.
-type AskKind uint8
+// AdminKind says what an Ask wants to know.
+type AdminKind uint8
 
-// AskStatus asks for the Status, AskEvents for events of the time line.
+// AdminStatus asks for the Status, AdminEvents for events of the time line.
 const (
-	AskStatus AskKind = iota
-	AskEvents
+	AdminStatus AdminKind = iota
+	AdminEvents
 )
 
-// Ask is an operator's question that one VM passes to another. Runtimes answer
+// AdminRequest is an operator's question that one VM passes to another. Runtimes answer
 // it from the accessors of their Core; the Core itself ignores it.
-type Ask struct {
+type AdminRequest struct {
 	ID      uint64
-	Kind    AskKind
-	Payload []byte // JSON of a timeline.Filter for AskEvents
+	Kind    AdminKind
+	Payload []byte // JSON of a timeline.Filter for AdminEvents
 }
 
-// Told answers an Ask with a JSON document.
-type Told struct {
+// AdminResponse answers an Ask with a JSON document.
+type AdminResponse struct {
 	ID      uint64
 	Payload []byte
 }
 
 // PeerBody marks messages between VMs.
-func (Ask) PeerBody() {}
+func (AdminRequest) PeerBody() {}
 
 // PeerBody marks messages between VMs.
-func (Told) PeerBody() {}
+func (AdminResponse) PeerBody() {}
--- a/vm/route.go
+++ b/vm/route.go
@@ -48,7 +48,7 @@
 	to := c.chooseCarrier(now, req)
 	switch to {
 	case "":
-		c.deliver(now, attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.NotCarrier, Ran: attempt.No})
+		c.deliver(now, attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted})
 	case c.self.ID:
 		c.attemptSent(req.Upstream, to)
 		c.push(pool.EnqueueMsg{Request: req, From: c.self.ID})
@@ -118,7 +118,7 @@
 		return
 	}
 	c.book.Observe(now, upstream.ID(r.Upstream), r)
-	c.push(order.ReplyMsg{Reply: r})
+	c.push(order.AttemptReplyMsg{Reply: r})
 }
 
 func (c *Core) cancel(now clock.Millis, id attempt.ID, up string) {
@@ -134,7 +134,7 @@
 	for _, cmd := range cmds {
 		switch m := cmd.(type) {
 		case pool.DispatchCmd:
-			c.emit(DispatchCmd{Request: m.Request, Open: m.Open})
+			c.emit(DispatchCmd{Request: m.Request, NewConn: m.NewConn})
 		case pool.AbortCmd:
 			c.emit(AbortCmd{ID: m.ID, Upstream: m.Upstream})
 		case pool.ReturnCmd:
--- a/vm/status.go
+++ b/vm/status.go
@@ -31,7 +31,7 @@
 }
 
 // OpenConnections returns the connections of this VM to an upstream, busy and idle.
-func (c *Core) OpenConnections(id string) int { return c.pool.Open(id) }
+func (c *Core) OpenConnections(id string) int { return c.pool.OpenConns(id) }
 
 // Ready reports whether the balancer may send requests, and why not.
 func (c *Core) Ready() (bool, string) {
@@ -45,16 +45,16 @@
 }
 
 // Drained reports whether a stopping VM has nothing left to do.
-func (c *Core) Drained(now clock.Millis) bool { return c.stopping && len(c.Pending(now)) == 0 }
+func (c *Core) Drained(now clock.Millis) bool { return c.stopping && len(c.PendingWork(now)) == 0 }
 
-// OnlyStoreWrites reports whether a stopping VM has finished all requests and
+// OnlyStoreWritesPending reports whether a stopping VM has finished all requests and
 // attempts, and waits only for the store to take marks and releases of orders.
-func (c *Core) OnlyStoreWrites(now clock.Millis) bool {
-	return len(c.calls) == 0 && c.gate.Idle() && c.pool.Idle() && c.fleet.Announced(now)
+func (c *Core) OnlyStoreWritesPending(now clock.Millis) bool {
+	return len(c.calls) == 0 && c.gate.Idle() && c.pool.Idle() && c.fleet.StopAnnounced(now)
 }
 
-// Pending names what keeps a stopping VM from being drained.
-func (c *Core) Pending(now clock.Millis) []string {
+// PendingWork names what keeps a stopping VM from being drained.
+func (c *Core) PendingWork(now clock.Millis) []string {
 	var out []string
 	add := func(name string, done bool) {
 		if !done {
@@ -65,8 +65,8 @@
 	add("admission", c.gate.Idle())
 	add("attempts", c.pool.Idle())
 	add(fmt.Sprintf("orders (%d open, %d claims, %d releases)",
-		c.orders.OpenOrders(), c.orders.PendingClaims(), c.orders.PendingReleases()), c.orders.Drained())
-	add("announcement", c.fleet.Announced(now))
+		c.orders.OpenOrders(), c.orders.PendingOperations(), c.orders.PendingReleases()), c.orders.Drained())
+	add("announcement", c.fleet.StopAnnounced(now))
 	return out
 }
 
@@ -86,13 +86,13 @@
 func (c *Core) QueryTotals(r rank.Rank) query.Totals { return c.queries.Totals(r) }
 
 // DroppedReplies returns how many replies were dropped for a reason.
-func (c *Core) DroppedReplies(d query.Drop) int { return c.queries.Dropped(d) }
+func (c *Core) DroppedReplies(d query.DropReason) int { return c.queries.Dropped(d) }
 
 // OrderStats returns the totals of the order machine.
 func (c *Core) OrderStats() order.Stats { return c.orders.Stats() }
 
-// Forwards returns the number of attempts at other VMs.
-func (c *Core) Forwards() int { return len(c.forwards.open) }
+// OpenForwards returns the number of attempts at other VMs.
+func (c *Core) OpenForwards() int { return len(c.forwards.open) }
 
 // RankLoad is the load of one rank of one service.
 type RankLoad struct {
@@ -104,12 +104,12 @@
 
 // RankTotals counts the work of one rank since the VM started.
 type RankTotals struct {
-	Rank    rank.Rank `json:"rank"`
-	Queries int       `json:"queries"`
-	Needed  int       `json:"attempts_needed"`
-	Sent    int       `json:"attempts_sent"`
-	Hedges  int       `json:"hedges"`
-	Retries int       `json:"retries"`
+	Rank           rank.Rank `json:"rank"`
+	Queries        int       `json:"queries"`
+	AttemptsNeeded int       `json:"attempts_needed"`
+	AttemptsSent   int       `json:"attempts_sent"`
+	Hedges         int       `json:"hedges"`
+	Retries        int       `json:"retries"`
 }
 
 // Status is what a VM reports to operators.
@@ -141,7 +141,7 @@
 	for _, r := range rank.All() {
 		t := c.queries.Totals(r)
 		s.Totals = append(s.Totals, RankTotals{
-			Rank: r, Queries: t.Queries, Needed: t.Needed, Sent: t.Sent, Hedges: t.Hedges, Retries: t.Retries,
+			Rank: r, Queries: t.Queries, AttemptsNeeded: t.Needed, AttemptsSent: t.Sent, Hedges: t.Hedges, Retries: t.Retries,
 		})
 	}
 	for _, svc := range c.ordered {
