--- a/fleet/decode.go
+++ b/fleet/decode.go
@@ -12,33 +12,33 @@
 
 // field is one decoded protobuf field. Exactly one of num64 and bytes is meaningful.
 type field struct {
-	num   protowire.Number
-	num64 uint64
-	bytes []byte
+	num    protowire.Number
+	varint uint64
+	bytes  []byte
 }
 
-// eachField calls use for every varint and bytes field of b. Other wire types are refused.
-func eachField(b []byte, use func(field) error) error {
+// forEachField calls use for every varint and bytes field of b. Other wire types are refused.
+func forEachField(b []byte, visit func(field) error) error {
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return refuse(KindMalformed, "bad tag")
+			return decodeErrorf(KindMalformed, "bad tag")
 		}
 		b = b[n:]
 		f := field{num: num}
 		switch typ {
 		case protowire.VarintType:
-			f.num64, n = protowire.ConsumeVarint(b)
+			f.varint, n = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
 			f.bytes, n = protowire.ConsumeBytes(b)
 		default:
-			return refuse(KindMalformed, "field %d has wire type %d", num, typ)
+			return decodeErrorf(KindMalformed, "field %d has wire type %d", num, typ)
 		}
 		if n < 0 {
-			return refuse(KindMalformed, "field %d is cut", num)
+			return decodeErrorf(KindMalformed, "field %d is cut", num)
 		}
 		b = b[n:]
-		if err := use(f); err != nil {
+		if err := visit(f); err != nil {
 			return err
 		}
 	}
@@ -53,14 +53,14 @@
 
 func decode(b []byte) (*message, error) {
 	if len(b) > maxPayloadBytes {
-		return nil, refuse(KindTooLarge, "payload has %d bytes", len(b))
+		return nil, decodeErrorf(KindTooLarge, "payload has %d bytes", len(b))
 	}
 	m := &message{}
-	if err := eachField(b, m.setField); err != nil {
+	if err := forEachField(b, m.setField); err != nil {
 		return nil, err
 	}
 	if m.kind == 0 || m.kind > kindLast {
-		return nil, refuse(KindMalformed, "unknown kind %d", m.kind)
+		return nil, decodeErrorf(KindMalformed, "unknown kind %d", m.kind)
 	}
 	return m, nil
 }
@@ -68,15 +68,15 @@
 func (m *message) setField(f field) (err error) {
 	switch f.num {
 	case 1:
-		m.kind = kind(min(f.num64, math.MaxUint8))
+		m.kind = kind(min(f.varint, math.MaxUint8))
 	case 2:
-		m.seq = f.num64
+		m.seq = f.varint
 	case 3:
-		m.target, err = name(f)
+		m.target, err = decodeName(f)
 	case 4:
-		m.self, err = decodeVM(f.bytes)
+		m.sender, err = decodeVM(f.bytes)
 	case 5:
-		m.revision = f.num64
+		m.revision = f.varint
 	case 6:
 		return m.addUpdate(f.bytes)
 	case 7:
@@ -84,14 +84,14 @@
 	case 8:
 		m.digest, err = decodeDigest(f.bytes)
 	case 9:
-		m.chunk.hash = f.num64
+		m.chunk.hash = f.varint
 	case 10:
-		m.chunk.total, err = bounded(f, maxBlobBytes)
+		m.chunk.total, err = decodeBounded(f, maxCompressedBytes)
 	case 11:
-		m.chunk.offset, err = bounded(f, maxBlobBytes)
+		m.chunk.offset, err = decodeBounded(f, maxCompressedBytes)
 	case 12:
 		if len(f.bytes) > maxChunkBytes {
-			return refuse(KindTooLarge, "chunk has %d bytes", len(f.bytes))
+			return decodeErrorf(KindTooLarge, "chunk has %d bytes", len(f.bytes))
 		}
 		m.chunk.data = f.bytes
 	}
@@ -100,7 +100,7 @@
 
 func (m *message) addUpdate(b []byte) error {
 	if len(m.updates) == maxUpdates {
-		return refuse(KindTooLarge, "more than %d updates", maxUpdates)
+		return decodeErrorf(KindTooLarge, "more than %d updates", maxUpdates)
 	}
 	v, err := decodeVM(b)
 	m.updates = append(m.updates, v)
@@ -109,7 +109,7 @@
 
 func (m *message) addReport(b []byte) error {
 	if len(m.reports) == maxReports {
-		return refuse(KindTooLarge, "more than %d reports", maxReports)
+		return decodeErrorf(KindTooLarge, "more than %d reports", maxReports)
 	}
 	r, err := decodeReport(b)
 	m.reports = append(m.reports, r)
@@ -118,62 +118,62 @@
 
 func decodeVM(b []byte) (VM, error) {
 	var v VM
-	err := eachField(b, func(f field) (err error) {
+	err := forEachField(b, func(f field) (err error) {
 		var n uint64
 		switch f.num {
 		case 1:
-			v.ID, err = name(f)
+			v.ID, err = decodeName(f)
 		case 2:
-			v.Address, err = name(f)
+			v.Address, err = decodeName(f)
 		case 3:
-			v.DataCentre, err = name(f)
+			v.DataCentre, err = decodeName(f)
 		case 4:
-			v.Incarnation = f.num64
+			v.Incarnation = f.varint
 		case 5:
-			n, err = bounded(f, math.MaxUint32)
+			n, err = decodeBounded(f, math.MaxUint32)
 			v.Refutation = uint32(n)
 		case 6:
-			n, err = bounded(f, uint64(Dead))
+			n, err = decodeBounded(f, uint64(Dead))
 			v.State = State(n)
 		}
 		return err
 	})
 	if err == nil && v.ID == "" {
-		err = refuse(KindMalformed, "VM without identifier")
+		err = decodeErrorf(KindMalformed, "VM without identifier")
 	}
 	return v, err
 }
 
 func decodeReport(b []byte) (wireReport, error) {
 	var r wireReport
-	err := eachField(b, func(f field) (err error) {
+	err := forEachField(b, func(f field) (err error) {
 		var s string
 		var n uint64
 		switch f.num {
 		case 1:
-			s, err = name(f)
+			s, err = decodeName(f)
 			r.Upstream = upstream.ID(s)
 		case 2:
-			r.Leaving = protowire.DecodeBool(f.num64)
+			r.Leaving = protowire.DecodeBool(f.varint)
 		case 3:
-			r.Version = f.num64
+			r.Version = f.varint
 		case 4:
-			r.Reporter, err = name(f)
+			r.Reporter, err = decodeName(f)
 		case 5:
-			n, err = bounded(f, uint64(reportTTL/clock.Second))
+			n, err = decodeBounded(f, uint64(reportTTL/clock.Second))
 			r.remaining = clock.Millis(n) * clock.Second
 		}
 		return err
 	})
 	if err == nil && r.Upstream == "" {
-		err = refuse(KindMalformed, "report without upstream")
+		err = decodeErrorf(KindMalformed, "report without upstream")
 	}
 	return r, err
 }
 
 func decodeDigest(b []byte) ([]uint32, error) {
 	if len(b) != 4*(buckets+1) {
-		return nil, refuse(KindMalformed, "digest has %d bytes", len(b))
+		return nil, decodeErrorf(KindMalformed, "digest has %d bytes", len(b))
 	}
 	d := make([]uint32, buckets+1)
 	for i := range d {
@@ -182,16 +182,16 @@
 	return d, nil
 }
 
-func name(f field) (string, error) {
+func decodeName(f field) (string, error) {
 	if len(f.bytes) > maxNameBytes {
-		return "", refuse(KindTooLarge, "field %d has %d bytes", f.num, len(f.bytes))
+		return "", decodeErrorf(KindTooLarge, "field %d has %d bytes", f.num, len(f.bytes))
 	}
 	return string(f.bytes), nil
 }
 
-func bounded(f field, limit uint64) (uint64, error) {
-	if f.num64 > limit {
-		return 0, refuse(KindTooLarge, "field %d is %d, at most %d", f.num, f.num64, limit)
+func decodeBounded(f field, limit uint64) (uint64, error) {
+	if f.varint > limit {
+		return 0, decodeErrorf(KindTooLarge, "field %d is %d, at most %d", f.num, f.varint, limit)
 	}
-	return f.num64, nil
+	return f.varint, nil
 }
--- a/fleet/error.go
+++ b/fleet/error.go
@@ -30,6 +30,6 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
 
-func refuse(kind Kind, format string, args ...any) error {
+func decodeErrorf(kind Kind, format string, args ...any) error {
 	return &Error{op: "decode", kind: kind, err: fmt.Errorf(format, args...)}
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	heal      = 40 * clock.Second
-	byHand    = upstream.ID("orders/desk-1/a")
-	leavingMs = 3 * clock.Second // bound of the design page
+	healTimeout  = 40 * clock.Second
+	testUpstream = upstream.ID("orders/desk-1/a")
+	leavingBound = 3 * clock.Second // bound of the design page
 )
 
-// joined returns nine VMs that see each other and have a record.
-func joined(t *testing.T, seed uint64) *experiment.Fleet {
+// joinedFleet returns nine VMs that see each other and have a record.
+func joinedFleet(t *testing.T, seed uint64) *experiment.Fleet {
 	t.Helper()
 	f := experiment.NewFleet(seed, 9)
 	f.StartAll(clock.Second)
 	f.RunFor(clock.Second + 1)
-	until(t, f, heal, "join", func() bool {
+	waitUntil(t, f, healTimeout, "join", func() bool {
 		return f.Converged() && f.All(func(n *experiment.Node) bool { return n.Model.Ready() })
 	})
 	return f
 }
 
-func until(t *testing.T, f *experiment.Fleet, limit clock.Millis, what string, ok func() bool) {
+func waitUntil(t *testing.T, f *experiment.Fleet, limit clock.Millis, what string, ok func() bool) {
 	t.Helper()
 	if took, done := f.Until(50, limit, ok); !done {
 		t.Fatalf("%s: not reached within %d ms", what, took)
 	}
 }
 
-// state returns what viewer believes about id.
-func state(viewer *experiment.Node, id string) fleet.State {
+// stateOf returns what viewer believes about id.
+func stateOf(viewer *experiment.Node, id string) fleet.State {
 	for _, v := range viewer.Model.Members() {
 		if v.ID == id {
 			return v.State
@@ -55,7 +55,7 @@
 	}{
 		{"refutation", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
 			f.Cut = func(a, b *experiment.Node) bool { return a == n || b == n }
-			until(t, f, 10*clock.Second, "suspicion", func() bool { return state(f.Nodes[0], n.VM.ID) == fleet.Suspect })
+			waitUntil(t, f, 10*clock.Second, "suspicion", func() bool { return stateOf(f.Nodes[0], n.VM.ID) == fleet.Suspect })
 			f.Cut = nil
 			f.RunFor(8 * clock.Second)
 			if n.Model.Self().Refutation == 0 {
@@ -67,7 +67,7 @@
 			f.Kill(n)
 			f.RunFor(500)
 			f.Start(n)
-			until(t, f, heal, "new incarnation", func() bool {
+			waitUntil(t, f, healTimeout, "new incarnation", func() bool {
 				for _, v := range f.Nodes[0].Model.Live() {
 					if v.ID == n.VM.ID && v.Incarnation > old {
 						return true
@@ -79,7 +79,7 @@
 		{"long pause", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
 			f.Pause(n, clock.Minute)
 			f.RunFor(50 * clock.Second)
-			if got := state(f.Nodes[0], n.VM.ID); got != fleet.Dead {
+			if got := stateOf(f.Nodes[0], n.VM.ID); got != fleet.Dead {
 				t.Errorf("a VM paused for 50 s is %s, want dead", got)
 			}
 			f.RunFor(11 * clock.Second)
@@ -91,7 +91,7 @@
 		{"partition until the others are forgotten", func(_ *testing.T, f *experiment.Fleet, _ *experiment.Node) { partition(f, 12*clock.Minute) }},
 		{"planned stop and new start", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
 			f.Deliver(n, fleet.StopMsg{})
-			f.RunFor(leavingMs)
+			f.RunFor(leavingBound)
 			if !n.Model.StopAnnounced(f.Loop.Now()) || n.Model.Ready() {
 				t.Error("a stopping VM is ready or has not announced its stop")
 			}
@@ -107,9 +107,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := joined(t, 1)
+			f := joinedFleet(t, 1)
 			tt.fault(t, f, f.Nodes[4])
-			until(t, f, heal, "convergence", f.Converged)
+			waitUntil(t, f, healTimeout, "convergence", f.Converged)
 		})
 	}
 }
@@ -120,9 +120,9 @@
 	f.Cut = nil
 }
 
-// TestOneCutLinkIsNotFailure guards against suspicion of a VM that others reach.
-func TestOneCutLinkIsNotFailure(t *testing.T) {
-	f := joined(t, 2)
+// TestOneWayLinkFailureCausesNoSuspicion guards against suspicion of a VM that others reach.
+func TestOneWayLinkFailureCausesNoSuspicion(t *testing.T) {
+	f := joinedFleet(t, 2)
 	a, b := f.Nodes[1], f.Nodes[2]
 	f.Cut = func(from, to *experiment.Node) bool { return from == a && to == b }
 	for range 60 {
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestAddressTakenOver guards against a replaced VM that stays a carrier until it is found dead.
-func TestAddressTakenOver(t *testing.T) {
-	f := joined(t, 3)
+// TestAddressReuse guards against a replaced VM that stays a carrier until it is found dead.
+func TestAddressReuse(t *testing.T) {
+	f := joinedFleet(t, 3)
 	old := f.Nodes[5]
 	f.Kill(old)
 	next := &experiment.Node{VM: old.VM, Index: 9, Region: old.Region}
@@ -144,34 +144,34 @@
 	f.ByID[next.VM.ID] = next
 	f.RunFor(100)
 	f.Start(next)
-	until(t, f, 6*clock.Second, "replacement", f.Converged)
+	waitUntil(t, f, 6*clock.Second, "replacement", f.Converged)
 }
 
 // TestUpstreamReports guards against work sent to a leaving upstream, and against reports that never end.
 func TestUpstreamReports(t *testing.T) {
-	f := joined(t, 4)
+	f := joinedFleet(t, 4)
 	f.LossPercent = 5
-	honoured := func(want bool) func() bool {
+	applied := func(want bool) func() bool {
 		return func() bool {
 			return f.All(func(n *experiment.Node) bool {
-				return n.Leaving[byHand] == want && n.Model.UpstreamLeaving(byHand) == want
+				return n.Leaving[testUpstream] == want && n.Model.UpstreamLeaving(testUpstream) == want
 			})
 		}
 	}
 	for _, leaving := range []bool{true, false, true} {
 		for _, n := range f.Nodes[:3] { // several VMs observe the same
-			f.Deliver(n, fleet.UpstreamLeavingMsg{Upstream: byHand, Leaving: leaving})
+			f.Deliver(n, fleet.UpstreamLeavingMsg{Upstream: testUpstream, Leaving: leaving})
 		}
-		until(t, f, leavingMs, "report", honoured(leaving))
+		waitUntil(t, f, leavingBound, "report", applied(leaving))
 		f.RunFor(5 * clock.Second)
 	}
 	f.Start(f.Nodes[8]) // a new process learns the report too
-	until(t, f, leavingMs, "report on a new VM", honoured(true))
+	waitUntil(t, f, leavingBound, "report on a new VM", applied(true))
 	f.RunFor(9 * clock.Minute)
-	if !honoured(true)() {
+	if !applied(true)() {
 		t.Error("the report ended too early")
 	}
-	until(t, f, 2*clock.Minute, "expiry", honoured(false))
+	waitUntil(t, f, 2*clock.Minute, "expiry", applied(false))
 	if got := f.Nodes[0].Model.Reports(); len(got) != 0 {
 		t.Errorf("reports after expiry: %v", got)
 	}
@@ -179,19 +179,19 @@
 
 // TestManyUpstreamsLeave guards against reports that wait for room in messages when a rack drains.
 func TestManyUpstreamsLeave(t *testing.T) {
-	f := joined(t, 11)
+	f := joinedFleet(t, 11)
 	f.LossPercent = 5
 	for i := range 200 {
 		f.Deliver(f.Nodes[i%2], fleet.UpstreamLeavingMsg{Upstream: upstream.ID(fmt.Sprintf("s/g%d/a", i)), Leaving: true})
 	}
-	until(t, f, leavingMs, "200 reports", func() bool {
+	waitUntil(t, f, leavingBound, "200 reports", func() bool {
 		return f.All(func(n *experiment.Node) bool { return len(n.Leaving) == 200 })
 	})
 }
 
 // TestStartDuringOutage guards against a VM that is ready without a record, or never ready although peers have it.
 func TestStartDuringOutage(t *testing.T) {
-	f := joined(t, 5)
+	f := joinedFleet(t, 5)
 	f.Store.Fail()
 	n := f.Nodes[3]
 	f.Kill(n)
@@ -203,19 +203,19 @@
 		t.Error("a VM without store and peers is ready")
 	}
 	f.Cut = nil
-	until(t, f, 5*clock.Second, "record from peers", n.Model.Ready)
+	waitUntil(t, f, 5*clock.Second, "record from peers", n.Model.Ready)
 	if !n.Model.Stale(f.Loop.Now()) {
 		f.Cut = func(a, b *experiment.Node) bool { return a == n || b == n }
-		until(t, f, 10*clock.Second, "stale", func() bool { return n.Model.Stale(f.Loop.Now()) })
+		waitUntil(t, f, 10*clock.Second, "stale", func() bool { return n.Model.Stale(f.Loop.Now()) })
 	}
 	if !n.Model.Ready() {
 		t.Error("a stale VM left service")
 	}
 }
 
-// TestOnlyHigherRevisions guards against a record that reverts, whatever its source.
-func TestOnlyHigherRevisions(t *testing.T) {
-	f := joined(t, 6)
+// TestOnlyHigherRevisionsApply guards against a record that reverts, whatever its source.
+func TestOnlyHigherRevisionsApply(t *testing.T) {
+	f := joinedFleet(t, 6)
 	old := f.Nodes[0].Model.Record()
 	next, err := preset.Switch(old, preset.Change{ID: "c", Author: "a", Reason: "r", SwitchTo: "peak"})
 	if err != nil {
@@ -230,11 +230,11 @@
 	if got := f.Nodes[0].Model.Record().Revision; got != next.Revision {
 		t.Errorf("revision %d in force, want %d", got, next.Revision)
 	}
-	until(t, f, 4*clock.Second, "spread", func() bool {
+	waitUntil(t, f, 4*clock.Second, "spread", func() bool {
 		return f.All(func(n *experiment.Node) bool { return n.Model.Record().Revision == next.Revision })
 	})
 	// The store holds an older record than the fleet: a watcher writes the newer one back.
-	until(t, f, 2*clock.Minute, "write-back", func() bool {
+	waitUntil(t, f, 2*clock.Minute, "write-back", func() bool {
 		rec, err := preset.Decode(f.Store.Entry().Value)
 		return err == nil && rec.Revision == next.Revision
 	})
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	newsBytes                  = 900 // of updates and reports on one message
-	updateBytes                = 56  // estimate of one update or report
-	burstFanout                = 4
-	defaultBursts              = 3 // with the fan-out, 12 messages: misses one VM in 160,000 on average
-	burstEvery    clock.Millis = 200
+	gossipBytes                     = 900 // of updates and reports on one message
+	entryBytes                      = 56  // estimate of one update or report
+	burstFanout                     = 4
+	defaultBurstRounds              = 3 // with the fan-out, 12 messages: misses one VM in 160,000 on average
+	burstInterval      clock.Millis = 200
 	// A rack of upstreams that drains at once must fit in one burst, or its last reports come too late.
-	rumourReports = 64
+	maxGossipReports = 64
 	// Bounds the traffic after a mass change; the comparison of digests repairs what is dropped.
-	maxQueued   = 128
-	sampleTries = 4 // per wanted member
+	maxQueued      = 128
+	sampleAttempts = 4 // per wanted member
 )
 
-// gossiping is the state of dissemination. Each change is put on a number of
+// gossipState is the state of dissemination. Each change is put on a number of
 // messages that grows with the logarithm of the fleet's size. A burst sends
 // such messages at once instead of waiting for the next ping.
-type gossiping struct {
-	members queue
-	reports queue
-	muted   bool // changes are taken over without being spread
-	bursts  int  // rounds left
-	next    clock.Millis
+type gossipState struct {
+	members     queue
+	reports     queue
+	suppressed  bool // changes are taken over without being spread
+	burstRounds int  // rounds left
+	nextBurst   clock.Millis
 }
 
 // queue holds the keys of changes that are still being sent, least recently sent first.
 type queue struct {
-	items []*item
-	index map[string]*item
+	items []*queueItem
+	index map[string]*queueItem
 }
 
-type item struct {
-	key  string
-	sent int
+type queueItem struct {
+	key         string
+	transmitted int
 }
 
 func (q *queue) push(key string) {
 	if it := q.index[key]; it != nil {
-		it.sent = 0
+		it.transmitted = 0
 		return
 	}
 	if len(q.items) == maxQueued {
 		delete(q.index, q.items[0].key)
 		q.items = q.items[1:]
 	}
-	it := &item{key: key}
+	it := &queueItem{key: key}
 	q.index[key] = it
 	q.items = append(q.items, it)
 }
@@ -62,8 +62,8 @@
 	keys := make([]string, n)
 	for i, it := range q.items[:n] {
 		keys[i] = it.key
-		it.sent++
-		if it.sent < limit {
+		it.transmitted++
+		if it.transmitted < limit {
 			q.items = append(q.items, it)
 		} else {
 			delete(q.index, it.key)
@@ -73,27 +73,27 @@
 	return keys
 }
 
-// transmissions is how often one change is sent: twice the binary logarithm of the size.
-func (m *Model) transmissions() int { return 2 * bits.Len(uint(len(m.members)+1)) }
+// transmitLimit is how often one change is sent: twice the binary logarithm of the size.
+func (m *Model) transmitLimit() int { return 2 * bits.Len(uint(len(m.members)+1)) }
 
-// news returns a message that carries changes. If the receiver is believed
+// newGossip returns a message that carries changes. If the receiver is believed
 // dead or suspect, it is told, so that it can refute.
-func (m *Model) news(k kind, to string) *message {
-	msg := &message{kind: k, self: m.self.VM}
+func (m *Model) newGossip(k kind, to string) *message {
+	msg := &message{kind: k, sender: m.self.VM}
 	if mem := m.byID[to]; mem != nil && (mem.State == Suspect || mem.State == Dead) {
 		msg.updates = append(msg.updates, mem.VM)
 	}
-	room := newsBytes / updateBytes
-	reports := room / 2
-	if k == kindRumour {
-		reports = rumourReports
+	capacity := gossipBytes / entryBytes
+	reportLimit := capacity / 2
+	if k == kindGossip {
+		reportLimit = maxGossipReports
 	}
-	for _, id := range m.gossip.reports.take(reports, m.transmissions()) {
-		if r, ok := m.reports.table[upstream.ID(id)]; ok {
-			msg.reports = append(msg.reports, m.outgoing(r))
+	for _, id := range m.gossip.reports.take(reportLimit, m.transmitLimit()) {
+		if r, ok := m.reports.byUpstream[upstream.ID(id)]; ok {
+			msg.reports = append(msg.reports, m.toWire(r))
 		}
 	}
-	for _, id := range m.gossip.members.take(max(room-len(msg.reports), room/2), m.transmissions()) {
+	for _, id := range m.gossip.members.take(max(capacity-len(msg.reports), capacity/2), m.transmitLimit()) {
 		if mem := m.byID[id]; mem != nil && mem != m.self {
 			msg.updates = append(msg.updates, mem.VM)
 		}
@@ -101,48 +101,48 @@
 	return msg
 }
 
-// burst starts eager dissemination.
-func (m *Model) burst(now clock.Millis) {
-	if m.gossip.bursts == 0 {
-		m.gossip.next = max(m.gossip.next, now)
+// startBurst starts eager dissemination.
+func (m *Model) startBurst(now clock.Millis) {
+	if m.gossip.burstRounds == 0 {
+		m.gossip.nextBurst = max(m.gossip.nextBurst, now)
 	}
-	m.gossip.bursts = m.cfg.bursts
+	m.gossip.burstRounds = m.cfg.burstRounds
 }
 
-func (m *Model) burstDue(now clock.Millis) {
-	if m.gossip.bursts == 0 || now < m.gossip.next {
+func (m *Model) runBurst(now clock.Millis) {
+	if m.gossip.burstRounds == 0 || now < m.gossip.nextBurst {
 		return
 	}
-	m.gossip.bursts--
-	m.gossip.next = now + burstEvery
-	if len(m.gossip.reports.items) > rumourReports {
-		m.gossip.bursts = max(m.gossip.bursts, 1) // not all reports fit in the messages of one burst
+	m.gossip.burstRounds--
+	m.gossip.nextBurst = now + burstInterval
+	if len(m.gossip.reports.items) > maxGossipReports {
+		m.gossip.burstRounds = max(m.gossip.burstRounds, 1) // not all reports fit in the messages of one burst
 	}
 	for _, mem := range m.sample(burstFanout, nil) {
 		if m.stopping {
-			m.ping(now, mem.ID, ping{purpose: forStop})
+			m.sendPing(now, mem.ID, ping{purpose: purposeStop})
 			continue
 		}
-		m.send(mem.ID, m.news(kindRumour, mem.ID))
+		m.send(mem.ID, m.newGossip(kindGossip, mem.ID))
 	}
 }
 
 // sample returns up to n distinct random members that are not dead or leaving.
 func (m *Model) sample(n int, except *member) []*member {
 	picked := make([]*member, 0, n)
-	for range n * sampleTries {
+	for range n * sampleAttempts {
 		if len(picked) == n || len(m.members) == 0 {
 			break
 		}
 		mem := m.members[m.rng.IntN(len(m.members))]
-		if mem != except && mem.State <= Suspect && !contains(picked, mem) {
+		if mem != except && mem.State <= Suspect && !containsMember(picked, mem) {
 			picked = append(picked, mem)
 		}
 	}
 	return picked
 }
 
-func contains(list []*member, mem *member) bool {
+func containsMember(list []*member, mem *member) bool {
 	for _, other := range list {
 		if other == mem {
 			return true
@@ -151,8 +151,8 @@
 	return false
 }
 
-// stop announces the planned stop.
-func (m *Model) stop(now clock.Millis) {
+// announceStop announces the planned stop.
+func (m *Model) announceStop(now clock.Millis) {
 	if m.stopping {
 		return
 	}
@@ -160,5 +160,5 @@
 	v := m.self.VM
 	v.State = Leaving
 	v.Refutation++
-	m.apply(now, m.self, v)
+	m.setMember(now, m.self, v)
 }
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -41,23 +41,23 @@
 
 // supersedes reports whether claim v replaces claim o about the same member.
 func (v *VM) supersedes(o *VM) bool {
-	if c := v.compareAge(o); c != 0 {
+	if c := v.compareVersion(o); c != 0 {
 		return c > 0
 	}
 	return v.State > o.State
 }
 
-func (v *VM) compareAge(o *VM) int {
+func (v *VM) compareVersion(o *VM) int {
 	return cmp.Or(cmp.Compare(v.Incarnation, o.Incarnation), cmp.Compare(v.Refutation, o.Refutation))
 }
 
 // digest summarises a claim for comparison between VMs. Suspicion is
 // transient and dead members are forgotten at different times, so neither shows.
-func (v *VM) digest(hash uint64) uint32 {
+func (v *VM) digest(idHash uint64) uint32 {
 	if v.State == Dead {
 		return 0
 	}
-	h := mix(hash ^ v.Incarnation*0x9e3779b97f4a7c15 ^ uint64(v.Refutation)<<32)
+	h := mix(idHash ^ v.Incarnation*0x9e3779b97f4a7c15 ^ uint64(v.Refutation)<<32)
 	if v.State == Leaving {
 		h = mix(h + 1)
 	}
@@ -67,15 +67,15 @@
 // member is a VM with what this VM keeps about it.
 type member struct {
 	VM
-	hash         uint64 // of the identifier
-	slot         int    // position in Model.members
-	place        int    // position in the eligible list, -1 if not eligible
-	since        clock.Millis
-	suspectUntil clock.Millis
+	hash          uint64 // of the identifier
+	probeIndex    int    // position in Model.members
+	eligibleIndex int    // position in the eligible list, -1 if not eligible
+	stateSince    clock.Millis
+	suspectUntil  clock.Millis
 }
 
 func newMember(v VM) *member {
-	return &member{VM: v, hash: xxhash.Sum64String(v.ID), place: -1}
+	return &member{VM: v, hash: xxhash.Sum64String(v.ID), eligibleIndex: -1}
 }
 
 // mix is the finaliser of splitmix64.
--- a/fleet/merge.go
+++ b/fleet/merge.go
@@ -5,14 +5,14 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// mergeAll merges the claims of a message and returns members about which this VM knows better.
-func (m *Model) mergeAll(now clock.Millis, msg *message) []VM {
+// mergeUpdates merges the claims of a message and returns members about which this VM knows better.
+func (m *Model) mergeUpdates(now clock.Millis, msg *message) []VM {
 	// A bulk answer repairs this VM alone; the senders of each claim spread it already.
-	m.gossip.muted = msg.kind == kindState && len(msg.updates) >= bulkUpdates
-	defer func() { m.gossip.muted = false }()
+	m.gossip.suppressed = msg.kind == kindState && len(msg.updates) >= bulkThreshold
+	defer func() { m.gossip.suppressed = false }()
 	var newer []VM
 	for _, v := range msg.updates {
-		m.merge(now, v)
+		m.mergeUpdate(now, v)
 		if msg.kind != kindState {
 			continue
 		}
@@ -23,58 +23,58 @@
 	return newer
 }
 
-// merge applies one claim. A claim of death about a member that this VM
+// mergeUpdate applies one claim. A claim of death about a member that this VM
 // believes alive is not taken over: after a partition heals, each side
 // believes the other dead. The member is asked instead, so that it refutes.
-func (m *Model) merge(now clock.Millis, v VM) {
+func (m *Model) mergeUpdate(now clock.Millis, v VM) {
 	if v.ID == m.self.ID {
 		m.refute(now, v)
 		return
 	}
 	mem := m.byID[v.ID]
 	if mem == nil {
-		m.add(now, v)
+		m.addMember(now, v)
 		return
 	}
 	if !v.supersedes(&mem.VM) {
 		return
 	}
-	if v.State == Dead && v.compareAge(&mem.VM) == 0 && mem.State != Leaving {
+	if v.State == Dead && v.compareVersion(&mem.VM) == 0 && mem.State != Leaving {
 		if mem.State == Alive {
-			m.challenge(mem, v)
+			m.requestRefutation(mem, v)
 		}
 		return
 	}
-	m.apply(now, mem, v)
+	m.setMember(now, mem, v)
 }
 
 // refute raises this VM's refutation above a claim that contradicts it.
-func (m *Model) refute(now clock.Millis, claim VM) {
+func (m *Model) refute(now clock.Millis, update VM) {
 	own := m.self.VM
-	if c := claim.compareAge(&own); c < 0 || c == 0 && claim.State <= own.State {
+	if c := update.compareVersion(&own); c < 0 || c == 0 && update.State <= own.State {
 		return
 	}
-	own.Incarnation = max(own.Incarnation, claim.Incarnation)
-	own.Refutation = claim.Refutation + 1
-	m.apply(now, m.self, own)
+	own.Incarnation = max(own.Incarnation, update.Incarnation)
+	own.Refutation = update.Refutation + 1
+	m.setMember(now, m.self, own)
 }
 
-func (m *Model) add(now clock.Millis, v VM) {
+func (m *Model) addMember(now clock.Millis, v VM) {
 	if v.State == Dead || len(m.members) >= maxMembers {
 		return
 	}
 	mem := newMember(v)
 	mem.State = Dead // the state before it was known, so that apply sees a change
 	// A random position keeps the probe order shuffled.
-	mem.slot = len(m.members)
+	mem.probeIndex = len(m.members)
 	m.members = append(m.members, mem)
-	m.swap(mem.slot, m.rng.IntN(len(m.members)))
+	m.swapMembers(mem.probeIndex, m.rng.IntN(len(m.members)))
 	m.byID[v.ID] = mem
-	m.apply(now, mem, v)
+	m.setMember(now, mem, v)
 }
 
-// apply replaces what is known of a member and spreads it.
-func (m *Model) apply(now clock.Millis, mem *member, v VM) {
+// setMember replaces what is known of a member and spreads it.
+func (m *Model) setMember(now clock.Millis, mem *member, v VM) {
 	before := mem.VM
 	m.unindex(mem)
 	if v.Address == "" {
@@ -82,41 +82,41 @@
 	}
 	mem.VM = v
 	m.index(mem)
-	if !m.gossip.muted {
+	if !m.gossip.suppressed {
 		m.gossip.members.push(mem.ID)
 	}
 	if before.State != v.State || before.Incarnation != v.Incarnation {
-		mem.since = now
-		m.entered(now, mem, before)
+		mem.stateSince = now
+		m.handleTransition(now, mem, before)
 	}
 }
 
-// entered handles a change of state or of process.
-func (m *Model) entered(now clock.Millis, mem *member, before VM) {
+// handleTransition handles a change of state or of process.
+func (m *Model) handleTransition(now clock.Millis, mem *member, before VM) {
 	v := &mem.VM
 	switch v.State {
 	case Alive:
 		if before.State != Suspect || before.Incarnation != v.Incarnation {
-			m.event(timeline.Event{Kind: timeline.VMJoined, Detail: v.ID})
+			m.emitEvent(timeline.Event{Kind: timeline.VMJoined, Detail: v.ID})
 		}
-		m.takeAddress(now, mem)
+		m.claimAddress(now, mem)
 	case Suspect:
-		mem.suspectUntil = now + m.suspicionMs()
+		mem.suspectUntil = now + m.suspicionTimeout()
 		m.suspects = append(m.suspects, mem)
-		m.event(timeline.Event{Kind: timeline.VMSuspected, Detail: v.ID})
+		m.emitEvent(timeline.Event{Kind: timeline.VMSuspected, Detail: v.ID})
 	case Leaving:
-		m.event(timeline.Event{Kind: timeline.VMLeft, Detail: v.ID})
-		m.burst(now)
+		m.emitEvent(timeline.Event{Kind: timeline.VMLeft, Detail: v.ID})
+		m.startBurst(now)
 	case Dead:
 		if before.State != Leaving {
-			m.event(timeline.Event{Kind: timeline.VMFailed, Detail: v.ID})
+			m.emitEvent(timeline.Event{Kind: timeline.VMFailed, Detail: v.ID})
 		}
 	}
 }
 
-// takeAddress marks the member that had the address of mem before as dead: an
+// claimAddress marks the member that had the address of mem before as dead: an
 // address serves one process, and the later incarnation is that process.
-func (m *Model) takeAddress(now clock.Millis, mem *member) {
+func (m *Model) claimAddress(now clock.Millis, mem *member) {
 	old := m.byAddr[mem.Address]
 	m.byAddr[mem.Address] = mem
 	if old == nil || old == mem || old == m.self || old.State == Dead || old.Address != mem.Address {
@@ -126,9 +126,9 @@
 		m.byAddr[mem.Address] = old
 		return
 	}
-	gone := old.VM
-	gone.State = Dead
-	m.apply(now, old, gone)
+	dead := old.VM
+	dead.State = Dead
+	m.setMember(now, old, dead)
 }
 
 // index adds mem to the digest and, if eligible, to the list for rendezvous hashing.
@@ -136,41 +136,41 @@
 	m.byID[mem.ID] = mem
 	m.digest[mem.hash%buckets] ^= mem.digest(mem.hash)
 	if mem.State == Alive {
-		mem.place = len(m.eligible)
+		mem.eligibleIndex = len(m.eligible)
 		m.eligible = append(m.eligible, mem)
-		m.hashes = append(m.hashes, mem.hash)
-		m.generation++
+		m.eligibleHashes = append(m.eligibleHashes, mem.hash)
+		m.eligibleVersion++
 	}
 }
 
 func (m *Model) unindex(mem *member) {
 	m.digest[mem.hash%buckets] ^= mem.digest(mem.hash)
-	if mem.place < 0 {
+	if mem.eligibleIndex < 0 {
 		return
 	}
 	last := len(m.eligible) - 1
 	moved := m.eligible[last]
-	m.eligible[mem.place], m.hashes[mem.place] = moved, moved.hash
-	moved.place = mem.place
-	m.eligible, m.hashes = m.eligible[:last], m.hashes[:last]
-	mem.place = -1
-	m.generation++
+	m.eligible[mem.eligibleIndex], m.eligibleHashes[mem.eligibleIndex] = moved, moved.hash
+	moved.eligibleIndex = mem.eligibleIndex
+	m.eligible, m.eligibleHashes = m.eligible[:last], m.eligibleHashes[:last]
+	mem.eligibleIndex = -1
+	m.eligibleVersion++
 }
 
-func (m *Model) swap(i, j int) {
+func (m *Model) swapMembers(i, j int) {
 	m.members[i], m.members[j] = m.members[j], m.members[i]
-	m.members[i].slot, m.members[j].slot = i, j
+	m.members[i].probeIndex, m.members[j].probeIndex = i, j
 }
 
-// prune forgets members that have been dead for long.
-func (m *Model) prune(now clock.Millis) {
+// pruneDead forgets members that have been dead for long.
+func (m *Model) pruneDead(now clock.Millis) {
 	for i := len(m.members) - 1; i >= 0; i-- {
 		mem := m.members[i]
-		if mem.State != Dead || now < mem.since+forgetMs {
+		if mem.State != Dead || now < mem.stateSince+deadRetention {
 			continue
 		}
 		last := len(m.members) - 1
-		m.swap(i, last)
+		m.swapMembers(i, last)
 		m.members = m.members[:last]
 		delete(m.byID, mem.ID)
 		if m.byAddr[mem.Address] == mem {
--- a/fleet/model.go
+++ b/fleet/model.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	maxMembers              = 8192
-	pauseMs    clock.Millis = 5 * clock.Second  // no update for this long means that the VM was paused
-	forgetMs   clock.Millis = 10 * clock.Minute // dead members are forgotten after this time
-	liveEvery  clock.Millis = 500               // bounds how often LiveCmd copies the member list
-	pruneEvery clock.Millis = 10 * clock.Second
+	maxMembers                  = 8192
+	pauseThreshold clock.Millis = 5 * clock.Second  // no update for this long means that the VM was paused
+	deadRetention  clock.Millis = 10 * clock.Minute // dead members are forgotten after this time
+	liveInterval   clock.Millis = 500               // bounds how often LiveCmd copies the member list
+	pruneInterval  clock.Millis = 10 * clock.Second
 )
 
 // Model is the membership state machine of one VM. It is not safe for concurrent use.
 type Model struct {
-	cfg config
-	rng *rand.Rand
-	out []Cmd
+	cfg  config
+	rng  *rand.Rand
+	cmds []Cmd
 
 	self     *member
 	byID     map[string]*member
@@ -30,32 +30,32 @@
 	suspects []*member
 	digest   [buckets]uint32
 
-	eligible   []*member // alive, including this VM
-	hashes     []uint64  // of eligible, kept apart so that a scan stays in cache
-	generation uint64
-	flushed    uint64 // generation of the last LiveCmd
-	watchers   []string
-
-	started  bool
-	stopping bool
-	last     clock.Millis // time of the current or last Update
-	lastPeer clock.Millis // time of the last message from a peer
-	nextLive clock.Millis
-	nextTidy clock.Millis
-
-	probes  probing
-	gossip  gossiping
-	sync    syncing
-	record  preset.Record
-	blob    blob
-	pull    pulling
-	store   storing
-	reports reporting
+	eligible        []*member // alive, including this VM
+	eligibleHashes  []uint64  // of eligible, kept apart so that a scan stays in cache
+	eligibleVersion uint64
+	reportedVersion uint64 // generation of the last LiveCmd
+	watchers        []string
+
+	started     bool
+	stopping    bool
+	lastUpdate  clock.Millis // time of the current or last Update
+	lastPeerMsg clock.Millis // time of the last message from a peer
+	nextLive    clock.Millis
+	nextPrune   clock.Millis
+
+	probes     probeState
+	gossip     gossipState
+	sync       syncState
+	record     preset.Record
+	compressed compressedRecord
+	pull       pullState
+	store      storeState
+	reports    reportState
 }
 
 // New returns a Model. WithSelf is required.
 func New(opts ...Option) *Model {
-	cfg := config{initial: preset.Default(), read: clock.Minute, bursts: defaultBursts}
+	cfg := config{initialRecord: preset.Default(), readInterval: clock.Minute, burstRounds: defaultBurstRounds}
 	for _, opt := range opts {
 		opt(&cfg)
 	}
@@ -66,10 +66,10 @@
 		byAddr: make(map[string]*member),
 	}
 	m.probes.pings = make(map[uint64]ping)
-	m.probes.announced = make(map[string]bool)
-	m.gossip.members.index = make(map[string]*item)
-	m.gossip.reports.index = make(map[string]*item)
-	m.reports.table = make(map[upstream.ID]Report)
+	m.probes.stopAcks = make(map[string]bool)
+	m.gossip.members.index = make(map[string]*queueItem)
+	m.gossip.reports.index = make(map[string]*queueItem)
+	m.reports.byUpstream = make(map[upstream.ID]Report)
 	m.sync.hints = cfg.seeds
 	m.self = newMember(cfg.self)
 	m.self.State = Alive
@@ -79,108 +79,108 @@
 
 // Update handles one message, then all work that is due.
 func (m *Model) Update(now clock.Millis, msg Msg) []Cmd {
-	m.out = nil
-	m.begin(now)
+	m.cmds = nil
+	m.startOrResume(now)
 	switch msg := msg.(type) {
 	case PeerMsg:
-		m.receive(now, msg)
+		m.handlePeer(now, msg)
 	case VMListMsg:
-		m.sync.hints, m.sync.roster = msg.VMs[:min(len(msg.VMs), maxMembers)], true
+		m.sync.hints, m.sync.haveVMList = msg.VMs[:min(len(msg.VMs), maxMembers)], true
 	case RecordMsg:
-		m.adopt(now, msg.Record, blob{})
+		m.applyRecord(now, msg.Record, compressedRecord{})
 	case StoreMsg:
-		m.storeReply(now, msg.Reply)
+		m.handleStoreReply(now, msg.Reply)
 	case UpstreamLeavingMsg:
-		m.observe(now, msg)
+		m.observeUpstream(now, msg)
 	case StopMsg:
-		m.stop(now)
+		m.announceStop(now)
 	}
-	m.due(now)
-	return m.out
+	m.runDue(now)
+	return m.cmds
 }
 
-// begin starts the timers, and restarts them after a pause: answers that were
+// startOrResume starts the timers, and restarts them after a pause: answers that were
 // due during the pause prove nothing about other members.
-func (m *Model) begin(now clock.Millis) {
+func (m *Model) startOrResume(now clock.Millis) {
 	switch {
 	case !m.started:
 		m.started = true
-		m.lastPeer = now
-		m.startTimers(now)
+		m.lastPeerMsg = now
+		m.resetTimers(now)
 		m.gossip.members.push(m.self.ID)
-	case now >= m.last+pauseMs:
+	case now >= m.lastUpdate+pauseThreshold:
 		for _, s := range m.suspects {
-			s.suspectUntil += now - m.last
+			s.suspectUntil += now - m.lastUpdate
 		}
-		m.startTimers(now)
+		m.resetTimers(now)
 	}
-	m.last = now
+	m.lastUpdate = now
 }
 
-func (m *Model) startTimers(now clock.Millis) {
+func (m *Model) resetTimers(now clock.Millis) {
 	m.probes.current = probe{}
-	m.probes.next = now + m.jitter(probeEvery)
-	m.sync.next, m.sync.contact = now, now
-	m.pull.at = 0
-	m.startStore(now)
+	m.probes.nextProbe = now + m.jitter(probeInterval)
+	m.sync.nextSync, m.sync.nextContact = now, now
+	m.pull.requestedAt = 0
+	m.resetStore(now)
 }
 
-// due performs everything whose time has come.
-func (m *Model) due(now clock.Millis) {
-	m.probeDue(now)
-	m.syncDue(now)
-	m.pullDue(now)
-	m.burstDue(now)
-	if now >= m.nextTidy {
-		m.nextTidy = now + pruneEvery
-		m.prune(now)
+// runDue performs everything whose time has come.
+func (m *Model) runDue(now clock.Millis) {
+	m.runProbe(now)
+	m.runSync(now)
+	m.retryPull(now)
+	m.runBurst(now)
+	if now >= m.nextPrune {
+		m.nextPrune = now + pruneInterval
+		m.pruneDead(now)
 	}
 	m.expireReports(now)
-	if m.flushed != m.generation && now >= m.nextLive {
-		m.flushed = m.generation
-		m.nextLive = now + liveEvery
-		m.watchers = m.pickWatchers()
+	if m.reportedVersion != m.eligibleVersion && now >= m.nextLive {
+		m.reportedVersion = m.eligibleVersion
+		m.nextLive = now + liveInterval
+		m.watchers = m.selectWatchers()
 		m.emit(LiveCmd{m.Live()})
 	}
-	m.storeDue(now)
+	m.runStoreCalls(now)
 }
 
-// receive handles a payload from a peer.
-func (m *Model) receive(now clock.Millis, p PeerMsg) {
+// handlePeer handles a payload from a peer.
+func (m *Model) handlePeer(now clock.Millis, p PeerMsg) {
 	msg, err := decode(p.Payload)
 	if err != nil || p.From == m.self.ID {
 		return
 	}
-	m.lastPeer = now
-	if msg.self.ID == p.From {
-		m.merge(now, msg.self)
+	m.lastPeerMsg = now
+	if msg.sender.ID == p.From {
+		m.mergeUpdate(now, msg.sender)
 	}
-	newer := m.mergeAll(now, msg)
+	newer := m.mergeUpdates(now, msg)
 	for _, r := range msg.reports {
 		m.mergeReport(now, r)
 	}
-	m.noticeRevision(now, p.From, msg.revision)
+	m.checkRevision(now, p.From, msg.revision)
 	switch msg.kind {
 	case kindPing:
-		m.answerPing(p.From, msg)
+		m.handlePing(p.From, msg)
 	case kindAck:
-		m.acked(p.From, msg)
+		m.handleAck(p.From, msg)
 	case kindPingReq:
-		m.relayPing(now, p.From, msg)
+		m.handlePingReq(now, p.From, msg)
 	case kindDigest:
-		m.answerDigest(p.From, msg)
+		m.handleDigest(p.From, msg)
 	case kindState:
-		m.synced(now, p.From, msg, newer)
+		m.handleState(now, p.From, msg, newer)
 	case kindPull:
-		m.answerPull(p.From, msg)
+		m.handlePull(p.From, msg)
 	case kindChunk:
-		m.takeChunk(now, p.From, msg)
+		m.handleChunk(now, p.From, msg)
 	}
 }
 
-func (m *Model) emit(c Cmd) { m.out = append(m.out, c) }
+func (m *Model) emit(c Cmd) { m.cmds = append(m.cmds, c) }
 
-func (m *Model) event(e timeline.Event) { m.emit(EventCmd{e}) }
+func (m *Model) emitEvent(e timeline.Event) { m.emit(EventCmd{e}) }
 
 func (m *Model) jitter(d clock.Millis) clock.Millis {
 	return clock.Millis(m.rng.Int64N(int64(max(d, 1))))
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -9,12 +9,12 @@
 type Option func(*config)
 
 type config struct {
-	self    VM
-	seed    uint64
-	seeds   []VM
-	initial preset.Record
-	read    clock.Millis
-	bursts  int
+	self          VM
+	seed          uint64
+	seeds         []VM
+	initialRecord preset.Record
+	readInterval  clock.Millis
+	burstRounds   int
 }
 
 // WithSelf sets the identity of this VM. Incarnation must exceed that of an earlier process with the same identifier.
@@ -27,11 +27,11 @@
 func WithSeedVMs(vms ...VM) Option { return func(c *config) { c.seeds = append(c.seeds, vms...) } }
 
 // WithInitialRecord sets the record that is written when neither the store nor a peer has one.
-func WithInitialRecord(r preset.Record) Option { return func(c *config) { c.initial = r } }
+func WithInitialRecord(r preset.Record) Option { return func(c *config) { c.initialRecord = r } }
 
 // WithReadInterval sets the mean time between reads of the record from the store.
-func WithReadInterval(d clock.Millis) Option { return func(c *config) { c.read = d } }
+func WithReadInterval(d clock.Millis) Option { return func(c *config) { c.readInterval = d } }
 
 // WithBurstRounds sets how many rounds of eager messages follow news. 0 leaves the
 // spreading to the heartbeats, which is the baseline of the experiments.
-func WithBurstRounds(rounds int) Option { return func(c *config) { c.bursts = rounds } }
+func WithBurstRounds(rounds int) Option { return func(c *config) { c.burstRounds = rounds } }
--- a/fleet/place_test.go
+++ b/fleet/placement_test.go
@@ -27,11 +27,11 @@
 	return out
 }
 
-// TestPlacement guards against VMs that disagree on a choice, and against
+// TestCarrierPlacement guards against VMs that disagree on a choice, and against
 // choices that move although their member stayed.
-func TestPlacement(t *testing.T) {
-	f := joined(t, 7)
-	gone := f.Nodes[8]
+func TestCarrierPlacement(t *testing.T) {
+	f := joinedFleet(t, 7)
+	leaver := f.Nodes[8]
 	var upstreams []string
 	for i := range 900 {
 		upstreams = append(upstreams, fmt.Sprintf("search/group-%d/a", i))
@@ -50,14 +50,14 @@
 			t.Errorf("%s is first carrier of %d of 900 upstreams, want about 100", id, n)
 		}
 	}
-	f.Deliver(gone, fleet.StopMsg{})
+	f.Deliver(leaver, fleet.StopMsg{})
 	f.RunFor(3 * clock.Second)
 	after := carriersOf(f.Nodes[0], upstreams)
 	for i, u := range upstreams {
-		if slices.Contains(after[i], gone.VM.ID) {
+		if slices.Contains(after[i], leaver.VM.ID) {
 			t.Errorf("%s is carried by a VM that left", u)
 		}
-		if !slices.Contains(before[i], gone.VM.ID) && !slices.Equal(after[i], before[i]) {
+		if !slices.Contains(before[i], leaver.VM.ID) && !slices.Equal(after[i], before[i]) {
 			t.Errorf("carriers of %s moved from %v to %v", u, before[i], after[i])
 		}
 	}
@@ -86,15 +86,15 @@
 // TestModelIsDeterministic guards against a history that depends on map order.
 func TestModelIsDeterministic(t *testing.T) {
 	run := func() [2]int {
-		f := joined(t, 9)
+		f := joinedFleet(t, 9)
 		f.LossPercent = 20
 		f.RunFor(clock.Minute)
-		var sum [2]int
+		var traffic [2]int
 		for _, n := range f.Nodes {
-			sum[0] += n.Sent
-			sum[1] += n.SentBytes
+			traffic[0] += n.Sent
+			traffic[1] += n.SentBytes
 		}
-		return sum
+		return traffic
 	}
 	if a, b := run(), run(); a != b {
 		t.Errorf("the same seed sent %v and %v", a, b)
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	probeEvery     clock.Millis = clock.Second
+	probeInterval  clock.Millis = clock.Second
 	probeTimeout   clock.Millis = 400 // without an answer by then, three others are asked
 	indirectProbes              = 3
 	suspicionBase  clock.Millis = 4 * clock.Second // times log10 of the fleet's size
-	maxChallenges               = 16               // bounds the probes that contested claims may cause at once
-	pingKeepMs     clock.Millis = 3 * clock.Second
+	maxContested                = 16               // bounds the probes that contested claims may cause at once
+	pingRetention  clock.Millis = 3 * clock.Second
 )
 
-// probing is the state of failure detection.
-type probing struct {
+// probeState is the state of failure detection.
+type probeState struct {
 	current   probe
-	next      clock.Millis
+	nextProbe clock.Millis
 	cursor    int // position in Model.members
 	seq       uint64
 	pings     map[uint64]ping // sent, by sequence number
 	contested []*member       // probed before the others
-	announced map[string]bool // members that acknowledged the planned stop
+	stopAcks  map[string]bool // members that acknowledged the planned stop
 }
 
 type probe struct {
 	target   *member
 	seq      uint64
-	at       clock.Millis
+	sentAt   clock.Millis
 	indirect bool
 	acked    bool
 }
@@ -37,53 +37,53 @@
 type purpose uint8
 
 const (
-	forProbe purpose = iota
-	forRelay
-	forStop
+	purposeProbe purpose = iota
+	purposeRelay
+	purposeStop
 )
 
 type ping struct {
-	purpose purpose
-	target  string
-	at      clock.Millis
-	origin  string // for a relayed ping, who asked and its sequence number
-	seq     uint64
+	purpose   purpose
+	target    string
+	sentAt    clock.Millis
+	origin    string // for a relayed ping, who asked and its sequence number
+	originSeq uint64
 }
 
-func (m *Model) probeDue(now clock.Millis) {
+func (m *Model) runProbe(now clock.Millis) {
 	p := &m.probes
-	if now >= p.next {
-		p.next += probeEvery
-		if p.next <= now {
-			p.next = now + probeEvery
+	if now >= p.nextProbe {
+		p.nextProbe += probeInterval
+		if p.nextProbe <= now {
+			p.nextProbe = now + probeInterval
 		}
-		m.endProbe(now)
-		m.beginProbe(now)
+		m.finishProbe(now)
+		m.startProbe(now)
 	}
 	c := &p.current
-	if c.target != nil && !c.acked && !c.indirect && now >= c.at+probeTimeout {
+	if c.target != nil && !c.acked && !c.indirect && now >= c.sentAt+probeTimeout {
 		m.probeIndirectly(now)
 	}
 	m.expireSuspects(now)
 }
 
-func (m *Model) beginProbe(now clock.Millis) {
+func (m *Model) startProbe(now clock.Millis) {
 	for seq, p := range m.probes.pings {
-		if now > p.at+pingKeepMs {
+		if now > p.sentAt+pingRetention {
 			delete(m.probes.pings, seq)
 		}
 	}
 	m.probes.current = probe{}
-	target := m.nextTarget()
+	target := m.nextProbeTarget()
 	if target == nil {
 		return
 	}
-	seq := m.ping(now, target.ID, ping{purpose: forProbe})
-	m.probes.current = probe{target: target, seq: seq, at: now}
+	seq := m.sendPing(now, target.ID, ping{purpose: purposeProbe})
+	m.probes.current = probe{target: target, seq: seq, sentAt: now}
 }
 
-// nextTarget returns contested members first, then goes round the shuffled list.
-func (m *Model) nextTarget() *member {
+// nextProbeTarget returns contested members first, then goes round the shuffled list.
+func (m *Model) nextProbeTarget() *member {
 	p := &m.probes
 	for len(p.contested) > 0 {
 		mem := p.contested[0]
@@ -95,7 +95,7 @@
 	for range len(m.members) {
 		if p.cursor >= len(m.members) {
 			p.cursor = 0
-			m.rng.Shuffle(len(m.members), m.swap)
+			m.rng.Shuffle(len(m.members), m.swapMembers)
 		}
 		mem := m.members[p.cursor]
 		p.cursor++
@@ -106,11 +106,11 @@
 	return nil
 }
 
-func (m *Model) ping(now clock.Millis, to string, p ping) uint64 {
+func (m *Model) sendPing(now clock.Millis, to string, p ping) uint64 {
 	m.probes.seq++
-	p.target, p.at = to, now
+	p.target, p.sentAt = to, now
 	m.probes.pings[m.probes.seq] = p
-	msg := m.news(kindPing, to)
+	msg := m.newGossip(kindPing, to)
 	msg.seq = m.probes.seq
 	m.send(to, msg)
 	return m.probes.seq
@@ -121,15 +121,15 @@
 func (m *Model) probeIndirectly(now clock.Millis) {
 	c := &m.probes.current
 	c.indirect = true
-	m.ping(now, c.target.ID, ping{purpose: forProbe})
-	for _, via := range m.sample(indirectProbes, c.target) {
-		msg := m.news(kindPingReq, via.ID)
+	m.sendPing(now, c.target.ID, ping{purpose: purposeProbe})
+	for _, helper := range m.sample(indirectProbes, c.target) {
+		msg := m.newGossip(kindPingReq, helper.ID)
 		msg.seq, msg.target = c.seq, c.target.ID
-		m.send(via.ID, msg)
+		m.send(helper.ID, msg)
 	}
 }
 
-func (m *Model) endProbe(now clock.Millis) {
+func (m *Model) finishProbe(now clock.Millis) {
 	c := m.probes.current
 	if c.target == nil || c.acked {
 		return
@@ -143,51 +143,51 @@
 	default:
 		return
 	}
-	m.apply(now, c.target, v)
+	m.setMember(now, c.target, v)
 }
 
-func (m *Model) answerPing(from string, msg *message) {
-	ack := m.news(kindAck, from)
+func (m *Model) handlePing(from string, msg *message) {
+	ack := m.newGossip(kindAck, from)
 	ack.seq = msg.seq
 	m.send(from, ack)
 }
 
-func (m *Model) relayPing(now clock.Millis, from string, msg *message) {
+func (m *Model) handlePingReq(now clock.Millis, from string, msg *message) {
 	if m.byID[msg.target] == nil || msg.target == m.self.ID {
 		return
 	}
-	m.ping(now, msg.target, ping{purpose: forRelay, origin: from, seq: msg.seq})
+	m.sendPing(now, msg.target, ping{purpose: purposeRelay, origin: from, originSeq: msg.seq})
 }
 
-func (m *Model) acked(from string, msg *message) {
+func (m *Model) handleAck(from string, msg *message) {
 	p, ok := m.probes.pings[msg.seq]
 	if !ok || p.target != from && p.target != msg.target {
 		return
 	}
 	delete(m.probes.pings, msg.seq)
 	switch p.purpose {
-	case forProbe:
+	case purposeProbe:
 		if c := &m.probes.current; c.target != nil && c.target.ID == p.target {
 			c.acked = true
 		}
-	case forRelay:
-		m.send(p.origin, &message{kind: kindAck, seq: p.seq, target: p.target, self: m.self.VM})
-	case forStop:
-		m.probes.announced[from] = true
+	case purposeRelay:
+		m.send(p.origin, &message{kind: kindAck, seq: p.originSeq, target: p.target, sender: m.self.VM})
+	case purposeStop:
+		m.probes.stopAcks[from] = true
 	}
 }
 
-// challenge lets a member that others believe dead know, and probes it soon.
-func (m *Model) challenge(mem *member, claim VM) {
-	if len(m.probes.contested) >= maxChallenges {
+// requestRefutation lets a member that others believe dead know, and probes it soon.
+func (m *Model) requestRefutation(mem *member, update VM) {
+	if len(m.probes.contested) >= maxContested {
 		return
 	}
 	m.probes.contested = append(m.probes.contested, mem)
-	m.send(mem.ID, &message{kind: kindRumour, self: m.self.VM, updates: []VM{claim}})
+	m.send(mem.ID, &message{kind: kindGossip, sender: m.self.VM, updates: []VM{update}})
 }
 
-// suspicionMs grows with the logarithm of the size, as does the time that a refutation takes to spread.
-func (m *Model) suspicionMs() clock.Millis {
+// suspicionTimeout grows with the logarithm of the size, as does the time that a refutation takes to spread.
+func (m *Model) suspicionTimeout() clock.Millis {
 	scale := max(1, math.Log10(float64(len(m.members)+1)))
 	return clock.Millis(float64(suspicionBase) * scale)
 }
@@ -200,7 +200,7 @@
 		case now >= mem.suspectUntil:
 			v := mem.VM
 			v.State = Dead
-			m.apply(now, mem, v)
+			m.setMember(now, mem, v)
 		default:
 			kept = append(kept, mem)
 		}
--- a/fleet/query.go
+++ b/fleet/query.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	storeLostMs    clock.Millis = 150 * clock.Second // two read intervals and some
-	peersLostMs    clock.Millis = 5 * clock.Second   // a VM hears from peers about twice a second
-	announceTo                  = 6
-	announceWithin clock.Millis = 2 * clock.Second
+	storeLostAfter  clock.Millis = 150 * clock.Second // two read intervals and some
+	peersLostAfter  clock.Millis = 5 * clock.Second   // a VM hears from peers about twice a second
+	minStopAcks                  = 6
+	announceTimeout clock.Millis = 2 * clock.Second
 )
 
 // Self returns what this VM says of itself.
@@ -53,15 +53,15 @@
 func (m *Model) Watchers() []string { return slices.Clone(m.watchers) }
 
 // Ready reports whether this VM has a record, has joined its peers and is not stopping.
-func (m *Model) Ready() bool { return m.record.Revision > 0 && m.sync.settled && !m.stopping }
+func (m *Model) Ready() bool { return m.record.Revision > 0 && m.sync.joinDone && !m.stopping }
 
 // Record returns the record in force; its revision is 0 if there is none yet.
 func (m *Model) Record() preset.Record { return m.record }
 
 // Stale reports whether this VM has lost the store and all peers, so that its record may be old.
 func (m *Model) Stale(now clock.Millis) bool {
-	storeLost := m.store.failed || now > m.store.lastOK+storeLostMs
-	return storeLost && now > m.lastPeer+peersLostMs
+	storeLost := m.store.failed || now > m.store.lastOK+storeLostAfter
+	return storeLost && now > m.lastPeerMsg+peersLostAfter
 }
 
 // StopAnnounced reports whether enough members know of the planned stop.
@@ -69,18 +69,18 @@
 	if !m.stopping {
 		return false
 	}
-	return len(m.probes.announced) >= min(announceTo, len(m.eligible)) || now >= m.self.since+announceWithin
+	return len(m.probes.stopAcks) >= min(minStopAcks, len(m.eligible)) || now >= m.self.stateSince+announceTimeout
 }
 
 // UpstreamLeaving reports whether the newest report says that an upstream leaves.
-func (m *Model) UpstreamLeaving(id upstream.ID) bool { return m.reports.table[id].Leaving }
+func (m *Model) UpstreamLeaving(id upstream.ID) bool { return m.reports.byUpstream[id].Leaving }
 
 // Reports returns the newest report of each upstream, ordered by upstream.
 func (m *Model) Reports() []Report { return m.sortedReports() }
 
 func (m *Model) sortedReports() []Report {
-	list := make([]Report, 0, len(m.reports.table))
-	for _, r := range m.reports.table {
+	list := make([]Report, 0, len(m.reports.byUpstream))
+	for _, r := range m.reports.byUpstream {
 		list = append(list, r)
 	}
 	slices.SortFunc(list, func(a, b Report) int { return cmp.Compare(a.Upstream, b.Upstream) })
@@ -92,35 +92,35 @@
 	if !m.started {
 		return 0, true
 	}
-	wake := min(m.probes.next, m.sync.next, m.sync.contact, m.store.wakeGet(), m.nextTidy)
+	wake := min(m.probes.nextProbe, m.sync.nextSync, m.sync.nextContact, m.store.nextGetWake(), m.nextPrune)
 	if c := m.probes.current; c.target != nil && !c.acked && !c.indirect {
-		wake = min(wake, c.at+probeTimeout)
+		wake = min(wake, c.sentAt+probeTimeout)
 	}
-	if m.gossip.bursts > 0 {
-		wake = min(wake, m.gossip.next)
+	if m.gossip.burstRounds > 0 {
+		wake = min(wake, m.gossip.nextBurst)
 	}
 	if m.pull.revision > 0 {
-		wake = min(wake, m.pull.at+pullTimeout)
+		wake = min(wake, m.pull.requestedAt+pullTimeout)
 	}
-	if m.flushed != m.generation {
+	if m.reportedVersion != m.eligibleVersion {
 		wake = min(wake, m.nextLive)
 	}
 	if m.store.watching {
-		wake = min(wake, m.store.wakeWatch())
+		wake = min(wake, m.store.nextWatchWake())
 	}
 	return wake, true
 }
 
-func (s *storing) wakeGet() clock.Millis {
+func (s *storeState) nextGetWake() clock.Millis {
 	if s.get.tag != 0 {
-		return s.get.at + callTimeout
+		return s.get.sentAt + getTimeout
 	}
-	return s.get.next
+	return s.get.nextAt
 }
 
-func (s *storing) wakeWatch() clock.Millis {
+func (s *storeState) nextWatchWake() clock.Millis {
 	if s.watch.tag != 0 {
-		return s.watch.at + watchTimeout
+		return s.watch.sentAt + watchTimeout
 	}
-	return s.watch.next
+	return s.watch.nextAt
 }
--- a/fleet/ready_test.go
+++ b/fleet/ready_test.go
@@ -9,9 +9,9 @@
 	"lentillink.example/lentillink/store"
 )
 
-// readyAfter returns how long a model that can read the store takes to be
+// timeUntilReady returns how long a model that can read the store takes to be
 // ready. The peer answers if it is not nil.
-func readyAfter(t *testing.T, roster []fleet.VM, peer *fleet.Model) clock.Millis {
+func timeUntilReady(t *testing.T, vmList []fleet.VM, peer *fleet.Model) clock.Millis {
 	t.Helper()
 	const start = clock.Millis(1_700_000_000_000)
 	value, err := preset.Encode(preset.Default())
@@ -20,7 +20,7 @@
 	}
 	m := fleet.New(fleet.WithSelf(fleet.VM{ID: "vm-1", Address: "a:1", Incarnation: 2}), fleet.WithSeed(1))
 	for now := start; now < start+10*clock.Second; now += 10 {
-		inbox := []fleet.Msg{fleet.VMListMsg{VMs: roster}, fleet.TickMsg{}}
+		inbox := []fleet.Msg{fleet.VMListMsg{VMs: vmList}, fleet.TickMsg{}}
 		for ; len(inbox) > 0; inbox = inbox[1:] {
 			for _, cmd := range m.Update(now, inbox[0]) {
 				switch c := cmd.(type) {
@@ -30,7 +30,7 @@
 						inbox = append(inbox, fleet.StoreMsg{Reply: store.Reply{Tag: c.Request.Tag, Op: c.Request.Op, Entry: entry}})
 					}
 				case fleet.SendCmd:
-					inbox = append(inbox, answers(now, peer, c)...)
+					inbox = append(inbox, peerReplies(now, peer, c)...)
 				}
 			}
 		}
@@ -41,7 +41,7 @@
 	return 10 * clock.Second
 }
 
-func answers(now clock.Millis, peer *fleet.Model, c fleet.SendCmd) []fleet.Msg {
+func peerReplies(now clock.Millis, peer *fleet.Model, c fleet.SendCmd) []fleet.Msg {
 	var list []fleet.Msg
 	if peer == nil {
 		return nil
@@ -56,23 +56,23 @@
 
 // Guards against a new VM that has read the record but heard from no peer, and
 // so takes requests as if it were alone and sends them to leaving upstreams.
-func TestNewVMIsNotReadyBeforeItHasJoined(t *testing.T) {
+func TestNewVMIsNotReadyBeforeJoining(t *testing.T) {
 	two := []fleet.VM{{ID: "vm-1", Address: "a:1"}, {ID: "vm-2", Address: "b:1"}}
 	peer := fleet.New(fleet.WithSelf(fleet.VM{ID: "vm-2", Address: "b:1", Incarnation: 1}), fleet.WithSeed(2))
 	tests := map[string]struct {
-		roster      []fleet.VM
-		peer        *fleet.Model
-		least, most clock.Millis
+		vmList       []fleet.VM
+		peer         *fleet.Model
+		minMs, maxMs clock.Millis
 	}{
-		"peer silent":   {roster: two, least: 3 * clock.Second, most: 4 * clock.Second},
-		"peer answers":  {roster: two, peer: peer, most: 3*clock.Second - 1},
-		"nobody else":   {roster: two[:1], most: 3*clock.Second - 1},
-		"no list known": {least: 0, most: 4 * clock.Second},
+		"peer silent":   {vmList: two, minMs: 3 * clock.Second, maxMs: 4 * clock.Second},
+		"peer answers":  {vmList: two, peer: peer, maxMs: 3*clock.Second - 1},
+		"nobody else":   {vmList: two[:1], maxMs: 3*clock.Second - 1},
+		"no list known": {minMs: 0, maxMs: 4 * clock.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := readyAfter(t, tt.roster, tt.peer); got < tt.least || got > tt.most {
-				t.Errorf("ready after %d ms, want %d to %d", got, tt.least, tt.most)
+			if got := timeUntilReady(t, tt.vmList, tt.peer); got < tt.minMs || got > tt.maxMs {
+				t.Errorf("ready after %d ms, want %d to %d", got, tt.minMs, tt.maxMs)
 			}
 		})
 	}
--- a/fleet/place.go
+++ b/fleet/rendezvous.go
@@ -19,12 +19,12 @@
 	score uint64
 }
 
-// top returns the n eligible members with the highest scores for key, best first.
-func (m *Model) top(key string, n int) []candidate {
-	h := xxhash.Sum64String(key)
+// highestScored returns the n eligible members with the highest scores for key, best first.
+func (m *Model) highestScored(key string, n int) []candidate {
+	keyHash := xxhash.Sum64String(key)
 	best := make([]candidate, 0, n+1)
-	for i, mh := range m.hashes {
-		score := mix(h ^ mh)
+	for i, mh := range m.eligibleHashes {
+		score := mix(keyHash ^ mh)
 		if len(best) == n && score <= best[n-1].score {
 			continue
 		}
@@ -37,10 +37,10 @@
 	return best
 }
 
-// pickWatchers prefers VMs of different data centres.
-func (m *Model) pickWatchers() []string {
+// selectWatchers prefers VMs of different data centres.
+func (m *Model) selectWatchers() []string {
 	bestOf := make(map[string]candidate)
-	for _, c := range m.scored(preset.StoreKey) {
+	for _, c := range m.scoreAll(preset.StoreKey) {
 		if old, ok := bestOf[c.mem.DataCentre]; !ok || c.score > old.score {
 			bestOf[c.mem.DataCentre] = c
 		}
@@ -50,7 +50,7 @@
 		picked = append(picked, c)
 	}
 	slices.SortFunc(picked, func(a, b candidate) int { return cmp.Compare(b.score, a.score) })
-	for _, c := range m.top(preset.StoreKey, 2*watcherCount) {
+	for _, c := range m.highestScored(preset.StoreKey, 2*watcherCount) {
 		if !slices.ContainsFunc(picked, func(p candidate) bool { return p.mem == c.mem }) {
 			picked = append(picked, c)
 		}
@@ -62,11 +62,11 @@
 	return ids
 }
 
-func (m *Model) scored(key string) []candidate {
-	h := xxhash.Sum64String(key)
+func (m *Model) scoreAll(key string) []candidate {
+	keyHash := xxhash.Sum64String(key)
 	list := make([]candidate, len(m.eligible))
-	for i, mh := range m.hashes {
-		list[i] = candidate{m.eligible[i], mix(h ^ mh)}
+	for i, mh := range m.eligibleHashes {
+		list[i] = candidate{m.eligible[i], mix(keyHash ^ mh)}
 	}
 	return list
 }
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	reportTTL    clock.Millis = 10 * clock.Minute // an observer renews a report that still holds
-	renewBefore  clock.Millis = 2 * clock.Minute
-	ignoreBelow  clock.Millis = 5 * clock.Second // remaining time below which a report is no longer taken over
-	maxTable                  = 16384            // more than the upstreams of the two-year size
-	expiryEvery  clock.Millis = clock.Second
-	maxAheadTime              = uint64(clock.Minute) // a version further ahead of the local clock is refused
+	reportTTL        clock.Millis = 10 * clock.Minute // an observer renews a report that still holds
+	renewMargin      clock.Millis = 2 * clock.Minute
+	minReportTTL     clock.Millis = 5 * clock.Second // remaining time below which a report is no longer taken over
+	maxStoredReports              = 16384            // more than the upstreams of the two-year size
+	expiryInterval   clock.Millis = clock.Second
+	maxClockSkew                  = uint64(clock.Minute) // a version further ahead of the local clock is refused
 )
 
-// reporting keeps the newest report of each upstream.
-type reporting struct {
-	table  map[upstream.ID]Report
-	digest uint32
-	next   clock.Millis // next check for expiry
+// reportState keeps the newest report of each upstream.
+type reportState struct {
+	byUpstream map[upstream.ID]Report
+	digest     uint32
+	nextExpiry clock.Millis // next check for expiry
 }
 
 func (r *Report) supersedes(o *Report) bool {
@@ -34,14 +34,14 @@
 	return uint32(mix(xxhash.Sum64String(string(r.Upstream)) ^ r.Version ^ xxhash.Sum64String(r.Reporter)))
 }
 
-// observe turns an observation of this VM into a report. One that agrees with
+// observeUpstream turns an observation of this VM into a report. One that agrees with
 // the newest report is dropped, because every VM observes the same upstream.
-func (m *Model) observe(now clock.Millis, msg UpstreamLeavingMsg) {
-	old, ok := m.reports.table[msg.Upstream]
+func (m *Model) observeUpstream(now clock.Millis, msg UpstreamLeavingMsg) {
+	old, ok := m.reports.byUpstream[msg.Upstream]
 	if !ok && !msg.Leaving || msg.Upstream == "" || len(msg.Upstream) > maxNameBytes {
 		return
 	}
-	if ok && old.Leaving == msg.Leaving && (now < old.ExpiresMs-renewBefore || !msg.Leaving) {
+	if ok && old.Leaving == msg.Leaving && (now < old.ExpiresMs-renewMargin || !msg.Leaving) {
 		return
 	}
 	m.putReport(now, Report{
@@ -53,63 +53,63 @@
 func (m *Model) mergeReport(now clock.Millis, w wireReport) {
 	r := w.Report
 	r.ExpiresMs = now + w.remaining
-	old, ok := m.reports.table[r.Upstream]
-	if w.remaining < ignoreBelow || r.Version > uint64(now)+maxAheadTime || ok && !r.supersedes(&old) {
+	old, ok := m.reports.byUpstream[r.Upstream]
+	if w.remaining < minReportTTL || r.Version > uint64(now)+maxClockSkew || ok && !r.supersedes(&old) {
 		return
 	}
 	m.putReport(now, r)
 }
 
 func (m *Model) putReport(now clock.Millis, r Report) {
-	old, ok := m.reports.table[r.Upstream]
-	if !ok && len(m.reports.table) >= maxTable {
+	old, ok := m.reports.byUpstream[r.Upstream]
+	if !ok && len(m.reports.byUpstream) >= maxStoredReports {
 		return
 	}
 	if ok {
 		m.reports.digest ^= old.hash()
 	}
 	m.reports.digest ^= r.hash()
-	m.reports.table[r.Upstream] = r
+	m.reports.byUpstream[r.Upstream] = r
 	m.gossip.reports.push(string(r.Upstream))
-	m.burst(now)
+	m.startBurst(now)
 	if old.Leaving != r.Leaving {
-		m.tellUpstream(r.Upstream, r.Leaving)
+		m.emitUpstream(r.Upstream, r.Leaving)
 	}
 }
 
-func (m *Model) tellUpstream(id upstream.ID, leaving bool) {
-	k := timeline.UpstreamBack
+func (m *Model) emitUpstream(id upstream.ID, leaving bool) {
+	eventKind := timeline.UpstreamBack
 	if leaving {
-		k = timeline.UpstreamLeaving
+		eventKind = timeline.UpstreamLeaving
 	}
-	m.event(timeline.Event{Kind: k, Upstream: string(id)})
+	m.emitEvent(timeline.Event{Kind: eventKind, Upstream: string(id)})
 	m.emit(UpstreamLeavingCmd{Upstream: id, Leaving: leaving})
 }
 
 // expireReports forgets reports that no VM has renewed.
 func (m *Model) expireReports(now clock.Millis) {
-	if now < m.reports.next {
+	if now < m.reports.nextExpiry {
 		return
 	}
-	m.reports.next = now + expiryEvery
+	m.reports.nextExpiry = now + expiryInterval
 	for _, r := range m.sortedReports() {
 		if now < r.ExpiresMs {
 			continue
 		}
-		delete(m.reports.table, r.Upstream)
+		delete(m.reports.byUpstream, r.Upstream)
 		m.reports.digest ^= r.hash()
 		if r.Leaving {
-			m.tellUpstream(r.Upstream, false)
+			m.emitUpstream(r.Upstream, false)
 		}
 	}
 }
 
-func (m *Model) outgoing(r Report) wireReport {
-	return wireReport{Report: r, remaining: max(0, r.ExpiresMs-m.last)}
+func (m *Model) toWire(r Report) wireReport {
+	return wireReport{Report: r, remaining: max(0, r.ExpiresMs-m.lastUpdate)}
 }
 
-// someReports returns reports for repair, from a random start if there are too many.
-func (m *Model) someReports() []wireReport {
+// sampleReports returns reports for repair, from a random start if there are too many.
+func (m *Model) sampleReports() []wireReport {
 	all := m.sortedReports()
 	start := 0
 	if len(all) > maxReports {
@@ -117,7 +117,7 @@
 	}
 	list := make([]wireReport, 0, min(len(all), maxReports))
 	for i := range min(len(all), maxReports) {
-		list = append(list, m.outgoing(all[(start+i)%len(all)]))
+		list = append(list, m.toWire(all[(start+i)%len(all)]))
 	}
 	return list
 }
--- a/fleet/sync.go
+++ b/fleet/sync.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	syncEvery clock.Millis = 10 * clock.Second
-	joinEvery clock.Millis = clock.Second
+	syncInterval clock.Millis = 10 * clock.Second
+	joinInterval clock.Millis = clock.Second
 	// A VM that reaches no peer serves alone after this time. Before, it does
 	// not know which upstreams leave and who carries them.
-	joinWithin     clock.Millis = 3 * clock.Second
-	contactEvery   clock.Millis = 5 * clock.Second
-	joinContacts                = 3
-	maxStatePages               = 8
-	bulkUpdates                 = 64 // fewer than this in an answer means that the tables agree but for recent changes
-	hintTries                   = 8
-	maxHintIndexed              = maxMembers
+	joinTimeout      clock.Millis = 3 * clock.Second
+	contactInterval  clock.Millis = 5 * clock.Second
+	joinFanout                    = 3
+	maxStatePages                 = 8
+	bulkThreshold                 = 64 // fewer than this in an answer means that the tables agree but for recent changes
+	hintAttempts                  = 8
+	maxHintAddresses              = maxMembers
 )
 
-// syncing is the state of joining and of repair. Each VM compares digests of
+// syncState is the state of joining and of repair. Each VM compares digests of
 // its member table with a random member, and from time to time contacts a VM
 // that it believes dead or knows only from the VM list, so that a partition heals.
-type syncing struct {
-	hints     []VM
-	addresses map[string]string // of hints that were contacted and senders that are not members
-	joined    bool              // a peer's table was received
-	settled   bool              // joined, or there is nobody to join
-	roster    bool              // the VM list was received
-	next      clock.Millis
-	contact   clock.Millis
+type syncState struct {
+	hints       []VM
+	addresses   map[string]string // of hints that were contacted and senders that are not members
+	joined      bool              // a peer's table was received
+	joinDone    bool              // joined, or there is nobody to join
+	haveVMList  bool              // the VM list was received
+	nextSync    clock.Millis
+	nextContact clock.Millis
 }
 
-func (m *Model) syncDue(now clock.Millis) {
+func (m *Model) runSync(now clock.Millis) {
 	s := &m.sync
-	s.settled = s.settled || s.joined || s.roster && m.alone() || now >= m.store.began+joinWithin
-	if now >= s.next {
+	s.joinDone = s.joinDone || s.joined || s.haveVMList && m.alone() || now >= m.store.startedAt+joinTimeout
+	if now >= s.nextSync {
 		if s.joined {
-			s.next = now + syncEvery/2 + m.jitter(syncEvery)
+			s.nextSync = now + syncInterval/2 + m.jitter(syncInterval)
 		} else {
-			s.next = now + joinEvery
+			s.nextSync = now + joinInterval
 		}
-		m.beginSync()
+		m.startSync()
 	}
-	if now >= s.contact {
-		s.contact = now + contactEvery/2 + m.jitter(contactEvery)
-		m.contactLost()
+	if now >= s.nextContact {
+		s.nextContact = now + contactInterval/2 + m.jitter(contactInterval)
+		m.contactUnreachable()
 	}
 }
 
@@ -56,26 +56,26 @@
 	return !others && len(m.members) == 0
 }
 
-func (m *Model) beginSync() {
-	known := m.sample(1, nil)
-	for _, mem := range known {
+func (m *Model) startSync() {
+	targets := m.sample(1, nil)
+	for _, mem := range targets {
 		m.sendDigest(mem.ID)
 	}
 	if m.sync.joined {
 		return
 	}
 	// One VM sends its table; the others only learn of this VM and tell their revision.
-	if len(known) == 0 {
+	if len(targets) == 0 {
 		m.contactHint((*Model).sendDigest)
 	}
-	for range joinContacts - 1 {
-		m.contactHint(func(m *Model, to string) { m.ping(m.last, to, ping{purpose: forProbe}) })
+	for range joinFanout - 1 {
+		m.contactHint(func(m *Model, to string) { m.sendPing(m.lastUpdate, to, ping{purpose: purposeProbe}) })
 	}
 }
 
-// contactLost tries a dead member or a hint that is not a live member.
-func (m *Model) contactLost() {
-	for range hintTries {
+// contactUnreachable tries a dead member or a hint that is not a live member.
+func (m *Model) contactUnreachable() {
+	for range hintAttempts {
 		if len(m.members) == 0 {
 			break
 		}
@@ -89,7 +89,7 @@
 
 // contactHint sends to a VM of the VM list that is not known to be alive.
 func (m *Model) contactHint(send func(m *Model, to string)) {
-	for range hintTries {
+	for range hintAttempts {
 		if len(m.sync.hints) == 0 {
 			return
 		}
@@ -98,35 +98,35 @@
 		if v.ID == m.self.ID || v.State == Leaving || mem != nil && mem.State != Dead {
 			continue
 		}
-		m.remember(v)
+		m.rememberAddress(v)
 		send(m, v.ID)
 		return
 	}
 }
 
-func (m *Model) remember(v VM) {
-	if m.sync.addresses == nil || len(m.sync.addresses) >= maxHintIndexed {
+func (m *Model) rememberAddress(v VM) {
+	if m.sync.addresses == nil || len(m.sync.addresses) >= maxHintAddresses {
 		m.sync.addresses = make(map[string]string)
 	}
 	m.sync.addresses[v.ID] = v.Address
 }
 
 func (m *Model) sendDigest(to string) {
-	msg := &message{kind: kindDigest, self: m.self.VM, digest: append(m.digest[:], m.reports.digest)}
+	msg := &message{kind: kindDigest, sender: m.self.VM, digest: append(m.digest[:], m.reports.digest)}
 	if mem := m.byID[to]; mem != nil && mem.State != Alive {
 		msg.updates = []VM{mem.VM}
 	}
 	m.send(to, msg)
 }
 
-// answerDigest sends the members in the buckets that differ, in pages.
-func (m *Model) answerDigest(from string, msg *message) {
+// handleDigest sends the members in the buckets that differ, in pages.
+func (m *Model) handleDigest(from string, msg *message) {
 	if len(msg.digest) != buckets+1 {
 		return
 	}
-	page := &message{kind: kindState, self: m.self.VM}
+	page := &message{kind: kindState, sender: m.self.VM}
 	if msg.digest[buckets] != m.reports.digest {
-		page.reports = m.someReports()
+		page.reports = m.sampleReports()
 	}
 	if mem := m.byID[from]; mem != nil && mem.State != Alive {
 		page.updates = append(page.updates, mem.VM)
@@ -137,8 +137,8 @@
 	}
 	for i := range m.members {
 		mem := m.members[(start+i)%len(m.members)]
-		b := mem.hash % buckets
-		if msg.digest[b] == m.digest[b] || mem.ID == from {
+		bucket := mem.hash % buckets
+		if msg.digest[bucket] == m.digest[bucket] || mem.ID == from {
 			continue
 		}
 		page.updates = append(page.updates, mem.VM)
@@ -146,7 +146,7 @@
 			continue
 		}
 		m.send(from, page)
-		page = &message{kind: kindState, self: m.self.VM}
+		page = &message{kind: kindState, sender: m.self.VM}
 		if pages++; pages == maxStatePages {
 			return
 		}
@@ -156,14 +156,14 @@
 	}
 }
 
-// synced handles the answer to a digest; what this VM knows better goes back.
-func (m *Model) synced(now clock.Millis, from string, msg *message, newer []VM) {
-	if len(msg.updates) < bulkUpdates && len(m.members) > 0 {
+// handleState handles the answer to a digest; what this VM knows better goes back.
+func (m *Model) handleState(now clock.Millis, from string, msg *message, newer []VM) {
+	if len(msg.updates) < bulkThreshold && len(m.members) > 0 {
 		m.sync.joined = true
 	} else {
-		m.sync.next = min(m.sync.next, now+joinEvery)
+		m.sync.nextSync = min(m.sync.nextSync, now+joinInterval)
 	}
 	if len(newer) > 0 {
-		m.send(from, &message{kind: kindRumour, self: m.self.VM, updates: newer})
+		m.send(from, &message{kind: kindGossip, sender: m.self.VM, updates: newer})
 	}
 }
--- a/fleet/wire.go
+++ b/fleet/wire.go
@@ -14,7 +14,7 @@
 	kindPing    kind = iota + 1
 	kindAck          // answers a ping
 	kindPingReq      // asks the receiver to ping target
-	kindRumour       // news, not answered
+	kindGossip       // news, not answered
 	kindDigest       // asks for members in buckets that differ
 	kindState        // answers a digest
 	kindPull         // asks for the record from an offset on
@@ -24,13 +24,13 @@
 
 // Bounds of one payload. A decoder refuses what exceeds them.
 const (
-	maxPayloadBytes = 64 << 10
-	maxUpdates      = 256
-	maxReports      = 256
-	maxNameBytes    = 128
-	maxChunkBytes   = 16 << 10
-	maxBlobBytes    = 1 << 20
-	buckets         = 64
+	maxPayloadBytes    = 64 << 10
+	maxUpdates         = 256
+	maxReports         = 256
+	maxNameBytes       = 128
+	maxChunkBytes      = 16 << 10
+	maxCompressedBytes = 1 << 20
+	buckets            = 64
 )
 
 // message is the content of a payload.
@@ -38,7 +38,7 @@
 	kind     kind
 	seq      uint64
 	target   string // for kindPingReq
-	self     VM     // the sender; empty identifier if absent
+	sender   VM     // the sender; empty identifier if absent
 	revision uint64 // of the sender's record
 	updates  []VM
 	reports  []wireReport
@@ -64,46 +64,46 @@
 	b := make([]byte, 0, 128)
 	b = appendUint(b, 1, uint64(m.kind))
 	b = appendUint(b, 2, m.seq)
-	b = appendText(b, 3, m.target)
-	if m.self.ID != "" {
-		b = appendSub(b, 4, m.self.encode(nil))
+	b = appendString(b, 3, m.target)
+	if m.sender.ID != "" {
+		b = appendBytes(b, 4, m.sender.encode(nil))
 	}
 	b = appendUint(b, 5, m.revision)
 	var scratch []byte
 	for i := range m.updates {
 		scratch = m.updates[i].encode(scratch[:0])
-		b = appendSub(b, 6, scratch)
+		b = appendBytes(b, 6, scratch)
 	}
 	for i := range m.reports {
 		scratch = m.reports[i].encode(scratch[:0])
-		b = appendSub(b, 7, scratch)
+		b = appendBytes(b, 7, scratch)
 	}
 	if len(m.digest) > 0 {
-		b = appendSub(b, 8, encodeDigest(m.digest))
+		b = appendBytes(b, 8, encodeDigest(m.digest))
 	}
 	b = appendUint(b, 9, m.chunk.hash)
 	b = appendUint(b, 10, m.chunk.total)
 	b = appendUint(b, 11, m.chunk.offset)
 	if len(m.chunk.data) > 0 {
-		b = appendSub(b, 12, m.chunk.data)
+		b = appendBytes(b, 12, m.chunk.data)
 	}
 	return b
 }
 
 func (v *VM) encode(b []byte) []byte {
-	b = appendText(b, 1, v.ID)
-	b = appendText(b, 2, v.Address)
-	b = appendText(b, 3, v.DataCentre)
+	b = appendString(b, 1, v.ID)
+	b = appendString(b, 2, v.Address)
+	b = appendString(b, 3, v.DataCentre)
 	b = appendUint(b, 4, v.Incarnation)
 	b = appendUint(b, 5, uint64(v.Refutation))
 	return appendUint(b, 6, uint64(v.State))
 }
 
 func (r *wireReport) encode(b []byte) []byte {
-	b = appendText(b, 1, string(r.Upstream))
+	b = appendString(b, 1, string(r.Upstream))
 	b = appendUint(b, 2, protowire.EncodeBool(r.Leaving))
 	b = appendUint(b, 3, r.Version)
-	b = appendText(b, 4, r.Reporter)
+	b = appendString(b, 4, r.Reporter)
 	return appendUint(b, 5, uint64(r.remaining/clock.Second))
 }
 
@@ -122,13 +122,13 @@
 	return protowire.AppendVarint(protowire.AppendTag(b, num, protowire.VarintType), v)
 }
 
-func appendText(b []byte, num protowire.Number, s string) []byte {
+func appendString(b []byte, num protowire.Number, s string) []byte {
 	if s == "" {
 		return b
 	}
 	return protowire.AppendString(protowire.AppendTag(b, num, protowire.BytesType), s)
 }
 
-func appendSub(b []byte, num protowire.Number, sub []byte) []byte {
+func appendBytes(b []byte, num protowire.Number, sub []byte) []byte {
 	return protowire.AppendBytes(protowire.AppendTag(b, num, protowire.BytesType), sub)
 }
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -14,8 +14,8 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// samples returns payloads of every kind from a short run.
-func samples() [][]byte {
+// samplePayloads returns payloads of every kind from a short run.
+func samplePayloads() [][]byte {
 	f := experiment.NewFleet(1, 5)
 	var list [][]byte
 	seen := make(map[byte]int)
@@ -44,8 +44,8 @@
 	return m
 }
 
-// feed delivers a payload and checks that what it causes is valid and bounded.
-func feed(t interface {
+// deliver delivers a payload and checks that what it causes is valid and bounded.
+func deliver(t interface {
 	Helper()
 	Errorf(string, ...any)
 }, m *fleet.Model, payload []byte,
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestDamagedPayloads guards against a peer whose damaged message stops a VM.
-func TestDamagedPayloads(t *testing.T) {
-	list := samples()
+// TestCorruptedPayloads guards against a peer whose damaged message stops a VM.
+func TestCorruptedPayloads(t *testing.T) {
+	list := samplePayloads()
 	kinds := make(map[byte]bool)
 	for _, p := range list {
 		kinds[p[1]] = true
@@ -85,7 +85,7 @@
 			for range rapid.IntRange(0, 3).Draw(t, "changes") {
 				p[rapid.IntRange(0, len(p)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 			}
-			feed(t, m, p[:rapid.IntRange(0, len(p)).Draw(t, "cut")])
+			deliver(t, m, p[:rapid.IntRange(0, len(p)).Draw(t, "cut")])
 		}
 	})
 }
@@ -97,9 +97,9 @@
 	field := func(num protowire.Number, b []byte) []byte {
 		return protowire.AppendBytes(protowire.AppendTag(bytes.Clone(ping), num, protowire.BytesType), b)
 	}
-	var many []byte
+	var manyUpdates []byte
 	for range 300 {
-		many = protowire.AppendBytes(protowire.AppendTag(many, 6, protowire.BytesType), vm)
+		manyUpdates = protowire.AppendBytes(protowire.AppendTag(manyUpdates, 6, protowire.BytesType), vm)
 	}
 	tests := []struct {
 		name    string
@@ -109,7 +109,7 @@
 		{"empty", nil, fleet.KindMalformed},
 		{"too long", make([]byte, 1<<17), fleet.KindTooLarge},
 		{"unknown kind", []byte{8, 99}, fleet.KindMalformed},
-		{"too many updates", append(bytes.Clone(ping), many...), fleet.KindTooLarge},
+		{"too many updates", append(bytes.Clone(ping), manyUpdates...), fleet.KindTooLarge},
 		{"long chunk", field(12, make([]byte, 20_000)), fleet.KindTooLarge},
 		{"short digest", field(8, make([]byte, 8)), fleet.KindMalformed},
 		{"long name", field(3, make([]byte, 200)), fleet.KindTooLarge},
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestLargeRecordTravelsInChunks guards against records that exceed one message.
-func TestLargeRecordTravelsInChunks(t *testing.T) {
-	f := joined(t, 10)
+// TestLargeRecordIsSentInChunks guards against records that exceed one message.
+func TestLargeRecordIsSentInChunks(t *testing.T) {
+	f := joinedFleet(t, 10)
 	f.Store.Fail()
 	f.LossPercent = 5
 	rec := f.Nodes[0].Model.Record()
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	f.Deliver(f.Nodes[0], fleet.RecordMsg{Record: rec})
-	until(t, f, 4*clock.Second, "large record", func() bool {
+	waitUntil(t, f, 4*clock.Second, "large record", func() bool {
 		return f.All(func(n *experiment.Node) bool { return n.Model.Record().Revision == rec.Revision })
 	})
 	if got := preset.Diff(rec, f.Nodes[7].Model.Record()); len(got) != 0 {
@@ -157,8 +157,8 @@
 }
 
 func FuzzPayload(f *testing.F) {
-	for _, p := range samples() {
+	for _, p := range samplePayloads() {
 		f.Add(p)
 	}
-	f.Fuzz(func(t *testing.T, p []byte) { feed(t, newModel(), p) })
+	f.Fuzz(func(t *testing.T, p []byte) { deliver(t, newModel(), p) })
 }
