--- a/fleet/decode.go
+++ b/fleet/decode.go
@@ -10,14 +10,14 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// field is one decoded protobuf field. Exactly one of num64 and bytes is meaningful.
+// field is one decoded protobuf field. Only one of varint and bytes is set, according to the wire type.
 type field struct {
 	num    protowire.Number
 	varint uint64
 	bytes  []byte
 }
 
-// forEachField calls use for every varint and bytes field of b. Other wire types are refused.
+// forEachField calls visit for every varint and bytes field of b. It rejects other wire types.
 func forEachField(b []byte, visit func(field) error) error {
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// CheckPayload reports whether a payload decodes within the bounds.
+// CheckPayload returns an error if the payload is malformed or exceeds the size limits.
 func CheckPayload(payload []byte) error {
 	_, err := decode(payload)
 	return err
--- a/fleet/error.go
+++ b/fleet/error.go
@@ -8,10 +8,10 @@
 // The kinds of failure.
 const (
 	KindMalformed Kind = iota + 1 // not a valid encoding
-	KindTooLarge                  // exceeds a bound
+	KindTooLarge                  // exceeds a size or value limit
 )
 
-// Error reports a payload that was refused.
+// Error reports a payload that was rejected.
 type Error struct {
 	op   string
 	kind Kind
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -15,10 +15,10 @@
 const (
 	healTimeout  = 40 * clock.Second
 	testUpstream = upstream.ID("orders/desk-1/a")
-	leavingBound = 3 * clock.Second // bound of the design page
+	leavingBound = 3 * clock.Second // required bound for a report to reach every VM
 )
 
-// joinedFleet returns nine VMs that see each other and have a record.
+// joinedFleet returns nine VMs that have converged on the membership and have a record.
 func joinedFleet(t *testing.T, seed uint64) *experiment.Fleet {
 	t.Helper()
 	f := experiment.NewFleet(seed, 9)
@@ -37,7 +37,7 @@
 	}
 }
 
-// stateOf returns what viewer believes about id.
+// stateOf returns the state of member id as seen by viewer.
 func stateOf(viewer *experiment.Node, id string) fleet.State {
 	for _, v := range viewer.Model.Members() {
 		if v.ID == id {
@@ -47,7 +47,8 @@
 	return fleet.Dead
 }
 
-// TestMembershipRecovers guards against VMs that stay out, or stay in, after a fault has ended.
+// TestMembershipRecovers guards against a VM that, after a fault has ended, is still
+// excluded although it is alive, or still included although it is gone.
 func TestMembershipRecovers(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -120,7 +121,8 @@
 	f.Cut = nil
 }
 
-// TestOneWayLinkFailureCausesNoSuspicion guards against suspicion of a VM that others reach.
+// TestOneWayLinkFailureCausesNoSuspicion guards against suspecting a VM that other
+// members reach, when only the link from one member to it is cut.
 func TestOneWayLinkFailureCausesNoSuspicion(t *testing.T) {
 	f := joinedFleet(t, 2)
 	a, b := f.Nodes[1], f.Nodes[2]
@@ -133,7 +135,8 @@
 	}
 }
 
-// TestAddressReuse guards against a replaced VM that stays a carrier until it is found dead.
+// TestAddressReuse guards against a VM that stays a carrier until probes find it dead,
+// although a new VM has already started at its address.
 func TestAddressReuse(t *testing.T) {
 	f := joinedFleet(t, 3)
 	old := f.Nodes[5]
@@ -147,7 +150,8 @@
 	waitUntil(t, f, 6*clock.Second, "replacement", f.Converged)
 }
 
-// TestUpstreamReports guards against work sent to a leaving upstream, and against reports that never end.
+// TestUpstreamReports guards against work sent to an upstream that another VM has
+// observed leaving, and against reports that never expire.
 func TestUpstreamReports(t *testing.T) {
 	f := joinedFleet(t, 4)
 	f.LossPercent = 5
@@ -159,13 +163,13 @@
 		}
 	}
 	for _, leaving := range []bool{true, false, true} {
-		for _, n := range f.Nodes[:3] { // several VMs observe the same
+		for _, n := range f.Nodes[:3] { // several VMs observe the same upstream
 			f.Deliver(n, fleet.UpstreamLeavingMsg{Upstream: testUpstream, Leaving: leaving})
 		}
 		waitUntil(t, f, leavingBound, "report", applied(leaving))
 		f.RunFor(5 * clock.Second)
 	}
-	f.Start(f.Nodes[8]) // a new process learns the report too
+	f.Start(f.Nodes[8]) // a new process receives the report too
 	waitUntil(t, f, leavingBound, "report on a new VM", applied(true))
 	f.RunFor(9 * clock.Minute)
 	if !applied(true)() {
@@ -177,7 +181,8 @@
 	}
 }
 
-// TestManyUpstreamsLeave guards against reports that wait for room in messages when a rack drains.
+// TestManyUpstreamsLeave guards against reports delayed by the size limit of
+// messages when all upstreams of a rack drain at once.
 func TestManyUpstreamsLeave(t *testing.T) {
 	f := joinedFleet(t, 11)
 	f.LossPercent = 5
@@ -189,7 +194,8 @@
 	})
 }
 
-// TestStartDuringOutage guards against a VM that is ready without a record, or never ready although peers have it.
+// TestStartDuringOutage guards against a VM that starts during a store outage and is
+// ready without a record, or never becomes ready although peers have the record.
 func TestStartDuringOutage(t *testing.T) {
 	f := joinedFleet(t, 5)
 	f.Store.Fail()
@@ -213,7 +219,8 @@
 	}
 }
 
-// TestOnlyHigherRevisionsApply guards against a record that reverts, whatever its source.
+// TestOnlyHigherRevisionsApply guards against a record replaced by an older one, whether
+// that arrives from this VM's own commits or from store reads and watches.
 func TestOnlyHigherRevisionsApply(t *testing.T) {
 	f := joinedFleet(t, 6)
 	old := f.Nodes[0].Model.Record()
@@ -233,7 +240,7 @@
 	waitUntil(t, f, 4*clock.Second, "spread", func() bool {
 		return f.All(func(n *experiment.Node) bool { return n.Model.Record().Revision == next.Revision })
 	})
-	// The store holds an older record than the fleet: a watcher writes the newer one back.
+	// The store holds an older record than the fleet, so a watcher writes the newer one back.
 	waitUntil(t, f, 2*clock.Minute, "write-back", func() bool {
 		rec, err := preset.Decode(f.Store.Entry().Value)
 		return err == nil && rec.Revision == next.Revision
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	gossipBytes                     = 900 // of updates and reports on one message
-	entryBytes                      = 56  // estimate of one update or report
+	gossipBytes                     = 900 // size limit of the updates and reports in one message
+	entryBytes                      = 56  // estimated size of one update or report
 	burstFanout                     = 4
-	defaultBurstRounds              = 3 // with the fan-out, 12 messages: misses one VM in 160,000 on average
+	defaultBurstRounds              = 3 // with the fan-out, 12 messages; on average these miss one VM in 160,000
 	burstInterval      clock.Millis = 200
-	// A rack of upstreams that drains at once must fit in one burst, or its last reports come too late.
+	// Maximum reports in a gossip message. The reports of a rack of upstreams that
+	// drains at once must fit in one burst; otherwise the last ones arrive too late.
 	maxGossipReports = 64
-	// Bounds the traffic after a mass change; the comparison of digests repairs what is dropped.
+	// Maximum queued changes, which bounds the traffic after a mass change. The digest
+	// comparison (see syncState) repairs what is dropped.
 	maxQueued      = 128
-	sampleAttempts = 4 // per wanted member
+	sampleAttempts = 4 // random draws per requested member
 )
 
-// gossipState is the state of dissemination. Each change is put on a number of
-// messages that grows with the logarithm of the fleet's size. A burst sends
-// such messages at once instead of waiting for the next ping.
+// gossipState is the state of dissemination. Each change is sent in a number of
+// messages that grows with the logarithm of the fleet size. A burst sends extra
+// messages immediately instead of waiting for the next ping.
 type gossipState struct {
 	members     queue
 	reports     queue
-	suppressed  bool // changes are taken over without being spread
-	burstRounds int  // rounds left
+	suppressed  bool // received updates are applied but not forwarded
+	burstRounds int  // remaining rounds of the current burst
 	nextBurst   clock.Millis
 }
 
-// queue holds the keys of changes that are still being sent, least recently sent first.
+// queue holds the keys of changes that have transmissions left, least recently sent first.
 type queue struct {
 	items []*queueItem
 	index map[string]*queueItem
@@ -56,7 +58,7 @@
 	q.items = append(q.items, it)
 }
 
-// take returns up to n keys and counts one transmission for each.
+// take returns up to n keys and counts one transmission for each. A key that reaches limit leaves the queue.
 func (q *queue) take(n, limit int) []string {
 	n = min(n, len(q.items))
 	keys := make([]string, n)
@@ -73,11 +75,11 @@
 	return keys
 }
 
-// transmitLimit is how often one change is sent: twice the binary logarithm of the size.
+// transmitLimit returns how often one change is sent: twice the binary logarithm of the fleet size.
 func (m *Model) transmitLimit() int { return 2 * bits.Len(uint(len(m.members)+1)) }
 
-// newGossip returns a message that carries changes. If the receiver is believed
-// dead or suspect, it is told, so that it can refute.
+// newGossip returns a message of kind k with queued changes. If the receiver is
+// dead or suspect here, the message includes that state, so that the receiver can refute it.
 func (m *Model) newGossip(k kind, to string) *message {
 	msg := &message{kind: k, sender: m.self.VM}
 	if mem := m.byID[to]; mem != nil && (mem.State == Suspect || mem.State == Dead) {
@@ -101,7 +103,7 @@
 	return msg
 }
 
-// startBurst starts eager dissemination.
+// startBurst starts or extends a burst of gossip messages.
 func (m *Model) startBurst(now clock.Millis) {
 	if m.gossip.burstRounds == 0 {
 		m.gossip.nextBurst = max(m.gossip.nextBurst, now)
@@ -116,7 +118,7 @@
 	m.gossip.burstRounds--
 	m.gossip.nextBurst = now + burstInterval
 	if len(m.gossip.reports.items) > maxGossipReports {
-		m.gossip.burstRounds = max(m.gossip.burstRounds, 1) // not all reports fit in the messages of one burst
+		m.gossip.burstRounds = max(m.gossip.burstRounds, 1) // more reports are queued than fit in the messages of one burst
 	}
 	for _, mem := range m.sample(burstFanout, nil) {
 		if m.stopping {
@@ -127,7 +129,7 @@
 	}
 }
 
-// sample returns up to n distinct random members that are not dead or leaving.
+// sample returns up to n distinct random members, other than except, that are alive or suspect.
 func (m *Model) sample(n int, except *member) []*member {
 	picked := make([]*member, 0, n)
 	for range n * sampleAttempts {
@@ -151,7 +153,7 @@
 	return false
 }
 
-// announceStop announces the planned stop.
+// announceStop announces the planned stop of this VM to the other members.
 func (m *Model) announceStop(now clock.Millis) {
 	if m.stopping {
 		return
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -8,14 +8,14 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// State is what a VM believes about a member.
+// State is the state of a member as seen by one VM.
 type State uint8
 
-// The states. At equal incarnation and refutation a later state wins.
+// The member states. At equal incarnation and refutation number the higher state wins.
 const (
 	Alive   State = iota
-	Suspect       // probes failed; dead unless the member refutes in time
-	Leaving       // announced a planned stop
+	Suspect       // probes failed; becomes dead unless the member refutes before suspectUntil
+	Leaving       // the member announced a planned stop
 	Dead
 )
 
@@ -29,17 +29,17 @@
 	return "unknown"
 }
 
-// VM is one member, or one claim about a member.
+// VM is the record of one member, or an update about one received from a peer.
 type VM struct {
 	ID          string `json:"id"`
 	Address     string `json:"address"`
 	DataCentre  string `json:"data_centre"`
-	Incarnation uint64 `json:"incarnation"` // start time of the process, so that a restart supersedes earlier claims
-	Refutation  uint32 `json:"refutation"`  // raised by the member itself to refute a claim
+	Incarnation uint64 `json:"incarnation"` // start time of the process, so that a restart supersedes earlier updates
+	Refutation  uint32 `json:"refutation"`  // incremented by the member itself to refute an update
 	State       State  `json:"state"`
 }
 
-// supersedes reports whether claim v replaces claim o about the same member.
+// supersedes reports whether update v replaces update o about the same member.
 func (v *VM) supersedes(o *VM) bool {
 	if c := v.compareVersion(o); c != 0 {
 		return c > 0
@@ -51,8 +51,8 @@
 	return cmp.Or(cmp.Compare(v.Incarnation, o.Incarnation), cmp.Compare(v.Refutation, o.Refutation))
 }
 
-// digest summarises a claim for comparison between VMs. Suspicion is
-// transient and dead members are forgotten at different times, so neither shows.
+// digest returns a checksum of v for comparison between VMs. It excludes
+// suspicion, which is transient, and dead members, which VMs delete at different times.
 func (v *VM) digest(idHash uint64) uint32 {
 	if v.State == Dead {
 		return 0
@@ -64,12 +64,12 @@
 	return uint32(h)
 }
 
-// member is a VM with what this VM keeps about it.
+// member is a VM with the local state that the Model keeps for it.
 type member struct {
 	VM
-	hash          uint64 // of the identifier
-	probeIndex    int    // position in Model.members
-	eligibleIndex int    // position in the eligible list, -1 if not eligible
+	hash          uint64 // hash of the identifier
+	probeIndex    int    // index in Model.members
+	eligibleIndex int    // index in Model.eligible, -1 if not eligible
 	stateSince    clock.Millis
 	suspectUntil  clock.Millis
 }
@@ -78,7 +78,7 @@
 	return &member{VM: v, hash: xxhash.Sum64String(v.ID), eligibleIndex: -1}
 }
 
-// mix is the finaliser of splitmix64.
+// mix is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/fleet/merge.go
+++ b/fleet/merge.go
@@ -5,9 +5,11 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// mergeUpdates merges the claims of a message and returns members about which this VM knows better.
+// mergeUpdates merges the updates of a message. For a state message it also returns
+// the members whose local state supersedes the received update.
 func (m *Model) mergeUpdates(now clock.Millis, msg *message) []VM {
-	// A bulk answer repairs this VM alone; the senders of each claim spread it already.
+	// A bulk state message only repairs this VM. Its updates are not forwarded, because
+	// the VMs that sent them before already disseminate them.
 	m.gossip.suppressed = msg.kind == kindState && len(msg.updates) >= bulkThreshold
 	defer func() { m.gossip.suppressed = false }()
 	var newer []VM
@@ -23,9 +25,9 @@
 	return newer
 }
 
-// mergeUpdate applies one claim. A claim of death about a member that this VM
-// believes alive is not taken over: after a partition heals, each side
-// believes the other dead. The member is asked instead, so that it refutes.
+// mergeUpdate applies one update. An update that declares dead a member that is
+// alive here is not applied, because after a partition heals each side has the
+// other as dead. Instead the update is sent to the member, so that it can refute it.
 func (m *Model) mergeUpdate(now clock.Millis, v VM) {
 	if v.ID == m.self.ID {
 		m.refute(now, v)
@@ -48,7 +50,7 @@
 	m.setMember(now, mem, v)
 }
 
-// refute raises this VM's refutation above a claim that contradicts it.
+// refute raises the refutation number of this VM above that of an update that contradicts its state.
 func (m *Model) refute(now clock.Millis, update VM) {
 	own := m.self.VM
 	if c := update.compareVersion(&own); c < 0 || c == 0 && update.State <= own.State {
@@ -64,8 +66,8 @@
 		return
 	}
 	mem := newMember(v)
-	mem.State = Dead // the state before it was known, so that apply sees a change
-	// A random position keeps the probe order shuffled.
+	mem.State = Dead // initial state, so that setMember detects a state change
+	// Insert at a random index to keep the probe order shuffled.
 	mem.probeIndex = len(m.members)
 	m.members = append(m.members, mem)
 	m.swapMembers(mem.probeIndex, m.rng.IntN(len(m.members)))
@@ -73,7 +75,7 @@
 	m.setMember(now, mem, v)
 }
 
-// setMember replaces what is known of a member and spreads it.
+// setMember replaces the state of a member and queues it for dissemination.
 func (m *Model) setMember(now clock.Millis, mem *member, v VM) {
 	before := mem.VM
 	m.unindex(mem)
@@ -91,7 +93,7 @@
 	}
 }
 
-// handleTransition handles a change of state or of process.
+// handleTransition handles a change of a member's state or incarnation.
 func (m *Model) handleTransition(now clock.Millis, mem *member, before VM) {
 	v := &mem.VM
 	switch v.State {
@@ -114,8 +116,8 @@
 	}
 }
 
-// claimAddress marks the member that had the address of mem before as dead: an
-// address serves one process, and the later incarnation is that process.
+// claimAddress marks the previous member at the address of mem as dead. Only one
+// process can use an address, so the member with the later incarnation has it.
 func (m *Model) claimAddress(now clock.Millis, mem *member) {
 	old := m.byAddr[mem.Address]
 	m.byAddr[mem.Address] = mem
@@ -131,7 +133,7 @@
 	m.setMember(now, old, dead)
 }
 
-// index adds mem to the digest and, if eligible, to the list for rendezvous hashing.
+// index adds mem to the digest and, if it is alive, to the eligible list for rendezvous hashing.
 func (m *Model) index(mem *member) {
 	m.byID[mem.ID] = mem
 	m.digest[mem.hash%buckets] ^= mem.digest(mem.hash)
@@ -162,7 +164,7 @@
 	m.members[i].probeIndex, m.members[j].probeIndex = i, j
 }
 
-// pruneDead forgets members that have been dead for long.
+// pruneDead deletes members that have been dead for deadRetention.
 func (m *Model) pruneDead(now clock.Millis) {
 	for i := len(m.members) - 1; i >= 0; i-- {
 		mem := m.members[i]
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -11,23 +11,23 @@
 // Msg is an input of a Model.
 type Msg interface{ fleetMsg() }
 
-// PeerMsg is a payload that another VM sent with a SendCmd.
+// PeerMsg delivers a payload that another VM sent with a SendCmd.
 type PeerMsg struct {
 	From    string // identifier of the sending VM
 	Payload []byte
 }
 
-// VMListMsg is the VM list. It lags, so it only suggests whom to contact.
+// VMListMsg delivers the VM list. The list can be outdated, so it only provides contact hints.
 type VMListMsg struct{ VMs []VM }
 
-// RecordMsg is a record that this VM committed to the store itself.
+// RecordMsg delivers a record that this VM has committed to the store.
 type RecordMsg struct{ Record preset.Record }
 
-// StoreMsg carries the answer to a StoreCmd.
+// StoreMsg carries the reply to a StoreCmd.
 type StoreMsg struct{ Reply store.Reply }
 
-// UpstreamLeavingMsg reports what this VM observed of an upstream: that it asks for
-// no new work, or that it takes work again.
+// UpstreamLeavingMsg reports what this VM observed of an upstream: that it refuses
+// new work because it is leaving, or that it accepts work again.
 type UpstreamLeavingMsg struct {
 	Upstream upstream.ID
 	Leaving  bool
@@ -36,7 +36,7 @@
 // StopMsg begins a planned stop of this VM.
 type StopMsg struct{}
 
-// TickMsg reports that the time of NextWake has come.
+// TickMsg triggers the work due at the time returned by NextWake.
 type TickMsg struct{}
 
 func (PeerMsg) fleetMsg()            {}
@@ -50,26 +50,26 @@
 // Cmd is an output of a Model.
 type Cmd interface{ fleetCmd() }
 
-// SendCmd sends a payload to another VM. It may be lost.
+// SendCmd sends a payload to another VM. Delivery is not guaranteed.
 type SendCmd struct {
 	To      string
 	Address string
 	Payload []byte
 }
 
-// LiveCmd reports a new set of live members.
+// LiveCmd reports that the set of live members has changed.
 type LiveCmd struct{ VMs []VM }
 
 // RecordCmd puts a committed record in force on this VM.
 type RecordCmd struct{ Record preset.Record }
 
-// UpstreamLeavingCmd tells the VM that an upstream leaves or is back.
+// UpstreamLeavingCmd reports that an upstream is leaving or accepts work again.
 type UpstreamLeavingCmd struct {
 	Upstream upstream.ID
 	Leaving  bool
 }
 
-// StoreCmd asks for one store call.
+// StoreCmd requests one store call.
 type StoreCmd struct{ Request store.Request }
 
 // EventCmd records an event.
@@ -82,8 +82,8 @@
 func (StoreCmd) fleetCmd()           {}
 func (EventCmd) fleetCmd()           {}
 
-// Report is the newest known statement about one upstream. The higher version
-// wins; the reporter's identifier breaks a tie.
+// Report states whether an upstream is leaving. Of two reports about an upstream,
+// the one with the higher version wins; the reporter's identifier breaks a tie.
 type Report struct {
 	Upstream  upstream.ID  `json:"upstream"`
 	Leaving   bool         `json:"leaving"`
--- a/fleet/model.go
+++ b/fleet/model.go
@@ -11,9 +11,9 @@
 
 const (
 	maxMembers                  = 8192
-	pauseThreshold clock.Millis = 5 * clock.Second  // no update for this long means that the VM was paused
-	deadRetention  clock.Millis = 10 * clock.Minute // dead members are forgotten after this time
-	liveInterval   clock.Millis = 500               // bounds how often LiveCmd copies the member list
+	pauseThreshold clock.Millis = 5 * clock.Second  // a gap between updates this long means that the VM was paused
+	deadRetention  clock.Millis = 10 * clock.Minute // dead members are deleted after this time
+	liveInterval   clock.Millis = 500               // minimum interval between LiveCmds, each of which copies the member list
 	pruneInterval  clock.Millis = 10 * clock.Second
 )
 
@@ -26,14 +26,14 @@
 	self     *member
 	byID     map[string]*member
 	byAddr   map[string]*member
-	members  []*member // the others, in probe order
+	members  []*member // all members except this VM, in probe order
 	suspects []*member
 	digest   [buckets]uint32
 
 	eligible        []*member // alive, including this VM
-	eligibleHashes  []uint64  // of eligible, kept apart so that a scan stays in cache
+	eligibleHashes  []uint64  // hashes of eligible, in a separate slice so that a scan is cache-friendly
 	eligibleVersion uint64
-	reportedVersion uint64 // generation of the last LiveCmd
+	reportedVersion uint64 // eligibleVersion at the last LiveCmd
 	watchers        []string
 
 	started     bool
@@ -53,7 +53,7 @@
 	reports    reportState
 }
 
-// New returns a Model. WithSelf is required.
+// New returns a Model. The option WithSelf is required.
 func New(opts ...Option) *Model {
 	cfg := config{initialRecord: preset.Default(), readInterval: clock.Minute, burstRounds: defaultBurstRounds}
 	for _, opt := range opts {
@@ -77,7 +77,7 @@
 	return m
 }
 
-// Update handles one message, then all work that is due.
+// Update handles one message, then runs all work that is due.
 func (m *Model) Update(now clock.Millis, msg Msg) []Cmd {
 	m.cmds = nil
 	m.startOrResume(now)
@@ -99,8 +99,8 @@
 	return m.cmds
 }
 
-// startOrResume starts the timers, and restarts them after a pause: answers that were
-// due during the pause prove nothing about other members.
+// startOrResume starts the timers, and restarts them after a pause of this VM:
+// replies missed during the pause are no evidence that other members failed.
 func (m *Model) startOrResume(now clock.Millis) {
 	switch {
 	case !m.started:
@@ -125,7 +125,7 @@
 	m.resetStore(now)
 }
 
-// runDue performs everything whose time has come.
+// runDue runs all work whose time has been reached.
 func (m *Model) runDue(now clock.Millis) {
 	m.runProbe(now)
 	m.runSync(now)
@@ -186,7 +186,7 @@
 	return clock.Millis(m.rng.Int64N(int64(max(d, 1))))
 }
 
-// send encodes and sends a message; the record's revision is on every one.
+// send encodes and sends a message. Every message carries the revision of the local record.
 func (m *Model) send(to string, msg *message) {
 	msg.revision = m.record.Revision
 	m.emit(SendCmd{To: to, Address: m.Address(to), Payload: msg.encode()})
--- a/fleet/placement_test.go
+++ b/fleet/placement_test.go
@@ -11,7 +11,7 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// carriersOf returns the carriers of the upstreams as one VM chooses them from
+// carriersOf returns the two carriers of each upstream as node n computes them from
 // its live members.
 func carriersOf(n *experiment.Node, upstreams []string) [][]string {
 	var live []string
@@ -27,8 +27,8 @@
 	return out
 }
 
-// TestCarrierPlacement guards against VMs that disagree on a choice, and against
-// choices that move although their member stayed.
+// TestCarrierPlacement guards against VMs that compute different carriers, against an
+// unequal share of upstreams per VM, and against carriers that change when an unrelated VM leaves.
 func TestCarrierPlacement(t *testing.T) {
 	f := joinedFleet(t, 7)
 	leaver := f.Nodes[8]
@@ -63,7 +63,8 @@
 	}
 }
 
-// TestWatchers guards against watchers that share a data centre or differ between VMs.
+// TestWatchers guards against watchers in the same data centre, and against VMs that
+// compute different watchers.
 func TestWatchers(t *testing.T) {
 	f := experiment.NewFleet(8, 27)
 	f.StartAll(clock.Second)
@@ -83,7 +84,8 @@
 	}
 }
 
-// TestModelIsDeterministic guards against a history that depends on map order.
+// TestModelIsDeterministic guards against runs with the same seed that differ because
+// the model depends on map iteration order.
 func TestModelIsDeterministic(t *testing.T) {
 	run := func() [2]int {
 		f := joinedFleet(t, 9)
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -8,10 +8,10 @@
 
 const (
 	probeInterval  clock.Millis = clock.Second
-	probeTimeout   clock.Millis = 400 // without an answer by then, three others are asked
+	probeTimeout   clock.Millis = 400 // without an ack by then, indirectProbes other members ping the target
 	indirectProbes              = 3
-	suspicionBase  clock.Millis = 4 * clock.Second // times log10 of the fleet's size
-	maxContested                = 16               // bounds the probes that contested claims may cause at once
+	suspicionBase  clock.Millis = 4 * clock.Second // multiplied by log10 of the fleet size
+	maxContested                = 16               // limits the queued probes of members that peers declare dead
 	pingRetention  clock.Millis = 3 * clock.Second
 )
 
@@ -19,11 +19,11 @@
 type probeState struct {
 	current   probe
 	nextProbe clock.Millis
-	cursor    int // position in Model.members
+	cursor    int // index in Model.members of the next probe target
 	seq       uint64
-	pings     map[uint64]ping // sent, by sequence number
-	contested []*member       // probed before the others
-	stopAcks  map[string]bool // members that acknowledged the planned stop
+	pings     map[uint64]ping // outstanding pings by sequence number
+	contested []*member       // members declared dead by a peer, probed before the others
+	stopAcks  map[string]bool // members that acknowledged the planned stop of this VM
 }
 
 type probe struct {
@@ -46,7 +46,7 @@
 	purpose   purpose
 	target    string
 	sentAt    clock.Millis
-	origin    string // for a relayed ping, who asked and its sequence number
+	origin    string // for a relayed ping, the requesting VM; originSeq is its sequence number
 	originSeq uint64
 }
 
@@ -82,7 +82,8 @@
 	m.probes.current = probe{target: target, seq: seq, sentAt: now}
 }
 
-// nextProbeTarget returns contested members first, then goes round the shuffled list.
+// nextProbeTarget returns contested members first, then iterates over the shuffled
+// list, which is shuffled again after each pass.
 func (m *Model) nextProbeTarget() *member {
 	p := &m.probes
 	for len(p.contested) > 0 {
@@ -116,8 +117,8 @@
 	return m.probes.seq
 }
 
-// probeIndirectly asks others to ping the target and repeats the direct ping,
-// which tells a lost message from a cut link.
+// probeIndirectly requests pings of the target from other members and repeats the
+// direct ping. This distinguishes a lost message or a broken link from a failed target.
 func (m *Model) probeIndirectly(now clock.Millis) {
 	c := &m.probes.current
 	c.indirect = true
@@ -138,7 +139,7 @@
 	switch v.State {
 	case Alive:
 		v.State = Suspect
-	case Leaving: // announced its end, so silence means that it has ended
+	case Leaving: // it announced its stop, so a missing ack means that it has stopped
 		v.State = Dead
 	default:
 		return
@@ -177,7 +178,7 @@
 	}
 }
 
-// requestRefutation lets a member that others believe dead know, and probes it soon.
+// requestRefutation sends an update that declares mem dead to mem, and schedules an early probe of it.
 func (m *Model) requestRefutation(mem *member, update VM) {
 	if len(m.probes.contested) >= maxContested {
 		return
@@ -186,7 +187,8 @@
 	m.send(mem.ID, &message{kind: kindGossip, sender: m.self.VM, updates: []VM{update}})
 }
 
-// suspicionTimeout grows with the logarithm of the size, as does the time that a refutation takes to spread.
+// suspicionTimeout returns the time that a suspect has to refute. It grows with the
+// logarithm of the fleet size, as does the time that a refutation takes to spread.
 func (m *Model) suspicionTimeout() clock.Millis {
 	scale := max(1, math.Log10(float64(len(m.members)+1)))
 	return clock.Millis(float64(suspicionBase) * scale)
--- a/fleet/query.go
+++ b/fleet/query.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	storeLostAfter  clock.Millis = 150 * clock.Second // two read intervals and some
-	peersLostAfter  clock.Millis = 5 * clock.Second   // a VM hears from peers about twice a second
+	storeLostAfter  clock.Millis = 150 * clock.Second // slightly more than two read intervals
+	peersLostAfter  clock.Millis = 5 * clock.Second   // a VM receives about two messages per second from peers
 	minStopAcks                  = 6
 	announceTimeout clock.Millis = 2 * clock.Second
 )
 
-// Self returns what this VM says of itself.
+// Self returns the member state of this VM.
 func (m *Model) Self() VM { return m.self.VM }
 
 // Live returns the members that are alive, including this VM unless it is stopping, ordered by identifier.
@@ -49,22 +49,23 @@
 	return list
 }
 
-// Watchers returns the members that watch the record in the store.
+// Watchers returns the identifiers of the members that watch the record in the store.
 func (m *Model) Watchers() []string { return slices.Clone(m.watchers) }
 
-// Ready reports whether this VM has a record, has joined its peers and is not stopping.
+// Ready reports whether this VM has a record, has finished joining and is not stopping.
 func (m *Model) Ready() bool { return m.record.Revision > 0 && m.sync.joinDone && !m.stopping }
 
-// Record returns the record in force; its revision is 0 if there is none yet.
+// Record returns the record in force. Its revision is 0 before the first record is received.
 func (m *Model) Record() preset.Record { return m.record }
 
-// Stale reports whether this VM has lost the store and all peers, so that its record may be old.
+// Stale reports whether this VM has lost contact with the store and all peers, so that its record may be outdated.
 func (m *Model) Stale(now clock.Millis) bool {
 	storeLost := m.store.failed || now > m.store.lastOK+storeLostAfter
 	return storeLost && now > m.lastPeerMsg+peersLostAfter
 }
 
-// StopAnnounced reports whether enough members know of the planned stop.
+// StopAnnounced reports whether enough members have acknowledged the planned
+// stop of this VM, or announceTimeout has passed.
 func (m *Model) StopAnnounced(now clock.Millis) bool {
 	if !m.stopping {
 		return false
@@ -72,7 +73,7 @@
 	return len(m.probes.stopAcks) >= min(minStopAcks, len(m.eligible)) || now >= m.self.stateSince+announceTimeout
 }
 
-// UpstreamLeaving reports whether the newest report says that an upstream leaves.
+// UpstreamLeaving reports whether the newest report marks the upstream as leaving.
 func (m *Model) UpstreamLeaving(id upstream.ID) bool { return m.reports.byUpstream[id].Leaving }
 
 // Reports returns the newest report of each upstream, ordered by upstream.
@@ -87,7 +88,8 @@
 	return list
 }
 
-// NextWake returns when the Model wants a TickMsg. It always does once it has started.
+// NextWake returns the time of the next due work, at which the Model needs a TickMsg.
+// The second result is always true; before the first Update the time is 0.
 func (m *Model) NextWake() (clock.Millis, bool) {
 	if !m.started {
 		return 0, true
--- a/fleet/ready_test.go
+++ b/fleet/ready_test.go
@@ -9,8 +9,8 @@
 	"lentillink.example/lentillink/store"
 )
 
-// timeUntilReady returns how long a model that can read the store takes to be
-// ready. The peer answers if it is not nil.
+// timeUntilReady returns how long a model with a reachable store takes to become
+// ready, at most 10 s. If peer is nil, messages to it are lost.
 func timeUntilReady(t *testing.T, vmList []fleet.VM, peer *fleet.Model) clock.Millis {
 	t.Helper()
 	const start = clock.Millis(1_700_000_000_000)
@@ -54,8 +54,9 @@
 	return list
 }
 
-// Guards against a new VM that has read the record but heard from no peer, and
-// so takes requests as if it were alone and sends them to leaving upstreams.
+// TestNewVMIsNotReadyBeforeJoining guards against a new VM that has read the record
+// but has received nothing from a peer, and so accepts requests as if it were the
+// only VM and sends them to leaving upstreams.
 func TestNewVMIsNotReadyBeforeJoining(t *testing.T) {
 	two := []fleet.VM{{ID: "vm-1", Address: "a:1"}, {ID: "vm-2", Address: "b:1"}}
 	peer := fleet.New(fleet.WithSelf(fleet.VM{ID: "vm-2", Address: "b:1", Incarnation: 1}), fleet.WithSeed(2))
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	pullTimeout    clock.Millis = 300 // several round trips between regions
-	maxPullSources int          = 4   // peers to ask in turn
+	pullTimeout    clock.Millis = 300 // allows several round trips between regions
+	maxPullSources int          = 4   // peers tried in turn
 )
 
-// compressedRecord is the compressed record as it travels between VMs. VMs pass on the
-// bytes that they received, so that parts from different VMs fit together.
+// compressedRecord is the compressed encoding of a record, as sent between VMs. A
+// VM forwards the bytes that it received unchanged, so that chunks from different
+// VMs can be combined.
 type compressedRecord struct {
 	bytes []byte
 	hash  uint64
 }
 
-// pullState is the transfer of a newer record from a peer.
+// pullState is the state of a transfer of a newer record from peers.
 type pullState struct {
-	revision    uint64 // 0 if there is no transfer
+	revision    uint64 // 0 if no transfer is in progress
 	sources     []string
 	requestedAt clock.Millis // time of the last request
 	hash        uint64
@@ -35,7 +36,7 @@
 	received    []byte
 }
 
-// applyRecord puts a committed record in force if its revision is higher.
+// applyRecord puts a committed record in force if its revision is higher than that of the current one.
 func (m *Model) applyRecord(now clock.Millis, rec preset.Record, b compressedRecord) bool {
 	if rec.Revision <= m.record.Revision {
 		return false
@@ -50,7 +51,7 @@
 	return true
 }
 
-// checkRevision starts a transfer when a peer has a newer record.
+// checkRevision starts a transfer if a peer has a newer record.
 func (m *Model) checkRevision(now clock.Millis, from string, revision uint64) {
 	if revision <= m.record.Revision || revision < m.pull.revision {
 		return
@@ -66,7 +67,7 @@
 	}
 }
 
-// retryPull asks the next source after a request without an answer.
+// retryPull sends the request to the next source after pullTimeout without an answer.
 func (m *Model) retryPull(now clock.Millis) {
 	p := &m.pull
 	if p.revision == 0 || now < p.requestedAt+pullTimeout {
@@ -98,7 +99,7 @@
 	}})
 }
 
-// compressRecord compresses the record once per revision.
+// compressRecord compresses the record, once per revision. It reports whether m.compressed is usable.
 func (m *Model) compressRecord() bool {
 	if m.compressed.bytes != nil {
 		return true
@@ -119,7 +120,7 @@
 	return true
 }
 
-// handleChunk appends one part. A part of another blob starts the transfer again.
+// handleChunk appends one chunk of the record. A chunk of a different encoding restarts the transfer.
 func (m *Model) handleChunk(now clock.Millis, from string, msg *message) {
 	p, c := &m.pull, msg.chunk
 	if p.revision == 0 || msg.revision < p.revision {
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -9,10 +9,10 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// Only alive members are chosen. A suspect has not answered on four paths, so
-// work sent to it would probably time out; if the suspicion is wrong it
-// refutes within seconds and is chosen again. Correctness of orders does not
-// depend on the choice, because their claims compare and swap.
+// Only alive members are selected, by rendezvous hashing. A suspect has not
+// answered on four paths, so work sent to it would probably time out; a wrongly
+// suspected member refutes within seconds and becomes eligible again. Correctness
+// of orders does not depend on the selection, because order claims use compare-and-swap.
 
 type candidate struct {
 	mem   *member
@@ -37,7 +37,8 @@
 	return best
 }
 
-// selectWatchers prefers VMs of different data centres.
+// selectWatchers returns the members that watch the store. It takes the best member
+// of each data centre first, so that watchers are in different data centres if possible.
 func (m *Model) selectWatchers() []string {
 	bestOf := make(map[string]candidate)
 	for _, c := range m.scoreAll(preset.StoreKey) {
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	reportTTL        clock.Millis = 10 * clock.Minute // an observer renews a report that still holds
+	reportTTL        clock.Millis = 10 * clock.Minute // observers renew a report while it still holds
 	renewMargin      clock.Millis = 2 * clock.Minute
-	minReportTTL     clock.Millis = 5 * clock.Second // remaining time below which a report is no longer taken over
-	maxStoredReports              = 16384            // more than the upstreams of the two-year size
+	minReportTTL     clock.Millis = 5 * clock.Second // a received report with less remaining time is ignored
+	maxStoredReports              = 16384            // more than the number of upstreams planned for two years ahead
 	expiryInterval   clock.Millis = clock.Second
-	maxClockSkew                  = uint64(clock.Minute) // a version further ahead of the local clock is refused
+	maxClockSkew                  = uint64(clock.Minute) // a version (a time in ms) further ahead of the local clock is rejected
 )
 
-// reportState keeps the newest report of each upstream.
+// reportState holds the newest report of each upstream.
 type reportState struct {
 	byUpstream map[upstream.ID]Report
 	digest     uint32
-	nextExpiry clock.Millis // next check for expiry
+	nextExpiry clock.Millis // time of the next expiry check
 }
 
 func (r *Report) supersedes(o *Report) bool {
@@ -34,8 +34,9 @@
 	return uint32(mix(xxhash.Sum64String(string(r.Upstream)) ^ r.Version ^ xxhash.Sum64String(r.Reporter)))
 }
 
-// observeUpstream turns an observation of this VM into a report. One that agrees with
-// the newest report is dropped, because every VM observes the same upstream.
+// observeUpstream creates a report from an observation of this VM. An observation
+// that agrees with the newest report is dropped, unless that report is due for
+// renewal, because every VM observes the same upstream.
 func (m *Model) observeUpstream(now clock.Millis, msg UpstreamLeavingMsg) {
 	old, ok := m.reports.byUpstream[msg.Upstream]
 	if !ok && !msg.Leaving || msg.Upstream == "" || len(msg.Upstream) > maxNameBytes {
@@ -86,7 +87,7 @@
 	m.emit(UpstreamLeavingCmd{Upstream: id, Leaving: leaving})
 }
 
-// expireReports forgets reports that no VM has renewed.
+// expireReports deletes reports that no VM has renewed.
 func (m *Model) expireReports(now clock.Millis) {
 	if now < m.reports.nextExpiry {
 		return
@@ -108,7 +109,7 @@
 	return wireReport{Report: r, remaining: max(0, r.ExpiresMs-m.lastUpdate)}
 }
 
-// sampleReports returns reports for repair, from a random start if there are too many.
+// sampleReports returns up to maxReports reports for anti-entropy, from a random start if there are more.
 func (m *Model) sampleReports() []wireReport {
 	all := m.sortedReports()
 	start := 0
--- a/fleet/storesync.go
+++ b/fleet/storesync.go
@@ -17,16 +17,17 @@
 	watchTimeout clock.Millis = 90 * clock.Second
 	retryMin     clock.Millis = clock.Second
 	retryMax     clock.Millis = 15 * clock.Second
-	minCallDelay clock.Millis = 100 // bounds the calls of a watch that returns at once
-	// A VM that has not joined knows no other, and would hold a watch that stays with the store.
+	minCallDelay clock.Millis = 100 // minimum delay between calls, for a watch that returns immediately
+	// Delay before a VM that has not joined watches the store. Such a VM sees no other
+	// members and so selects itself as watcher; its watch would stay open at the store.
 	soloWatchDelay clock.Millis = 15 * clock.Second
-	createDelay    clock.Millis = 3 * clock.Second // peers are asked for this long before a first record is written
+	createDelay    clock.Millis = 3 * clock.Second // time to get the record from peers before a first record is written
 )
 
-// storeState is the state of the exchange with the configuration store.
+// storeState is the state of the calls to the configuration store.
 type storeState struct {
 	lastTag       uint64
-	entryRevision uint64 // of the store's entry, which numbers differently from the record
+	entryRevision uint64 // revision of the store entry; numbered independently of the record's revision
 	startedAt     clock.Millis
 	lastOK        clock.Millis
 	failed        bool // the last read or watch failed
@@ -35,13 +36,13 @@
 	watching      bool
 	writeTag      uint64
 
-	lastValueHash      uint64 // of the last value read
-	lastRecordRevision uint64 // of the record in it
+	lastValueHash      uint64 // hash of the last value read
+	lastRecordRevision uint64 // revision of the record in that value
 }
 
-// storeCall is one repeated store call.
+// storeCall is the state of a repeated store call.
 type storeCall struct {
-	tag      uint64 // outstanding, 0 if none
+	tag      uint64 // tag of the outstanding call, 0 if none
 	sentAt   clock.Millis
 	nextAt   clock.Millis
 	failures int
@@ -50,7 +51,7 @@
 func (m *Model) resetStore(now clock.Millis) {
 	s := &m.store
 	s.startedAt, s.lastOK = now, now
-	// A large fleet that starts at once must not read at once.
+	// Spread the first reads, so that the VMs of a large fleet that start together do not all read together.
 	spread := clock.Second + 2*clock.Millis(max(len(m.sync.hints), len(m.members)))
 	s.get = storeCall{nextAt: now + 200 + m.jitter(spread)}
 	s.watch = storeCall{nextAt: now + m.jitter(clock.Second)}
@@ -92,7 +93,7 @@
 	case store.OpSwap:
 		if r.Tag == s.writeTag {
 			s.writeTag = 0
-			s.get.nextAt = min(s.get.nextAt, now+minCallDelay) // reading back settles every outcome
+			s.get.nextAt = min(s.get.nextAt, now+minCallDelay) // reading back resolves an uncertain outcome
 		}
 	case store.OpGet:
 		m.handleCallReply(now, &s.get, r)
@@ -123,8 +124,8 @@
 	m.handleEntry(now, r.Entry, isCurrent && r.Op == store.OpGet)
 }
 
-// handleEntry takes over the stored record. The store lags behind the fleet only if
-// it lost data or the answer is old; then the record is written back.
+// handleEntry applies the stored record. The store is behind the fleet only if it
+// lost data or the reply is outdated; the record is then written back.
 func (m *Model) handleEntry(now clock.Millis, entry store.Entry, isCurrent bool) {
 	var storedRevision uint64
 	if entry.Revision > 0 {
@@ -146,8 +147,8 @@
 	}
 }
 
-// decodeEntry takes over the stored record and returns its revision. A value
-// that was read before is not decoded again.
+// decodeEntry applies the stored record and returns its revision. A value equal to
+// the last one read is not decoded again.
 func (m *Model) decodeEntry(now clock.Millis, value []byte) (uint64, bool) {
 	hash := xxhash.Sum64(value)
 	if m.store.lastRecordRevision > 0 && hash == m.store.lastValueHash {
@@ -163,7 +164,7 @@
 	return rec.Revision, true
 }
 
-// writeRecord compares and swaps on the entry that was just read, so it cannot undo a later change.
+// writeRecord uses compare-and-swap with the revision of the entry just read, so that it cannot overwrite a later change.
 func (m *Model) writeRecord(rec preset.Record, expect uint64) {
 	value, err := preset.Encode(rec)
 	if err != nil {
@@ -185,7 +186,7 @@
 	delay := min(retryMin<<min(c.failures, 4), retryMax)
 	c.failures++
 	if c == &m.store.get && m.record.Revision > 0 {
-		delay = m.cfg.readInterval // others watch the store; this VM hears from peers
+		delay = m.cfg.readInterval // other VMs watch the store, and peers send newer records
 	}
 	c.nextAt = now + delay/2 + m.jitter(delay)
 }
--- a/fleet/sync.go
+++ b/fleet/sync.go
@@ -9,25 +9,25 @@
 const (
 	syncInterval clock.Millis = 10 * clock.Second
 	joinInterval clock.Millis = clock.Second
-	// A VM that reaches no peer serves alone after this time. Before, it does
-	// not know which upstreams leave and who carries them.
+	// Time after which a VM that reaches no peer becomes ready on its own. Until then
+	// it has no reports of leaving upstreams and cannot determine their carriers.
 	joinTimeout      clock.Millis = 3 * clock.Second
 	contactInterval  clock.Millis = 5 * clock.Second
 	joinFanout                    = 3
 	maxStatePages                 = 8
-	bulkThreshold                 = 64 // fewer than this in an answer means that the tables agree but for recent changes
+	bulkThreshold                 = 64 // fewer updates in a state message mean that the tables agree except for recent changes
 	hintAttempts                  = 8
 	maxHintAddresses              = maxMembers
 )
 
-// syncState is the state of joining and of repair. Each VM compares digests of
-// its member table with a random member, and from time to time contacts a VM
-// that it believes dead or knows only from the VM list, so that a partition heals.
+// syncState is the state of joining and anti-entropy. Each VM periodically compares
+// digests of its member table with a random member. It also periodically contacts a
+// VM that is dead here or known only from the VM list, so that partitions heal.
 type syncState struct {
 	hints       []VM
-	addresses   map[string]string // of hints that were contacted and senders that are not members
-	joined      bool              // a peer's table was received
-	joinDone    bool              // joined, or there is nobody to join
+	addresses   map[string]string // addresses of contacted hints that may not be members
+	joined      bool              // the member table of a peer was received
+	joinDone    bool              // joined, no other VM exists, or joinTimeout has passed
 	haveVMList  bool              // the VM list was received
 	nextSync    clock.Millis
 	nextContact clock.Millis
@@ -50,7 +50,7 @@
 	}
 }
 
-// alone reports whether neither the VM list nor any message names another VM.
+// alone reports whether neither the VM list nor the member table contains another VM.
 func (m *Model) alone() bool {
 	others := slices.ContainsFunc(m.sync.hints, func(v VM) bool { return v.ID != m.self.ID })
 	return !others && len(m.members) == 0
@@ -64,7 +64,7 @@
 	if m.sync.joined {
 		return
 	}
-	// One VM sends its table; the others only learn of this VM and tell their revision.
+	// Only one VM sends its table. The others are pinged: they learn of this VM and reply with their record revision.
 	if len(targets) == 0 {
 		m.contactHint((*Model).sendDigest)
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-// contactUnreachable tries a dead member or a hint that is not a live member.
+// contactUnreachable sends a digest to a dead member, or to a hint that is not a live member.
 func (m *Model) contactUnreachable() {
 	for range hintAttempts {
 		if len(m.members) == 0 {
@@ -87,7 +87,7 @@
 	m.contactHint((*Model).sendDigest)
 }
 
-// contactHint sends to a VM of the VM list that is not known to be alive.
+// contactHint sends to a random VM of the VM list that is dead here or not a member.
 func (m *Model) contactHint(send func(m *Model, to string)) {
 	for range hintAttempts {
 		if len(m.sync.hints) == 0 {
@@ -119,7 +119,7 @@
 	m.send(to, msg)
 }
 
-// handleDigest sends the members in the buckets that differ, in pages.
+// handleDigest sends the members in the buckets that differ, in at most maxStatePages messages.
 func (m *Model) handleDigest(from string, msg *message) {
 	if len(msg.digest) != buckets+1 {
 		return
@@ -156,7 +156,7 @@
 	}
 }
 
-// handleState handles the answer to a digest; what this VM knows better goes back.
+// handleState handles the reply to a digest and sends back the members for which this VM has newer state.
 func (m *Model) handleState(now clock.Millis, from string, msg *message, newer []VM) {
 	if len(msg.updates) < bulkThreshold && len(m.members) > 0 {
 		m.sync.joined = true
--- a/fleet/wire.go
+++ b/fleet/wire.go
@@ -13,16 +13,16 @@
 const (
 	kindPing    kind = iota + 1
 	kindAck          // answers a ping
-	kindPingReq      // asks the receiver to ping target
-	kindGossip       // news, not answered
-	kindDigest       // asks for members in buckets that differ
+	kindPingReq      // requests a ping of target
+	kindGossip       // carries changes; not answered
+	kindDigest       // requests the members in buckets that differ
 	kindState        // answers a digest
-	kindPull         // asks for the record from an offset on
+	kindPull         // requests the record from an offset on
 	kindChunk        // answers a pull
 	kindLast    = kindChunk
 )
 
-// Bounds of one payload. A decoder refuses what exceeds them.
+// Size limits of one payload. The decoder rejects a payload that exceeds them.
 const (
 	maxPayloadBytes    = 64 << 10
 	maxUpdates         = 256
@@ -33,26 +33,26 @@
 	buckets            = 64
 )
 
-// message is the content of a payload.
+// message is a decoded payload.
 type message struct {
 	kind     kind
 	seq      uint64
 	target   string // for kindPingReq
-	sender   VM     // the sender; empty identifier if absent
-	revision uint64 // of the sender's record
+	sender   VM     // the sending VM; the identifier is empty if absent
+	revision uint64 // revision of the sender's record
 	updates  []VM
 	reports  []wireReport
 	digest   []uint32 // one per bucket, then one for reports
 	chunk    chunk
 }
 
-// wireReport carries the remaining time, because the clocks of VMs differ.
+// wireReport is a Report with the remaining time instead of an expiry time, because the clocks of VMs differ.
 type wireReport struct {
 	Report
 	remaining clock.Millis
 }
 
-// chunk is part of the compressed record; in a pull only offset is set.
+// chunk is a part of the compressed record. A pull request sets only offset.
 type chunk struct {
 	hash   uint64
 	total  uint64
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -14,7 +14,7 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// samplePayloads returns payloads of every kind from a short run.
+// samplePayloads returns payloads of every kind, recorded in a short simulation.
 func samplePayloads() [][]byte {
 	f := experiment.NewFleet(1, 5)
 	var list [][]byte
@@ -37,14 +37,14 @@
 	return list
 }
 
-// newModel returns a model that accepts the payloads of samples.
+// newModel returns a started model that accepts the payloads of samplePayloads.
 func newModel() *fleet.Model {
 	m := fleet.New(fleet.WithSelf(fleet.VM{ID: "vm-0001", Incarnation: 1}), fleet.WithSeed(1))
 	m.Update(1_700_000_000_000, fleet.TickMsg{})
 	return m
 }
 
-// deliver delivers a payload and checks that what it causes is valid and bounded.
+// deliver passes a payload to m and checks that the resulting records and messages are valid.
 func deliver(t interface {
 	Helper()
 	Errorf(string, ...any)
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestCorruptedPayloads guards against a peer whose damaged message stops a VM.
+// TestCorruptedPayloads guards against a panic or an invalid record caused by a corrupted message.
 func TestCorruptedPayloads(t *testing.T) {
 	list := samplePayloads()
 	kinds := make(map[byte]bool)
@@ -90,7 +90,7 @@
 	})
 }
 
-// TestDecoderBounds guards against payloads that would take memory without bound.
+// TestDecoderBounds guards against payloads that cause unbounded memory use.
 func TestDecoderBounds(t *testing.T) {
 	ping := protowire.AppendVarint(protowire.AppendTag(nil, 1, protowire.VarintType), 1)
 	vm := protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), "x")
@@ -127,7 +127,8 @@
 	}
 }
 
-// TestLargeRecordIsSentInChunks guards against records that exceed one message.
+// TestLargeRecordIsSentInChunks guards against a record larger than one message that
+// does not reach every VM complete, with 5% message loss.
 func TestLargeRecordIsSentInChunks(t *testing.T) {
 	f := joinedFleet(t, 10)
 	f.Store.Fail()
@@ -138,7 +139,7 @@
 		p := rec.Presets[0]
 		p.Name = "extra-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
 		noise := make([]byte, 500)
-		for j := range noise { // text that does not compress well
+		for j := range noise { // text with a low compression ratio
 			noise[j] = byte('!' + (i*7919+j*j*31+j*i*17)%90)
 		}
 		p.Description = string(noise)
