--- a/fleet/decode.go
+++ b/fleet/decode.go
@@ -22,7 +22,7 @@
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return decodeErrorf(KindMalformed, "bad tag")
+			return decodeErrorf(KindMalformed, "invalid field tag")
 		}
 		b = b[n:]
 		f := field{num: num}
@@ -32,10 +32,10 @@
 		case protowire.BytesType:
 			f.bytes, n = protowire.ConsumeBytes(b)
 		default:
-			return decodeErrorf(KindMalformed, "field %d has wire type %d", num, typ)
+			return decodeErrorf(KindMalformed, "field %d has unsupported wire type %d", num, typ)
 		}
 		if n < 0 {
-			return decodeErrorf(KindMalformed, "field %d is cut", num)
+			return decodeErrorf(KindMalformed, "field %d is truncated", num)
 		}
 		b = b[n:]
 		if err := visit(f); err != nil {
@@ -53,14 +53,14 @@
 
 func decode(b []byte) (*message, error) {
 	if len(b) > maxPayloadBytes {
-		return nil, decodeErrorf(KindTooLarge, "payload has %d bytes", len(b))
+		return nil, decodeErrorf(KindTooLarge, "payload of %d bytes exceeds the limit", len(b))
 	}
 	m := &message{}
 	if err := forEachField(b, m.setField); err != nil {
 		return nil, err
 	}
 	if m.kind == 0 || m.kind > kindLast {
-		return nil, decodeErrorf(KindMalformed, "unknown kind %d", m.kind)
+		return nil, decodeErrorf(KindMalformed, "unknown message kind %d", m.kind)
 	}
 	return m, nil
 }
@@ -91,7 +91,7 @@
 		m.chunk.offset, err = decodeBounded(f, maxCompressedBytes)
 	case 12:
 		if len(f.bytes) > maxChunkBytes {
-			return decodeErrorf(KindTooLarge, "chunk has %d bytes", len(f.bytes))
+			return decodeErrorf(KindTooLarge, "chunk of %d bytes exceeds the limit", len(f.bytes))
 		}
 		m.chunk.data = f.bytes
 	}
@@ -100,7 +100,7 @@
 
 func (m *message) addUpdate(b []byte) error {
 	if len(m.updates) == maxUpdates {
-		return decodeErrorf(KindTooLarge, "more than %d updates", maxUpdates)
+		return decodeErrorf(KindTooLarge, "message has more than %d updates", maxUpdates)
 	}
 	v, err := decodeVM(b)
 	m.updates = append(m.updates, v)
@@ -109,7 +109,7 @@
 
 func (m *message) addReport(b []byte) error {
 	if len(m.reports) == maxReports {
-		return decodeErrorf(KindTooLarge, "more than %d reports", maxReports)
+		return decodeErrorf(KindTooLarge, "message has more than %d reports", maxReports)
 	}
 	r, err := decodeReport(b)
 	m.reports = append(m.reports, r)
@@ -139,7 +139,7 @@
 		return err
 	})
 	if err == nil && v.ID == "" {
-		err = decodeErrorf(KindMalformed, "VM without identifier")
+		err = decodeErrorf(KindMalformed, "VM has no identifier")
 	}
 	return v, err
 }
@@ -166,14 +166,14 @@
 		return err
 	})
 	if err == nil && r.Upstream == "" {
-		err = decodeErrorf(KindMalformed, "report without upstream")
+		err = decodeErrorf(KindMalformed, "report has no upstream identifier")
 	}
 	return r, err
 }
 
 func decodeDigest(b []byte) ([]uint32, error) {
 	if len(b) != 4*(buckets+1) {
-		return nil, decodeErrorf(KindMalformed, "digest has %d bytes", len(b))
+		return nil, decodeErrorf(KindMalformed, "digest has an invalid length of %d bytes", len(b))
 	}
 	d := make([]uint32, buckets+1)
 	for i := range d {
@@ -184,14 +184,14 @@
 
 func decodeName(f field) (string, error) {
 	if len(f.bytes) > maxNameBytes {
-		return "", decodeErrorf(KindTooLarge, "field %d has %d bytes", f.num, len(f.bytes))
+		return "", decodeErrorf(KindTooLarge, "field %d with a string of %d bytes exceeds the limit", f.num, len(f.bytes))
 	}
 	return string(f.bytes), nil
 }
 
 func decodeBounded(f field, limit uint64) (uint64, error) {
 	if f.varint > limit {
-		return 0, decodeErrorf(KindTooLarge, "field %d is %d, at most %d", f.num, f.varint, limit)
+		return 0, decodeErrorf(KindTooLarge, "field %d is %d, want at most %d", f.num, f.varint, limit)
 	}
 	return f.varint, nil
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -56,7 +56,7 @@
 	}{
 		{"refutation", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
 			f.Cut = func(a, b *experiment.Node) bool { return a == n || b == n }
-			waitUntil(t, f, 10*clock.Second, "suspicion", func() bool { return stateOf(f.Nodes[0], n.VM.ID) == fleet.Suspect })
+			waitUntil(t, f, 10*clock.Second, "suspected", func() bool { return stateOf(f.Nodes[0], n.VM.ID) == fleet.Suspect })
 			f.Cut = nil
 			f.RunFor(8 * clock.Second)
 			if n.Model.Self().Refutation == 0 {
@@ -85,12 +85,12 @@
 			}
 			f.RunFor(11 * clock.Second)
 			if got := n.Model.LiveCount(); got < 8 {
-				t.Errorf("after its pause the VM sees %d live members, want at least 8", got)
+				t.Errorf("after its pause the VM has %d live members, want at least 8", got)
 			}
 		}},
 		{"partition for two minutes", func(_ *testing.T, f *experiment.Fleet, _ *experiment.Node) { partition(f, 2*clock.Minute) }},
-		{"partition until the others are forgotten", func(_ *testing.T, f *experiment.Fleet, _ *experiment.Node) { partition(f, 12*clock.Minute) }},
-		{"planned stop and new start", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
+		{"partition until dead members are deleted", func(_ *testing.T, f *experiment.Fleet, _ *experiment.Node) { partition(f, 12*clock.Minute) }},
+		{"planned stop and restart", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
 			f.Deliver(n, fleet.StopMsg{})
 			f.RunFor(leavingBound)
 			if !n.Model.StopAnnounced(f.Loop.Now()) || n.Model.Ready() {
@@ -98,7 +98,7 @@
 			}
 			for _, other := range f.Nodes {
 				if other.Model.IsLive(n.VM.ID) {
-					t.Errorf("%s still chooses a VM that left", other.VM.ID)
+					t.Errorf("%s still has a VM that left as live", other.VM.ID)
 				}
 			}
 			f.Kill(n)
@@ -130,7 +130,7 @@
 	for range 60 {
 		f.RunFor(clock.Second)
 		if !f.Converged() {
-			t.Fatal("a link cut one way made a VM suspect")
+			t.Fatal("a one-way link failure made a VM suspect")
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	waitUntil(t, f, leavingBound, "report on a new VM", applied(true))
 	f.RunFor(9 * clock.Minute)
 	if !applied(true)() {
-		t.Error("the report ended too early")
+		t.Error("the report expired too early")
 	}
 	waitUntil(t, f, 2*clock.Minute, "expiry", applied(false))
 	if got := f.Nodes[0].Model.Reports(); len(got) != 0 {
@@ -215,7 +215,7 @@
 		waitUntil(t, f, 10*clock.Second, "stale", func() bool { return n.Model.Stale(f.Loop.Now()) })
 	}
 	if !n.Model.Ready() {
-		t.Error("a stale VM left service")
+		t.Error("a stale VM is not ready")
 	}
 }
 
--- a/fleet/placement_test.go
+++ b/fleet/placement_test.go
@@ -55,7 +55,7 @@
 	after := carriersOf(f.Nodes[0], upstreams)
 	for i, u := range upstreams {
 		if slices.Contains(after[i], leaver.VM.ID) {
-			t.Errorf("%s is carried by a VM that left", u)
+			t.Errorf("a carrier of %s is a VM that left", u)
 		}
 		if !slices.Contains(before[i], leaver.VM.ID) && !slices.Equal(after[i], before[i]) {
 			t.Errorf("carriers of %s moved from %v to %v", u, before[i], after[i])
@@ -99,6 +99,6 @@
 		return traffic
 	}
 	if a, b := run(), run(); a != b {
-		t.Errorf("the same seed sent %v and %v", a, b)
+		t.Errorf("messages and bytes sent with the same seed: %v and %v", a, b)
 	}
 }
--- a/fleet/ready_test.go
+++ b/fleet/ready_test.go
@@ -65,10 +65,10 @@
 		peer         *fleet.Model
 		minMs, maxMs clock.Millis
 	}{
-		"peer silent":   {vmList: two, minMs: 3 * clock.Second, maxMs: 4 * clock.Second},
-		"peer answers":  {vmList: two, peer: peer, maxMs: 3*clock.Second - 1},
-		"nobody else":   {vmList: two[:1], maxMs: 3*clock.Second - 1},
-		"no list known": {minMs: 0, maxMs: 4 * clock.Second},
+		"no reply from peer": {vmList: two, minMs: 3 * clock.Second, maxMs: 4 * clock.Second},
+		"reply from peer":    {vmList: two, peer: peer, maxMs: 3*clock.Second - 1},
+		"no other VM":        {vmList: two[:1], maxMs: 3*clock.Second - 1},
+		"empty VM list":      {minMs: 0, maxMs: 4 * clock.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -148,12 +148,12 @@
 
 func decompressRecord(b []byte, hash uint64) (preset.Record, error) {
 	if xxhash.Sum64(b) != hash {
-		return preset.Record{}, decodeErrorf(KindMalformed, "record has another hash")
+		return preset.Record{}, decodeErrorf(KindMalformed, "compressed record does not match its hash")
 	}
 	limit := io.LimitReader(flate.NewReader(bytes.NewReader(b)), preset.MaxRecordBytes+1)
 	doc, err := io.ReadAll(limit)
 	if err != nil {
-		return preset.Record{}, decodeErrorf(KindMalformed, "record: %w", err)
+		return preset.Record{}, decodeErrorf(KindMalformed, "decompress record: %w", err)
 	}
 	return preset.Decode(doc)
 }
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -55,11 +55,11 @@
 		switch c := c.(type) {
 		case fleet.RecordCmd:
 			if err := c.Record.Validate(); err != nil {
-				t.Errorf("an invalid record came into force: %v", err)
+				t.Errorf("an invalid record is in force: %v", err)
 			}
 		case fleet.SendCmd:
 			if err := fleet.CheckPayload(c.Payload); err != nil {
-				t.Errorf("the answer does not decode: %v", err)
+				t.Errorf("a sent payload does not decode: %v", err)
 			}
 		}
 	}
@@ -72,11 +72,11 @@
 	for _, p := range list {
 		kinds[p[1]] = true
 		if err := fleet.CheckPayload(p); err != nil {
-			t.Fatalf("own payload refused: %v", err)
+			t.Fatalf("valid payload rejected: %v", err)
 		}
 	}
 	if len(kinds) != 8 {
-		t.Fatalf("samples of %d kinds, want all 8", len(kinds))
+		t.Fatalf("got payloads of %d kinds, want 8", len(kinds))
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
@@ -153,7 +153,7 @@
 		return f.All(func(n *experiment.Node) bool { return n.Model.Record().Revision == rec.Revision })
 	})
 	if got := preset.Diff(rec, f.Nodes[7].Model.Record()); len(got) != 0 {
-		t.Errorf("the record changed on its way: %v", got)
+		t.Errorf("the received record differs from the sent one: %v", got)
 	}
 }
 
