--- a/catalog/model_test.go
+++ b/catalog/model_test.go
@@ -10,43 +10,43 @@
 	"lentillink.example/lentillink/store"
 )
 
-// rig drives a model and keeps what it reported.
-type rig struct {
-	t    *testing.T
-	m    *catalog.Model
-	now  clock.Millis
-	seen []string
+// harness drives a model and keeps what it reported.
+type harness struct {
+	t        *testing.T
+	m        *catalog.Model
+	now      clock.Millis
+	commands []string
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, m: catalog.New(1), now: 1000}
+func newHarness(t *testing.T) *harness {
+	r := &harness{t: t, m: catalog.New(1), now: 1000}
 	r.update(catalog.TickMsg{})
 	return r
 }
 
-func (r *rig) update(msg catalog.Msg) {
+func (r *harness) update(msg catalog.Msg) {
 	for _, c := range r.m.Update(r.now, msg) {
 		switch c := c.(type) {
 		case catalog.ListCmd:
 			if c.AllowStale {
-				r.seen = append(r.seen, "list")
+				r.commands = append(r.commands, "list")
 			} else {
-				r.seen = append(r.seen, "fresh list")
+				r.commands = append(r.commands, "fresh list")
 			}
 		case catalog.WatchCmd:
-			r.seen = append(r.seen, fmt.Sprintf("follow %d", c.After))
+			r.commands = append(r.commands, fmt.Sprintf("follow %d", c.After))
 		case catalog.PutCmd:
-			r.seen = append(r.seen, "put "+c.Item.Key)
+			r.commands = append(r.commands, "put "+c.Item.Key)
 		case catalog.DeleteCmd:
-			r.seen = append(r.seen, "drop "+c.Key)
+			r.commands = append(r.commands, "drop "+c.Key)
 		case catalog.StoreStatusCmd:
-			r.seen = append(r.seen, fmt.Sprintf("reached %v", c.Reachable))
+			r.commands = append(r.commands, fmt.Sprintf("reached %v", c.Reachable))
 		}
 	}
 }
 
-// pass lets time pass to an absolute time, with a tick at each wake.
-func (r *rig) pass(to clock.Millis) {
+// advance lets time pass to an absolute time, with a tick at each wake.
+func (r *harness) advance(to clock.Millis) {
 	for {
 		at, ok := r.m.NextWake()
 		if !ok || at > to {
@@ -61,12 +61,12 @@
 	r.now = to
 }
 
-func (r *rig) want(want ...string) {
+func (r *harness) want(want ...string) {
 	r.t.Helper()
-	if got := strings.Join(r.seen, ", "); got != strings.Join(want, ", ") {
+	if got := strings.Join(r.commands, ", "); got != strings.Join(want, ", ") {
 		r.t.Errorf("at %d: got %s, want %s", r.now, got, strings.Join(want, ", "))
 	}
-	r.seen = nil
+	r.commands = nil
 }
 
 func batch(revision uint64, items ...store.Item) store.Batch {
@@ -74,79 +74,79 @@
 }
 
 func item(key string, revision uint64) store.Item { return store.Item{Key: key, Revision: revision} }
-func gone(key string, revision uint64) store.Item {
+func removed(key string, revision uint64) store.Item {
 	return store.Item{Key: key, Revision: revision, Removed: true}
 }
 
-// TestFollow guards against events that are lost between two watches, and
+// TestWatch guards against events that are lost between two watches, and
 // against a call for each event of a busy moment.
-func TestFollow(t *testing.T) {
-	r := newRig(t)
+func TestWatch(t *testing.T) {
+	r := newHarness(t)
 	r.want("list")
 	r.update(catalog.ListedMsg{Batch: batch(10, item("a", 4), item("b", 9))})
 	r.want("reached true", "put a", "put b", "follow 10")
 	r.now += 3000
-	r.update(catalog.WatchedMsg{Batch: batch(12, item("a", 12), gone("b", 11))})
+	r.update(catalog.WatchedMsg{Batch: batch(12, item("a", 12), removed("b", 11))})
 	r.want("put a", "drop b")
-	r.pass(r.now + 700)
+	r.advance(r.now + 700)
 	r.want()
-	r.pass(r.now + 100)
+	r.advance(r.now + 100)
 	r.want("follow 12")
 	r.update(catalog.WatchedMsg{Batch: batch(12, item("a", 12))})
 	r.want()
 }
 
-// TestHistoryGone guards against a change that no watch reports: a whole read
+// TestHistoryCompacted guards against a change that no watch reports: a whole read
 // follows at once.
-func TestHistoryGone(t *testing.T) {
-	r := newRig(t)
+func TestHistoryCompacted(t *testing.T) {
+	r := newHarness(t)
 	r.update(catalog.ListedMsg{Batch: batch(10, item("a", 4))})
 	r.now += 5000
-	r.seen = nil
+	r.commands = nil
 	r.update(catalog.FailedMsg{Kind: store.KindConflict})
 	r.want("fresh list")
 	r.update(catalog.ListedMsg{Batch: batch(40, item("a", 33))})
 	r.want("put a", "follow 40")
 }
 
-// TestLapsedDuringOutage guards against upstreams that are dropped because
+// TestEntriesExpiredDuringOutage guards against upstreams that are dropped because
 // their entries lapsed while the store was away: they are written again.
-func TestLapsedDuringOutage(t *testing.T) {
-	r := newRig(t)
+func TestEntriesExpiredDuringOutage(t *testing.T) {
+	r := newHarness(t)
 	r.update(catalog.ListedMsg{Batch: batch(10, item("a", 4), item("b", 5), item("c", 6))})
 	r.now = 10_000
-	r.seen = nil
+	r.commands = nil
 	r.update(catalog.FailedMsg{Kind: store.KindUnavailable})
 	r.want("reached false", "fresh list")
 	r.update(catalog.FailedMsg{Kind: store.KindUnavailable})
-	r.pass(11_000)
+	r.advance(11_000)
 	r.update(catalog.FailedMsg{Kind: store.KindUnavailable})
-	r.pass(14_000)
-	r.seen = nil
+	r.advance(14_000)
+	r.commands = nil
 	r.update(catalog.ListedMsg{Batch: batch(50, item("c", 6))})
 	r.want("reached true", "follow 50")
-	r.pass(15_000)
+	r.advance(15_000)
 	r.update(catalog.WatchedMsg{Batch: batch(52, item("a", 52))})
-	r.pass(16_400)
+	r.advance(16_400)
 	r.want("put a", "follow 52")
-	r.pass(16_600)
+	r.advance(16_600)
 	r.want("drop b")
 }
 
 // TestRetries guards against calls without a pause while the store refuses:
 // refused calls have their price too.
 func TestRetries(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	calls := 0
 	for r.now < 11_000 {
-		r.seen = nil
+		r.commands = nil
 		r.update(catalog.FailedMsg{Kind: store.KindUnavailable})
 		for {
 			at, ok := r.m.NextWake()
 			if !ok {
 				break
 			}
-			r.pass(at)
+			r.advance(at)
 		}
 		calls++
 	}
@@ -160,15 +160,15 @@
 
 // TestRelist guards against a watch that is silent for good.
 func TestRelist(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.update(catalog.ListedMsg{Batch: batch(10)})
 	lists := 0
 	for r.now < 300_000 {
-		r.seen = nil
+		r.commands = nil
 		r.now += 30_000
 		r.update(catalog.WatchedMsg{Batch: batch(10)})
-		r.pass(r.now + 900)
-		for _, s := range r.seen {
+		r.advance(r.now + 900)
+		for _, s := range r.commands {
 			if s == "list" {
 				lists++
 				r.update(catalog.ListedMsg{Batch: batch(10)})
--- a/catalog/query.go
+++ b/catalog/query.go
@@ -7,18 +7,18 @@
 	at, ok := clock.Millis(0), false
 	if m.phase == phaseIdle {
 		at, ok = m.nextCall, true
-		if m.feed.waits(m.nextCall) && !m.relist {
-			at = max(at, m.listedAt+relistMs)
+		if m.subscription.replacesWatch(m.nextCall) && !m.needRelist {
+			at = max(at, m.listedAt+relistIntervalMs)
 		}
 	}
-	if due, fed := m.feedWake(); fed && (!ok || due < at) {
+	if due, subscribed := m.subscriptionWake(); subscribed && (!ok || due < at) {
 		at, ok = due, true
 	}
-	if m.lost {
+	if m.storeLost {
 		return at, ok
 	}
-	for _, due := range m.missing {
-		due = max(due, m.holdUntil)
+	for _, due := range m.pendingRemovals {
+		due = max(due, m.holdRemovalsUntil)
 		if !ok || due < at {
 			at, ok = due, true
 		}
