--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -1,7 +1,11 @@
-// Package catalog follows what the store says of the configuration and of the
-// upstreams, and decides when to read and when to believe a removal.
+// Package catalog mirrors the keys of the configuration and of the upstreams in
+// the store. It decides when to read the store and when to report a removed key.
 //
-// Model is a pure state machine. It makes one call at a time: a whole read
-// first, then watches, with a whole read again when the history is gone and at
-// a slow pace, because a watch can be silent without being cut.
+// Model is a pure state machine without I/O. It makes one store call at a time:
+// first a list (a full read), then watches. It lists again when the store has
+// compacted the history that a watch needs, and at a long interval, because a
+// watch can stop delivering events without an error.
+//
+// To save store calls, most VMs do not watch the store. They subscribe to a
+// publisher, a VM that does so and sends its changes to its subscribers.
 package catalog
--- a/catalog/message.go
+++ b/catalog/message.go
@@ -14,33 +14,33 @@
 // WatchedMsg is the result of a WatchCmd.
 type WatchedMsg struct{ Batch store.Batch }
 
-// FailedMsg reports that the last command failed.
+// FailedMsg reports that the last store call failed.
 type FailedMsg struct{ Kind store.Kind }
 
-// PublishersMsg names the VMs that may feed this one, best first, and says whether
-// this one may feed others.
+// PublishersMsg sets the VMs that this one may subscribe to, best first, and
+// whether others may subscribe to this one.
 type PublishersMsg struct {
 	VMs        []string
 	MayPublish bool
 }
 
-// SubscribeMsg brings a subscription of another VM.
+// SubscribeMsg delivers a subscription from another VM.
 type SubscribeMsg struct {
 	From      string
 	Subscribe Subscribe
 }
 
-// UpdateMsg brings changes from another VM.
+// UpdateMsg delivers changes from another VM.
 type UpdateMsg struct {
 	From   string
 	Update Update
 }
 
-// PeerLostMsg reports that the connection to a VM broke, or that nothing can
-// be sent to it.
+// PeerLostMsg reports that the connection to a VM was lost, or that sending to it
+// failed.
 type PeerLostMsg struct{ VM string }
 
-// TickMsg lets time pass.
+// TickMsg triggers the work due at the time returned by NextWake.
 type TickMsg struct{}
 
 func (ListedMsg) catalogMsg()     {}
@@ -55,41 +55,41 @@
 // Cmd is an output of a Model.
 type Cmd interface{ catalogCmd() }
 
-// ListCmd reads everything. A stale read may be seconds old and costs a tenth;
-// the watch that follows starts from its revision, so nothing is missed.
+// ListCmd reads all keys. A stale read may be seconds old and costs a tenth of a
+// fresh one; the watch that follows starts from its revision, so no change is missed.
 type ListCmd struct{ AllowStale bool }
 
-// WatchCmd waits for changes.
+// WatchCmd waits up to WaitMs for changes after revision After.
 type WatchCmd struct {
 	After  uint64
 	WaitMs clock.Millis
 }
 
-// PutCmd reports a new or changed item.
+// PutCmd reports a new or changed key.
 type PutCmd struct{ Item store.Item }
 
-// DeleteCmd reports that a key is gone.
+// DeleteCmd reports that a key was removed.
 type DeleteCmd struct{ Key string }
 
-// StoreStatusCmd reports that the store was lost, or is reached again.
+// StoreStatusCmd reports that contact with the store was lost or restored.
 type StoreStatusCmd struct {
 	Reachable bool
-	Kind      store.Kind // why it was lost
+	Kind      store.Kind // cause of the loss
 }
 
-// SubscribeCmd asks a VM for changes.
+// SubscribeCmd sends a subscription, or its renewal, to a publisher.
 type SubscribeCmd struct {
 	To        string
 	Subscribe Subscribe
 }
 
-// PublishCmd passes changes on to followers.
+// PublishCmd sends changes to subscribers.
 type PublishCmd struct {
 	To     []string
 	Update Update
 }
 
-// PublisherCmd reports which VM feeds this one from now on; none if VM is empty.
+// PublisherCmd reports the publisher of this VM from now on; there is none if VM is empty.
 type PublisherCmd struct{ VM string }
 
 func (ListCmd) catalogCmd()        {}
--- a/catalog/model.go
+++ b/catalog/model.go
@@ -8,59 +8,61 @@
 	"lentillink.example/lentillink/store"
 )
 
-// Paces of the calls. Each call to the store has a price.
+// Intervals and delays of the store calls. Each call has a cost.
 const (
-	// defaultWatchIntervalMs gathers the events of a busy moment into one watch. It is a
-	// small part of the users' bounds on drains and changes, which are 3 s and more.
+	// defaultWatchIntervalMs is the minimum interval between two watches, which
+	// collects the events of a burst in one watch. It is a small part of the bounds
+	// that users set on drains and changes, which are 3 s and more.
 	defaultWatchIntervalMs clock.Millis = 800
 
-	// recoveryDivisor is the part of the pace while the store or this VM has just come
-	// back: entries that lapsed are written again, and requests wait for them.
+	// recoveryDivisor divides the watch interval just after contact with the store was
+	// restored: expired entries are being rewritten, and requests wait for them.
 	recoveryDivisor = 4
 
-	// watchWaitMs bounds one watch. A watch whose history is discarded while it waits is
-	// told so only at its end, and what follows must fit into the users' 3 s for a
-	// change. Each end without a change also tells followers that the store is reached.
+	// watchWaitMs bounds one watch. If the store compacts the history of an open
+	// watch, it reports this only when the watch ends, and the recovery must fit into the 3 s
+	// that users allow for a change. A watch that ends without a change also
+	// signals subscribers that the store is reachable.
 	watchWaitMs = clock.Second
 
-	// relistIntervalMs is the age at which everything is read again without a cause.
+	// relistIntervalMs is the age of the last list at which a new one is made in any case.
 	relistIntervalMs clock.Millis = 2 * clock.Minute
 
-	// Backoff of calls that fail. The longest keeps a change that was made during
-	// an outage within its bound after the store is back.
+	// Bounds of the backoff after failed calls. The maximum ensures that a change made
+	// during an outage is read within its bound after the store recovers.
 	minBackoffMs clock.Millis = 250
 	maxBackoffMs clock.Millis = 1000
 
-	// recoveryGraceMs is how long after an outage a missing key is still believed:
-	// entries that lapsed meanwhile are written again within about 2 s.
+	// recoveryGraceMs is the time after an outage during which a missing key is kept:
+	// entries that expired during the outage are rewritten within about 2 s.
 	recoveryGraceMs clock.Millis = 2500
 )
 
 type phase uint8
 
 const (
-	phaseIdle phase = iota // no call is open
+	phaseIdle phase = iota // no outstanding call
 	phaseListing
 	phaseWatching
 )
 
-// Model is the state of what was read.
+// Model holds the revisions of the known keys and the state of the store calls and subscriptions.
 type Model struct {
 	rng           *rand.Rand
-	watchInterval clock.Millis // least time between two watches
+	watchInterval clock.Millis // minimum interval between two watches
 	phase         phase
-	needRelist    bool // the next call is a whole read
-	needFresh     bool // it must be of the store's current state
+	needRelist    bool // the next call is a list
+	needFresh     bool // the next list must not be stale
 	listedAt      clock.Millis
 	nextCall      clock.Millis
 	backoff       clock.Millis
 	revision      uint64
-	items         map[string]uint64 // revision of each key that is believed
+	items         map[string]uint64 // revision of each key reported as present
 
 	storeLost         bool
 	contacted         bool
-	holdRemovalsUntil clock.Millis            // removals are held until then
-	pendingRemovals   map[string]clock.Millis // removals that are held
+	holdRemovalsUntil clock.Millis            // removals are not reported before this time
+	pendingRemovals   map[string]clock.Millis // earliest report time of each removed key
 
 	subscription subscription
 	subscribers  subscribers
@@ -69,8 +71,8 @@
 // Option configures a Model.
 type Option func(*Model)
 
-// WithWatchInterval sets the least time between two watches. Each VM makes a call for
-// each busy moment, so a large fleet with wider bounds takes a slower pace.
+// WithWatchInterval sets the minimum interval between two watches. Each VM makes a
+// call for each burst of events, so a large fleet with wider bounds uses a longer interval.
 func WithWatchInterval(ms clock.Millis) Option {
 	return func(m *Model) {
 		if ms > 0 {
@@ -79,8 +81,8 @@
 	}
 }
 
-// New returns a Model that has read nothing. The seed spreads the retries of
-// VMs that lost the store together.
+// New returns an empty Model. The seed randomizes the backoff, so that VMs
+// with different seeds that lost the store together do not retry together.
 func New(seed uint64, opts ...Option) *Model {
 	m := &Model{
 		rng: rand.New(rand.NewPCG(seed, seed)), watchInterval: defaultWatchIntervalMs, needRelist: true,
@@ -122,7 +124,7 @@
 	return m.startCall(now, cmds)
 }
 
-// callSucceeded notes that the store answered a call.
+// callSucceeded records a successful store call and schedules the next one.
 func (m *Model) callSucceeded(now clock.Millis, cmds []Cmd) []Cmd {
 	m.backoff = 0
 	m.phase = phaseIdle
@@ -138,7 +140,7 @@
 	return cmds
 }
 
-// storeReached notes that the store is reached, here or by the feeder.
+// storeReached records that this VM or its publisher reaches the store.
 func (m *Model) storeReached(now clock.Millis, cmds []Cmd) []Cmd {
 	if m.storeLost || !m.contacted {
 		cmds = append(cmds, StoreStatusCmd{Reachable: true})
@@ -153,7 +155,7 @@
 func (m *Model) callFailed(now clock.Millis, kind store.Kind, cmds []Cmd) []Cmd {
 	wasWatching := m.phase == phaseWatching
 	m.phase = phaseIdle
-	if kind == store.KindConflict { // the history is gone; the store itself answered
+	if kind == store.KindConflict { // the history was compacted; the store itself is reachable
 		m.needRelist, m.needFresh = true, true
 		m.nextCall = now
 		return cmds
@@ -163,12 +165,12 @@
 	m.nextCall = now + m.backoff/2 + clock.Millis(m.rng.Int64N(int64(m.backoff/2)+1))
 	m.needRelist = true
 	if firstFailure && wasWatching {
-		// The store cuts a waiting watch now and then. A whole read shows at once
-		// whether it is still reached, and until then followers need not know.
+		// The store occasionally closes an open watch. An immediate list shows whether
+		// it is still reachable; subscribers are not notified until then.
 		m.nextCall, m.needFresh = now, true
 	}
 	if m.subscription.publisher != "" {
-		return cmds // the feeder reaches the store
+		return cmds // the publisher reaches the store
 	}
 	if !m.storeLost {
 		cmds = append(cmds, StoreStatusCmd{Kind: kind})
@@ -182,7 +184,7 @@
 
 func (m *Model) handleList(now clock.Millis, b store.Batch, cmds []Cmd) []Cmd {
 	m.needRelist, m.needFresh, m.listedAt = false, false, now
-	// A watch is opened at once after a whole read: nothing is known to wait for.
+	// Open a watch immediately after a list: no event is known for which a delay would help.
 	m.nextCall = now
 	present := make(map[string]bool, len(b.Items))
 	var changed []store.Item
@@ -194,7 +196,7 @@
 	}
 	var absent []string
 	for key, known := range m.items {
-		// A stale read may be older than what is known of a key.
+		// A stale list may be older than the known revision of a key.
 		if !present[key] && known <= b.Revision {
 			absent = append(absent, key)
 		}
@@ -208,12 +210,12 @@
 
 func (m *Model) handleWatch(now clock.Millis, b store.Batch, cmds []Cmd) []Cmd {
 	if len(b.Items) == 0 {
-		m.nextCall = now // nothing is known to come soon
+		m.nextCall = now // no burst of events is in progress
 	}
 	return m.applyChanges(now, b.Items, b.Revision, cmds)
 }
 
-// applyChanges takes changes up to a revision and passes them on.
+// applyChanges applies the changes up to a revision and publishes them.
 func (m *Model) applyChanges(now clock.Millis, items []store.Item, revision uint64, cmds []Cmd) []Cmd {
 	for _, it := range items {
 		if !it.Removed {
@@ -227,14 +229,14 @@
 	return m.publish(Update{From: from, To: m.revision, Items: items}, cmds)
 }
 
-// isNewer reports whether an item is newer than what is known of its key.
+// isNewer reports whether an item is newer than the known revision of its key, or its key is unknown or removed.
 func (m *Model) isNewer(it store.Item) bool {
 	known, ok := m.items[it.Key]
 	_, missing := m.pendingRemovals[it.Key]
 	return !ok || missing || it.Revision > known
 }
 
-// putItem reports an item that is newer than what is known of its key.
+// putItem reports an item if it is newer than the known revision of its key, and cancels a pending removal.
 func (m *Model) putItem(it store.Item, cmds []Cmd) []Cmd {
 	delete(m.pendingRemovals, it.Key)
 	if known, ok := m.items[it.Key]; ok && it.Revision <= known {
@@ -244,7 +246,7 @@
 	return append(cmds, PutCmd{Item: it})
 }
 
-// holdRemoval notes a removal; dropMissing reports it once it is believed.
+// holdRemoval records a removal; flushRemovals reports it once the hold has ended.
 func (m *Model) holdRemoval(now clock.Millis, key string) {
 	if _, ok := m.items[key]; !ok {
 		return
@@ -273,7 +275,7 @@
 	return cmds
 }
 
-// startCall starts the next call if none is open and its time has come.
+// startCall starts the next store call if none is outstanding and its time has been reached.
 func (m *Model) startCall(now clock.Millis, cmds []Cmd) []Cmd {
 	if m.phase != phaseIdle || now < m.nextCall {
 		return cmds
--- a/catalog/model_test.go
+++ b/catalog/model_test.go
@@ -10,7 +10,7 @@
 	"lentillink.example/lentillink/store"
 )
 
-// harness drives a model and keeps what it reported.
+// harness drives a model and records its commands.
 type harness struct {
 	t        *testing.T
 	m        *catalog.Model
@@ -45,7 +45,7 @@
 	}
 }
 
-// advance lets time pass to an absolute time, with a tick at each wake.
+// advance advances the time to an absolute time, with a tick at each wake time.
 func (r *harness) advance(to clock.Millis) {
 	for {
 		at, ok := r.m.NextWake()
@@ -78,8 +78,8 @@
 	return store.Item{Key: key, Revision: revision, Removed: true}
 }
 
-// TestWatch guards against events that are lost between two watches, and
-// against a call for each event of a busy moment.
+// TestWatch guards against events lost between two watches, and against a store
+// call for each event of a burst.
 func TestWatch(t *testing.T) {
 	r := newHarness(t)
 	r.want("list")
@@ -96,8 +96,8 @@
 	r.want()
 }
 
-// TestHistoryCompacted guards against a change that no watch reports: a whole read
-// follows at once.
+// TestHistoryCompacted guards against a missed change when the store has compacted the
+// history and no watch reports it: a fresh list must follow immediately.
 func TestHistoryCompacted(t *testing.T) {
 	r := newHarness(t)
 	r.update(catalog.ListedMsg{Batch: batch(10, item("a", 4))})
@@ -109,8 +109,8 @@
 	r.want("put a", "follow 40")
 }
 
-// TestEntriesExpiredDuringOutage guards against upstreams that are dropped because
-// their entries lapsed while the store was away: they are written again.
+// TestEntriesExpiredDuringOutage guards against upstreams dropped because their entries
+// expired during a store outage, although they are rewritten after it.
 func TestEntriesExpiredDuringOutage(t *testing.T) {
 	r := newHarness(t)
 	r.update(catalog.ListedMsg{Batch: batch(10, item("a", 4), item("b", 5), item("c", 6))})
@@ -133,8 +133,8 @@
 	r.want("drop b")
 }
 
-// TestRetries guards against calls without a pause while the store refuses:
-// refused calls have their price too.
+// TestRetries guards against retries without backoff while store calls fail; failed
+// calls have a cost too.
 func TestRetries(t *testing.T) {
 	r := newHarness(t)
 	calls := 0
@@ -158,7 +158,7 @@
 	}
 }
 
-// TestRelist guards against a watch that is silent for good.
+// TestRelist guards against a watch that stops delivering events for good: lists must be repeated.
 func TestRelist(t *testing.T) {
 	r := newHarness(t)
 	r.update(catalog.ListedMsg{Batch: batch(10)})
--- a/catalog/publish.go
+++ b/catalog/publish.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// publisherWatchIntervalMs is the least time between two watches of a VM that feeds others.
-	// These VMs are few, so their calls cost little.
+	// publisherWatchIntervalMs is the minimum interval between two watches of a
+	// publisher. Publishers are few, so their calls cost little.
 	publisherWatchIntervalMs clock.Millis = 400
 
-	// maxRecentUpdates is how many updates are kept for VMs that subscribe a little later
-	// than they read the store.
+	// maxRecentUpdates is the number of updates kept for VMs that subscribe shortly
+	// after their own list.
 	maxRecentUpdates = 32
 )
 
-// Update tells a follower what has changed between two revisions of the store.
+// Update carries the changes between two revisions of the store to a subscriber.
 type Update struct {
 	From, To  uint64
 	Items     []store.Item
-	StoreLost bool // the sender has lost the store
+	StoreLost bool // the publisher has lost contact with the store
 }
 
-// PeerBody marks messages between VMs.
+// PeerBody marks Update as the body of a message between VMs.
 func (Update) PeerBody() {}
 
-// subscribers are the VMs that this one feeds.
+// subscribers holds the VMs that subscribe to this one, and the updates kept for them.
 type subscribers struct {
-	expiresAt map[string]clock.Millis // when a subscription lapses
+	expiresAt map[string]clock.Millis // expiry time of each subscription
 	recent    []Update
 }
 
-// handleSubscribe notes a follower and tells it at once what it has missed. A VM that
-// does not reach the store itself does not answer, so the follower asks another.
+// handleSubscribe records a subscription and immediately sends the changes that the
+// subscriber has missed. A VM that cannot reach the store does not reply, so the
+// subscriber tries another one.
 func (m *Model) handleSubscribe(now clock.Millis, from string, s Subscribe, cmds []Cmd) []Cmd {
 	m.subscribers.expiresAt[from] = now + subscriptionTTLMs
 	if m.storeLost || !m.contacted || m.needRelist {
@@ -51,12 +52,12 @@
 	return append(cmds, PublishCmd{To: []string{from}, Update: u})
 }
 
-// publish passes an update on to all followers.
+// publish sends an update to all subscribers.
 func (m *Model) publish(u Update, cmds []Cmd) []Cmd {
 	if u.StoreLost || len(m.subscribers.recent) > 0 && m.subscribers.recent[len(m.subscribers.recent)-1].To != u.From {
-		m.subscribers.recent = nil // what is kept must have no gap
+		m.subscribers.recent = nil // the kept updates must be contiguous
 	}
-	if !u.StoreLost && u.To > u.From && u.From > 0 { // not the first read, which is large
+	if !u.StoreLost && u.To > u.From && u.From > 0 { // excludes the first list, which is large
 		m.subscribers.recent = append(m.subscribers.recent, u)
 		m.subscribers.recent = m.subscribers.recent[max(0, len(m.subscribers.recent)-maxRecentUpdates):]
 	}
@@ -74,7 +75,7 @@
 	return append(cmds, PublishCmd{To: to, Update: u})
 }
 
-// expireSubscribers forgets followers that have not renewed their subscription.
+// expireSubscribers deletes subscriptions that were not renewed in time.
 func (m *Model) expireSubscribers(now clock.Millis) {
 	for vm, until := range m.subscribers.expiresAt {
 		if now >= until {
@@ -83,7 +84,7 @@
 	}
 }
 
-// isPublisher reports whether some VM is fed from here, or may be soon.
+// isPublisher reports whether other VMs subscribe to this one, or may do so soon.
 func (m *Model) isPublisher() bool {
 	return m.subscription.mayPublish || len(m.subscribers.expiresAt) > 0
 }
--- a/catalog/query.go
+++ b/catalog/query.go
@@ -2,7 +2,7 @@
 
 import "lentillink.example/lentillink/clock"
 
-// NextWake returns when the model wants a TickMsg, if it waits for one.
+// NextWake returns the time of the next due work, at which the Model needs a TickMsg, if any.
 func (m *Model) NextWake() (clock.Millis, bool) {
 	at, ok := clock.Millis(0), false
 	if m.phase == phaseIdle {
--- a/catalog/subscription.go
+++ b/catalog/subscription.go
@@ -10,42 +10,45 @@
 )
 
 const (
-	// subscribersPerPublisher bounds the VMs that one VM tells of changes. One that tells
-	// 64 VMs about once a second sends less than the 3 KB/s that control may take.
+	// subscribersPerPublisher bounds the VMs to which one VM sends changes. With 64
+	// subscribers and about one update a second, it sends less than the 3 KB/s
+	// allowed for control traffic.
 	subscribersPerPublisher = 64
 
-	// sparePublishers is how many further VMs a follower tries if its feeder is lost.
+	// sparePublishers is the number of further VMs that a subscriber tries if it loses its publisher.
 	sparePublishers = 2
 
-	// subscribeTimeoutMs is how long a feeder may take to answer a subscription: a new
-	// connection, and a turn of a busy VM.
+	// subscribeTimeoutMs bounds the time for the first update after a subscription. It
+	// allows for a new connection and the queueing delay of a busy VM.
 	subscribeTimeoutMs clock.Millis = 300
 
-	// renewIntervalMs is how often a subscription is renewed, and lapseMs when one that is
-	// not renewed ends.
+	// renewIntervalMs is the interval at which a subscription is renewed, and
+	// subscriptionTTLMs the time after which one that is not renewed expires.
 	renewIntervalMs   clock.Millis = 10 * clock.Second
 	subscriptionTTLMs clock.Millis = 25 * clock.Second
 
-	// publisherTimeoutMs is how long a feeder may say nothing. It reports every
-	// sharedPaceMs + waitMs at the latest, and what follows from its loss
-	// must fit into the users' 3 s for a change.
+	// publisherTimeoutMs is the time without an update after which a publisher is
+	// considered lost. A publisher sends one every publisherWatchIntervalMs +
+	// watchWaitMs at the latest, and detection and recovery together must fit into
+	// the 3 s that users allow for a change.
 	publisherTimeoutMs clock.Millis = 1800
 
-	// publisherBackoffMs is how long a feeder that was lost is not asked again.
+	// publisherBackoffMs is the time before a lost publisher is tried again.
 	publisherBackoffMs clock.Millis = 10 * clock.Second
 )
 
-// Member is a VM of a group that shares what it reads of the store.
+// Member is a VM of a group whose publishers share their store reads with the others.
 type Member struct {
 	ID       string
-	Capacity int // of the VM, on a scale that the group shares
+	Capacity int // relative capacity of the VM, in a unit common to the group
 }
 
 // Publishers returns the VMs that self may subscribe to, best first, and whether
-// others may subscribe to self. The first is empty for the VMs that follow the
-// store themselves. The strongest do so, because a large configuration leaves them
-// once for each follower. All VMs with the same list agree, and no VM subscribes to
-// one that ranks below it, so subscriptions never form a cycle.
+// others may subscribe to self. The list is empty for the VMs that watch the store
+// themselves. These are the VMs with the highest capacity, because they send a
+// large configuration once to each subscriber. The result is the same on all VMs
+// with the same group, and no VM subscribes to one that ranks below it, so
+// subscriptions never form a cycle.
 func Publishers(self string, group []Member) (publishers []string, mayPublish bool) {
 	ranked := slices.Clone(group)
 	slices.SortFunc(ranked, func(a, b Member) int {
@@ -71,29 +74,29 @@
 	return append(publishers, ids[watchers:min(rank, watchers+sparePublishers)]...), mayPublish
 }
 
-// Subscribe asks a VM for the changes after a revision.
+// Subscribe requests the changes after a revision from a publisher.
 type Subscribe struct{ After uint64 }
 
-// PeerBody marks messages between VMs.
+// PeerBody marks Subscribe as the body of a message between VMs.
 func (Subscribe) PeerBody() {}
 
-// subscription is where this VM's changes come from while another VM feeds it.
+// subscription is the state of this VM's subscription to a publisher.
 type subscription struct {
 	candidates   []string
-	mayPublish   bool // other VMs may subscribe to this one
+	mayPublish   bool // whether other VMs may subscribe to this one
 	backoffUntil map[string]clock.Millis
-	publisher    string       // it has confirmed; "" while the store is followed here
-	pending      string       // it was asked and has not confirmed
-	subscribedAt clock.Millis // last subscription
-	lastUpdateAt clock.Millis // last update
+	publisher    string       // current publisher, which has confirmed; "" while this VM watches the store itself
+	pending      string       // publisher that was sent a subscription and has not confirmed it
+	subscribedAt clock.Millis // time of the last subscription or renewal
+	lastUpdateAt clock.Millis // time of the last update from the publisher
 }
 
-// replacesWatch reports whether a feeder makes a watch of this VM's own needless for now.
+// replacesWatch reports whether the subscription makes a store watch of this VM unnecessary for now.
 func (s *subscription) replacesWatch(now clock.Millis) bool {
 	return s.publisher != "" || s.pending != "" && now < s.subscribedAt+subscribeTimeoutMs
 }
 
-// bestCandidate returns the first candidate that is not avoided.
+// bestCandidate returns the first candidate that is not in backoff, or "".
 func (s *subscription) bestCandidate(now clock.Millis) string {
 	for _, vm := range s.candidates {
 		if now >= s.backoffUntil[vm] {
@@ -103,8 +106,8 @@
 	return ""
 }
 
-// setCandidates takes over the VMs that may feed this one. A feeder that is no
-// longer among them is heard until another one has confirmed, or it falls silent.
+// setCandidates sets the candidate publishers. A current publisher that is no longer
+// a candidate is used until another one has confirmed or its updates time out.
 func (m *Model) setCandidates(now clock.Millis, msg PublishersMsg, cmds []Cmd) []Cmd {
 	sub := &m.subscription
 	sub.candidates, sub.mayPublish = msg.VMs, msg.MayPublish
@@ -117,9 +120,10 @@
 	return cmds
 }
 
-// publisherLost turns to another feeder, or back to the store. What the lost one
-// knew and did not pass on is then found by a whole, fresh read. This VM's own
-// followers stay: they would all turn to the next VM, which is about to do the same.
+// publisherLost switches to another publisher, or back to the store. A fresh list
+// then finds the changes that the lost publisher had not sent. This VM's own
+// subscribers are kept: otherwise they would all switch to the next VM, which is
+// about to lose the same publisher.
 func (m *Model) publisherLost(now clock.Millis, vm string, cmds []Cmd) []Cmd {
 	sub := &m.subscription
 	if vm != sub.publisher && vm != sub.pending {
@@ -131,7 +135,7 @@
 		return cmds
 	}
 	sub.publisher = ""
-	// Another feeder that knows what this VM has missed makes the read needless.
+	// Another publisher that has the changes missed here makes the list unnecessary.
 	m.needRelist, m.needFresh, m.nextCall = true, true, now
 	if sub.bestCandidate(now) != "" {
 		m.nextCall = now + subscribeTimeoutMs
@@ -139,7 +143,7 @@
 	return append(cmds, PublisherCmd{})
 }
 
-// subscribe asks the best candidate, and looks after the subscription.
+// subscribe subscribes to the best candidate, renews the subscription and detects its timeouts.
 func (m *Model) subscribe(now clock.Millis, cmds []Cmd) []Cmd {
 	sub := &m.subscription
 	switch {
@@ -149,7 +153,7 @@
 		cmds = m.publisherLost(now, sub.pending, cmds)
 	}
 	if !m.contacted {
-		return cmds // a subscription starts from a revision
+		return cmds // a subscription needs a revision to start from
 	}
 	best := sub.bestCandidate(now)
 	if best == "" || sub.pending != "" || best == sub.publisher && now < sub.subscribedAt+renewIntervalMs {
@@ -162,7 +166,7 @@
 	return append(cmds, SubscribeCmd{To: best, Subscribe: Subscribe{After: m.revision}})
 }
 
-// handleUpdate takes what a feeder says.
+// handleUpdate handles an update from a publisher.
 func (m *Model) handleUpdate(now clock.Millis, from string, u Update, cmds []Cmd) []Cmd {
 	sub := &m.subscription
 	if from != sub.publisher && from != sub.pending {
@@ -178,8 +182,8 @@
 	sub.lastUpdateAt = now
 	cmds = m.storeReached(now, cmds)
 	if u.From > m.revision {
-		// Changes before those of the update are missing here. The update is not
-		// applied, so that all later ones show the gap too, until a read has closed it.
+		// Changes that precede the update are missing here. The update is not applied,
+		// so that all later updates show the gap too, until a list has closed it.
 		if !m.needRelist {
 			m.needRelist, m.needFresh, m.nextCall = true, true, min(m.nextCall, now)
 		}
@@ -189,7 +193,7 @@
 	return m.applyChanges(now, u.Items, u.To, cmds)
 }
 
-// subscriptionWake returns when the feed needs a tick.
+// subscriptionWake returns the time at which the subscription needs a tick, if any.
 func (m *Model) subscriptionWake() (clock.Millis, bool) {
 	sub := &m.subscription
 	switch {
--- a/catalog/subscription_test.go
+++ b/catalog/subscription_test.go
@@ -10,30 +10,30 @@
 	"lentillink.example/lentillink/store"
 )
 
-// changeBoundMs is the users' bound for a change of the configuration and for a drain.
+// changeBoundMs is the time that users allow for a configuration change or a drain to take effect.
 const changeBoundMs = 3 * clock.Second
 
-// cluster is a group of VMs that share what they read of one store, in virtual time.
+// cluster simulates a group of VMs with publishers and subscribers and one store, in virtual time.
 type cluster struct {
 	now    clock.Millis
 	vms    []*testVM
-	events []store.Item // the store's history
-	calls  int          // of all VMs, since the last reset
+	events []store.Item // event history of the store
+	calls  int          // store calls of all VMs since the last reset
 	queue  []delivery
 }
 
-// testVM is one VM of a group.
+// testVM is one VM of a cluster.
 type testVM struct {
 	id         string
 	m          *catalog.Model
 	dead       bool
-	storeFails bool // the store refuses its calls
-	storeHangs bool // the store does not answer its calls
-	muted      bool // what it sends to other VMs is lost
+	storeFails bool // its store calls fail at once
+	storeHangs bool // its store calls get no reply
+	muted      bool // its messages to other VMs are lost
 	known      map[string]uint64
 	watch      *catalog.WatchCmd
 	watchAt    clock.Millis
-	compacted  bool // the history that the watch needs is gone, which the store says at its end
+	compacted  bool // the history that the watch needs was compacted, which the store reports when the watch ends
 }
 
 type delivery struct {
@@ -57,7 +57,7 @@
 	return g
 }
 
-// assignPublishers tells every VM which others are alive.
+// assignPublishers recomputes the publishers of every VM from the VMs that are alive.
 func (g *cluster) assignPublishers() {
 	var alive []catalog.Member
 	for _, v := range g.vms {
@@ -71,7 +71,7 @@
 	}
 }
 
-// root returns the VM that follows the store for the others.
+// root returns the publisher that watches the store for the others.
 func (g *cluster) root() *testVM {
 	members := make([]catalog.Member, len(g.vms))
 	for i, v := range g.vms {
@@ -99,7 +99,7 @@
 	return store.Batch{Items: slices.Clone(g.events[after:]), Revision: g.revision()}
 }
 
-// state returns the items that the store holds.
+// state returns all items in the store.
 func (g *cluster) state() store.Batch {
 	last := make(map[string]store.Item)
 	for _, it := range g.events {
@@ -128,9 +128,9 @@
 }
 
 const (
-	storeMs = 4    // the store's answer
-	peerMs  = 1    // one way between VMs
-	callMs  = 1000 // timeout of a call
+	storeMs = 4    // latency of a store call
+	peerMs  = 1    // one-way latency between VMs
+	callMs  = 1000 // timeout of a store call
 )
 
 func (g *cluster) execute(v *testVM, c catalog.Cmd) {
@@ -180,7 +180,7 @@
 	}
 }
 
-// advance lets time pass, millisecond by millisecond.
+// advance advances the virtual time in steps of one millisecond.
 func (g *cluster) advance(ms clock.Millis) {
 	for end := g.now + ms; g.now < end; {
 		g.now++
@@ -213,14 +213,14 @@
 	}
 }
 
-// compact discards the history while watches wait.
+// compact discards the history needed by the open watches.
 func (g *cluster) compact() {
 	for _, v := range g.vms {
 		v.compacted = true
 	}
 }
 
-// kill ends a VM, which breaks its connections.
+// kill stops a VM, which closes its connections.
 func (g *cluster) kill(v *testVM) {
 	v.dead = true
 	for _, o := range g.vms {
@@ -228,8 +228,8 @@
 	}
 }
 
-// TestPublisherFaults guards against VMs that miss a change or learn of it too late,
-// because the VM that follows the store for them has failed.
+// TestPublisherFaults guards against VMs that miss a change or receive it too
+// late because their publisher or its store watch has failed.
 func TestPublisherFaults(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -280,7 +280,7 @@
 				want := g.revision() - 1
 				g.advance(changeBoundMs)
 				for _, v := range g.vms {
-					reached := !v.dead && !v.storeFails && !v.storeHangs // a VM that is cut off owes nothing
+					reached := !v.dead && !v.storeFails && !v.storeHangs // a VM without contact to the store is exempt
 					if got := v.known["config"]; reached && got != want {
 						t.Errorf("%s: got revision %d of the configuration, want %d", v.id, got, want)
 					}
@@ -297,7 +297,7 @@
 	}
 }
 
-// restart starts a VM again, which then knows nothing of before.
+// restart kills a VM and starts it again with empty state.
 func (g *cluster) restart(v *testVM) {
 	g.kill(v)
 	g.advance(10)
@@ -306,9 +306,9 @@
 	g.assignPublishers()
 }
 
-// TestPublisherWithoutHistory guards against a VM that takes the reports of a feeder
-// for proof that it has missed nothing, though the feeder has started since and
-// the VM could not read the store itself.
+// TestPublisherWithoutHistory guards against a VM that misses a change because its
+// publisher has restarted without the history, and the VM could not read the store
+// itself. The updates of that publisher do not prove that nothing was missed.
 func TestPublisherWithoutHistory(t *testing.T) {
 	g := newCluster(20)
 	root := g.root()
@@ -324,7 +324,7 @@
 	g.change("config")
 	want := g.revision()
 	g.restart(root)
-	g.advance(15_000) // longer than a lost feeder is avoided
+	g.advance(15_000) // longer than publisherBackoffMs
 	cut.muted = false
 	g.advance(15_000)
 	cut.storeFails = false
@@ -334,7 +334,7 @@
 	}
 }
 
-// TestStoreCallsDoNotGrowWithVMs guards against calls that grow with the number of VMs.
+// TestStoreCallsDoNotGrowWithVMs guards against store calls that grow with the number of VMs.
 func TestStoreCallsDoNotGrowWithVMs(t *testing.T) {
 	const changes = 20
 	calls := func(n int) int {
@@ -347,14 +347,14 @@
 		return g.calls
 	}
 	few, many := calls(6), calls(60)
-	// The VM that follows the store makes at most a call for each change and one a
-	// second; the rest is for the two that may follow it.
+	// The publisher makes at most one call for each change and one a second; the rest
+	// is for the two spare publishers.
 	if most := 3 * changes; many > most || few > most {
 		t.Errorf("got %d calls with 6 VMs and %d with 60, want at most %d", few, many, most)
 	}
 }
 
-// TestStoreCallsAfterPublisherLoss guards against a whole read by every VM when one is lost.
+// TestStoreCallsAfterPublisherLoss guards against a list by every VM when the publisher is lost.
 func TestStoreCallsAfterPublisherLoss(t *testing.T) {
 	g := newCluster(60)
 	root := g.root()
@@ -366,8 +366,9 @@
 	}
 }
 
-// TestPublishersAgree guards against subscriptions that form a cycle, and against
-// a VM without anybody to ask that does not follow the store.
+// TestPublishersAgree guards against subscriptions that form a cycle, against a
+// subscription to a VM that does not publish, and against a VM with neither a
+// publisher nor a watch of the store.
 func TestPublishersAgree(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 9, 64, 65, 178, 600} {
 		var group []catalog.Member
@@ -375,7 +376,7 @@
 			group = append(group, catalog.Member{ID: fmt.Sprint("vm", i), Capacity: i % 7 / 6})
 		}
 		roots := 0
-		rank := make(map[string]int) // 0 for VMs that follow the store
+		rank := make(map[string]int) // 0 for VMs that watch the store
 		for _, member := range group {
 			id := member.ID
 			publishers, _ := catalog.Publishers(id, group)
@@ -409,8 +410,8 @@
 	}
 }
 
-// TestStaleList guards against an old whole read that removes what is newer,
-// and a late removal of what was written again.
+// TestStaleList guards against a stale list that removes newer keys, and against a late
+// removal event that removes a key written again since.
 func TestStaleList(t *testing.T) {
 	r := newHarness(t)
 	r.update(catalog.ListedMsg{Batch: batch(10, item("a", 4))})
