--- a/catalog/model_test.go
+++ b/catalog/model_test.go
@@ -34,13 +34,13 @@
 				r.commands = append(r.commands, "fresh list")
 			}
 		case catalog.WatchCmd:
-			r.commands = append(r.commands, fmt.Sprintf("follow %d", c.After))
+			r.commands = append(r.commands, fmt.Sprintf("watch %d", c.After))
 		case catalog.PutCmd:
 			r.commands = append(r.commands, "put "+c.Item.Key)
 		case catalog.DeleteCmd:
-			r.commands = append(r.commands, "drop "+c.Key)
+			r.commands = append(r.commands, "delete "+c.Key)
 		case catalog.StoreStatusCmd:
-			r.commands = append(r.commands, fmt.Sprintf("reached %v", c.Reachable))
+			r.commands = append(r.commands, fmt.Sprintf("reachable %v", c.Reachable))
 		}
 	}
 }
@@ -55,7 +55,7 @@
 		r.now = max(r.now, at)
 		r.update(catalog.TickMsg{})
 		if again, ok := r.m.NextWake(); ok && again <= r.now {
-			r.t.Fatalf("wakes again at %d, at or before %d: got a busy loop", again, r.now)
+			r.t.Fatalf("next wake time %d is not after the tick at %d: busy loop", again, r.now)
 		}
 	}
 	r.now = to
@@ -84,14 +84,14 @@
 	r := newHarness(t)
 	r.want("list")
 	r.update(catalog.ListedMsg{Batch: batch(10, item("a", 4), item("b", 9))})
-	r.want("reached true", "put a", "put b", "follow 10")
+	r.want("reachable true", "put a", "put b", "watch 10")
 	r.now += 3000
 	r.update(catalog.WatchedMsg{Batch: batch(12, item("a", 12), removed("b", 11))})
-	r.want("put a", "drop b")
+	r.want("put a", "delete b")
 	r.advance(r.now + 700)
 	r.want()
 	r.advance(r.now + 100)
-	r.want("follow 12")
+	r.want("watch 12")
 	r.update(catalog.WatchedMsg{Batch: batch(12, item("a", 12))})
 	r.want()
 }
@@ -106,7 +106,7 @@
 	r.update(catalog.FailedMsg{Kind: store.KindConflict})
 	r.want("fresh list")
 	r.update(catalog.ListedMsg{Batch: batch(40, item("a", 33))})
-	r.want("put a", "follow 40")
+	r.want("put a", "watch 40")
 }
 
 // TestEntriesExpiredDuringOutage guards against upstreams dropped because their entries
@@ -117,20 +117,20 @@
 	r.now = 10_000
 	r.commands = nil
 	r.update(catalog.FailedMsg{Kind: store.KindUnavailable})
-	r.want("reached false", "fresh list")
+	r.want("reachable false", "fresh list")
 	r.update(catalog.FailedMsg{Kind: store.KindUnavailable})
 	r.advance(11_000)
 	r.update(catalog.FailedMsg{Kind: store.KindUnavailable})
 	r.advance(14_000)
 	r.commands = nil
 	r.update(catalog.ListedMsg{Batch: batch(50, item("c", 6))})
-	r.want("reached true", "follow 50")
+	r.want("reachable true", "watch 50")
 	r.advance(15_000)
 	r.update(catalog.WatchedMsg{Batch: batch(52, item("a", 52))})
 	r.advance(16_400)
-	r.want("put a", "follow 52")
+	r.want("put a", "watch 52")
 	r.advance(16_600)
-	r.want("drop b")
+	r.want("delete b")
 }
 
 // TestRetries guards against retries without backoff while store calls fail; failed
@@ -176,6 +176,6 @@
 		}
 	}
 	if lists < 2 {
-		t.Errorf("got %d whole reads in 300 s, want 2 or more", lists)
+		t.Errorf("got %d lists in 300 s, want 2 or more", lists)
 	}
 }
--- a/catalog/subscription_test.go
+++ b/catalog/subscription_test.go
@@ -236,8 +236,8 @@
 		fault func(g *cluster, root *testVM)
 	}{
 		{"none", func(*cluster, *testVM) {}},
-		{"feeder killed", func(g *cluster, root *testVM) { g.kill(root) }},
-		{"feeder and next one killed", func(g *cluster, root *testVM) {
+		{"publisher killed", func(g *cluster, root *testVM) { g.kill(root) }},
+		{"publisher and next one killed", func(g *cluster, root *testVM) {
 			g.kill(root)
 			for _, v := range g.vms {
 				if !v.dead {
@@ -246,22 +246,22 @@
 				}
 			}
 		}},
-		{"feeder leaves the list", func(g *cluster, root *testVM) {
+		{"publisher removed from the VM list", func(g *cluster, root *testVM) {
 			root.dead = true
 			g.assignPublishers()
 		}},
-		{"feeder frozen or cut from its peers", func(_ *cluster, root *testVM) { root.muted = true }},
-		{"feeder refused by the store", func(_ *cluster, root *testVM) { root.storeFails, root.watch = true, nil; root.storeHangs = true }},
-		{"feeder not answered by the store", func(_ *cluster, root *testVM) { root.storeHangs = true }},
-		{"history discarded", func(g *cluster, _ *testVM) { g.compact() }},
-		{"history discarded, every VM for itself", func(g *cluster, _ *testVM) {
+		{"publisher unresponsive or disconnected from its peers", func(_ *cluster, root *testVM) { root.muted = true }},
+		{"publisher gets no reply to its open watch", func(_ *cluster, root *testVM) { root.storeFails, root.watch = true, nil; root.storeHangs = true }},
+		{"store calls of the publisher time out", func(_ *cluster, root *testVM) { root.storeHangs = true }},
+		{"history compacted", func(g *cluster, _ *testVM) { g.compact() }},
+		{"history compacted, no connection between VMs", func(g *cluster, _ *testVM) {
 			for _, v := range g.vms {
 				v.muted = true
 			}
 			g.advance(6000)
 			g.compact()
 		}},
-		{"a third refused by the store", func(g *cluster, root *testVM) {
+		{"store calls of the publisher time out and those of a third of the VMs fail", func(g *cluster, root *testVM) {
 			root.storeHangs = true
 			for i, v := range g.vms {
 				v.storeFails = i%3 == 0
@@ -270,7 +270,7 @@
 	}
 	for _, tt := range tests {
 		for _, delay := range []clock.Millis{0, 300, 900, 1500, 4000} {
-			t.Run(fmt.Sprintf("%s, %d ms before", tt.name, delay), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d ms before the change", tt.name, delay), func(t *testing.T) {
 				g := newCluster(20)
 				root := g.root()
 				tt.fault(g, root)
@@ -289,7 +289,7 @@
 				g.advance(2 * changeBoundMs)
 				for _, v := range g.vms {
 					if _, ok := v.known["upstream"]; ok && !v.dead && !v.storeFails && !v.storeHangs {
-						t.Errorf("%s: got an upstream that was removed 6 s ago", v.id)
+						t.Errorf("%s: still has an upstream that was removed 6 s ago", v.id)
 					}
 				}
 			})
@@ -362,7 +362,7 @@
 	g.kill(root)
 	g.advance(500)
 	if got, most := g.calls, 6; got > most {
-		t.Errorf("got %d calls in the 500 ms after the loss of the feeder, want at most %d", got, most)
+		t.Errorf("got %d calls in the 500 ms after the loss of the publisher, want at most %d", got, most)
 	}
 }
 
@@ -383,12 +383,12 @@
 			if len(publishers) == 0 {
 				roots++
 				if n >= 7 && member.Capacity == 0 && roots <= n/7 {
-					t.Errorf("%d VMs: %s follows the store, though stronger VMs do not", n, id)
+					t.Errorf("%d VMs: %s watches the store, although VMs of higher capacity do not", n, id)
 				}
 			}
 			rank[id] = len(publishers)
 			if slices.Contains(publishers, id) {
-				t.Errorf("%d VMs: %s feeds itself", n, id)
+				t.Errorf("%d VMs: %s may subscribe to itself", n, id)
 			}
 		}
 		for _, member := range group {
@@ -397,15 +397,15 @@
 			for _, f := range publishers {
 				back, mayPublish := catalog.Publishers(f, group)
 				if slices.Contains(back, id) {
-					t.Errorf("%d VMs: %s and %s feed each other", n, id, f)
+					t.Errorf("%d VMs: %s and %s may subscribe to each other", n, id, f)
 				}
 				if !mayPublish {
-					t.Errorf("%d VMs: %s is to feed %s and does not know", n, f, id)
+					t.Errorf("%d VMs: %s does not expect the subscription of %s", n, f, id)
 				}
 			}
 		}
 		if want := (n + 63) / 64; roots != want {
-			t.Errorf("%d VMs: got %d that follow the store, want %d", n, roots, want)
+			t.Errorf("%d VMs: got %d that watch the store, want %d", n, roots, want)
 		}
 	}
 }
@@ -421,7 +421,7 @@
 	r.update(catalog.TickMsg{})
 	r.want("list")
 	r.update(catalog.ListedMsg{Batch: batch(15, item("a", 4))})
-	r.want("follow 20")
+	r.want("watch 20")
 	r.update(catalog.WatchedMsg{Batch: batch(21, removed("b", 19))})
 	r.advance(r.now + 700)
 	r.want()
