--- a/vm/call.go
+++ b/vm/call.go
@@ -21,32 +21,32 @@
 
 const notReadyRetryMs clock.Millis = 1000
 
-func (c *Core) arriveQuery(now clock.Millis, m QueryMsg) {
-	cl := &call{query: m, rank: m.Rank, service: m.Service, arrived: now}
-	if reason := c.unready(m.Service); reason != "" {
+func (c *Core) startQuery(now clock.Millis, m QueryMsg) {
+	cl := &call{query: m, rank: m.Rank, service: m.Service, arrivedAt: now}
+	if reason := c.notReadyReason(m.Service); reason != "" {
 		c.event(now, timeline.Event{Kind: timeline.Refused, Request: m.ID, Rank: m.Rank.String(), Detail: reason})
 		c.answerQuery(now, m.CallID, cl, QueryAnswer{Outcome: Refused, Execution: attempt.NotExecuted, Reason: reason, RetryAfterMs: notReadyRetryMs})
 		return
 	}
-	c.admit(now, m.CallID, cl, m.BudgetMs, c.services[m.Service].groups)
+	c.requestAdmission(now, m.CallID, cl, m.BudgetMs, c.services[m.Service].groups)
 }
 
-func (c *Core) arriveOrder(now clock.Millis, m OrderMsg) {
-	cl := &call{order: m, isOrder: true, rank: m.Rank, service: m.Service, arrived: now}
-	if reason := c.unready(m.Service); reason != "" {
+func (c *Core) startOrder(now clock.Millis, m OrderMsg) {
+	cl := &call{order: m, isOrder: true, rank: m.Rank, service: m.Service, arrivedAt: now}
+	if reason := c.notReadyReason(m.Service); reason != "" {
 		c.event(now, timeline.Event{Kind: timeline.Refused, Request: m.ID, Rank: m.Rank.String(), Detail: reason})
 		c.answerOrder(now, m.CallID, cl, OrderAnswer{Outcome: order.OutcomeRefused, Execution: attempt.NotExecuted, Reason: reason, RetryAfterMs: notReadyRetryMs})
 		return
 	}
-	if _, open := c.openID[m.ID]; open {
+	if _, open := c.openOrderCalls[m.ID]; open {
 		c.answerOrder(now, m.CallID, cl, OrderAnswer{Outcome: order.OutcomeAlreadySubmitted, Reason: ReasonOrderInProgress})
 		return
 	}
-	c.openID[m.ID] = m.CallID
-	c.admit(now, m.CallID, cl, 0, 1)
+	c.openOrderCalls[m.ID] = m.CallID
+	c.requestAdmission(now, m.CallID, cl, 0, 1)
 }
 
-func (c *Core) unready(service string) string {
+func (c *Core) notReadyReason(service string) string {
 	switch {
 	case c.services[service] == nil:
 		return ReasonUnknownService
@@ -56,46 +56,46 @@
 	return ""
 }
 
-// admit asks the gate for the one decision about this request.
-func (c *Core) admit(now clock.Millis, n uint64, cl *call, budget clock.Millis, cost int) {
-	most := c.preset.Policy(cl.rank).DeadlineMs
-	cl.budget = most
+// requestAdmission asks the gate for the one decision about this request.
+func (c *Core) requestAdmission(now clock.Millis, callID uint64, cl *call, budget clock.Millis, cost int) {
+	maxDeadline := c.preset.Policy(cl.rank).DeadlineMs
+	cl.budget = maxDeadline
 	if budget > 0 {
-		cl.budget = min(budget, most)
+		cl.budget = min(budget, maxDeadline)
 	}
-	cl.preset, cl.rev = c.preset.Name, c.revision
-	c.calls[n] = cl
-	c.push(admission.ArrivalMsg{ID: key(n), Rank: cl.rank, Service: cl.service, Cost: cost, Deadline: now + cl.budget})
+	cl.preset, cl.revision = c.preset.Name, c.revision
+	c.calls[callID] = cl
+	c.enqueue(admission.ArrivalMsg{ID: callKey(callID), Rank: cl.rank, Service: cl.service, Cost: cost, Deadline: now + cl.budget})
 }
 
-func (c *Core) fromGate(now clock.Millis, cmds []admission.Cmd) {
+func (c *Core) handleAdmissionCmds(now clock.Millis, cmds []admission.Cmd) {
 	for _, cmd := range cmds {
 		switch m := cmd.(type) {
 		case admission.AdmitCmd:
-			c.admitted(now, m)
+			c.startAdmitted(now, m)
 		case admission.RefuseCmd:
-			c.refused(now, m)
+			c.answerRefused(now, m)
 		case admission.EventCmd:
 			c.event(now, m.Event)
 		}
 	}
-	c.noticeOverload()
+	c.updateOverload()
 }
 
-// noticeOverload switches hedging off for services whose work has to queue.
-func (c *Core) noticeOverload() {
-	for _, s := range c.ordered {
-		if on := c.gate.QueuedTotal(s.name) > 0; on != s.overloaded {
+// updateOverload switches hedging off for services whose work has to queue.
+func (c *Core) updateOverload() {
+	for _, s := range c.serviceList {
+		if on := c.admission.QueuedTotal(s.name) > 0; on != s.overloaded {
 			s.overloaded = on
-			c.push(query.OverloadMsg{Service: s.name, Overloaded: on})
+			c.enqueue(query.OverloadMsg{Service: s.name, Overloaded: on})
 		}
 	}
 }
 
-// admitted starts a request. Only work that had to wait makes an event: the
+// startAdmitted starts a request. Only work that had to wait makes an event: the
 // rest would fill the ring.
-func (c *Core) admitted(now clock.Millis, m admission.AdmitCmd) {
-	n, cl := c.lookup(m.ID)
+func (c *Core) startAdmitted(now clock.Millis, m admission.AdmitCmd) {
+	callID, cl := c.callByKey(m.ID)
 	if cl == nil {
 		return
 	}
@@ -106,10 +106,10 @@
 		})
 	}
 	// Work that waited runs under the preset that is in force now.
-	cl.preset, cl.rev = c.preset.Name, c.revision
+	cl.preset, cl.revision = c.preset.Name, c.revision
 	if cl.isOrder {
-		c.push(order.SubmitMsg{
-			CallID: n, ID: cl.order.ID, Rank: cl.rank, Service: cl.service, Group: cl.order.Group,
+		c.enqueue(order.SubmitMsg{
+			CallID: callID, ID: cl.order.ID, Rank: cl.rank, Service: cl.service, Group: cl.order.Group,
 			Body: cl.order.Body, Deadline: m.Deadline, Outage: c.preset.OrdersOnStoreOutage,
 		})
 		return
@@ -119,28 +119,28 @@
 	if coverage < 0 {
 		coverage = policy.MinCoveragePercent
 	}
-	c.push(query.StartMsg{
+	c.enqueue(query.StartMsg{
 		ID: m.ID, Rank: cl.rank, Service: cl.service, Body: cl.query.Body, Deadline: m.Deadline,
 		MinCoverage: coverage, Priority: c.rng.Uint32(), Policy: policy, Preset: c.preset.Name, Revision: c.revision,
 	})
 }
 
-func (c *Core) refused(now clock.Millis, m admission.RefuseCmd) {
-	n, cl := c.lookup(m.ID)
+func (c *Core) answerRefused(now clock.Millis, m admission.RefuseCmd) {
+	callID, cl := c.callByKey(m.ID)
 	switch {
 	case cl == nil:
 	case cl.isOrder:
-		c.answerOrder(now, n, cl, OrderAnswer{
+		c.answerOrder(now, callID, cl, OrderAnswer{
 			Outcome: order.OutcomeRefused, Execution: attempt.NotExecuted, Reason: m.Reason.String(), RetryAfterMs: m.RetryAfterMs,
 		})
 	default:
-		c.answerQuery(now, n, cl, QueryAnswer{
+		c.answerQuery(now, callID, cl, QueryAnswer{
 			Outcome: Refused, Execution: attempt.NotExecuted, Reason: m.Reason.String(), RetryAfterMs: m.RetryAfterMs,
 		})
 	}
 }
 
-func (c *Core) lookup(id string) (uint64, *call) {
+func (c *Core) callByKey(id string) (uint64, *call) {
 	n, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return 0, nil
@@ -148,47 +148,47 @@
 	return n, c.calls[n]
 }
 
-// callerGone stops a query that nobody waits for. An order goes on, because
+// callerDisconnected stops a query that nobody waits for. An order goes on, because
 // its claim must reach a known end.
-func (c *Core) callerGone(n uint64) {
-	cl := c.calls[n]
-	if cl == nil || cl.isOrder || cl.gone {
+func (c *Core) callerDisconnected(callID uint64) {
+	cl := c.calls[callID]
+	if cl == nil || cl.isOrder || cl.disconnected {
 		return
 	}
-	cl.gone = true
+	cl.disconnected = true
 	if !cl.running {
-		c.push(admission.CancelMsg{ID: key(n)})
-		delete(c.calls, n)
+		c.enqueue(admission.CancelMsg{ID: callKey(callID)})
+		delete(c.calls, callID)
 		return
 	}
-	c.push(query.CallerDisconnectedMsg{ID: key(n)})
-	c.push(admission.DoneMsg{ID: key(n)})
-	delete(c.calls, n)
+	c.enqueue(query.CallerDisconnectedMsg{ID: callKey(callID)})
+	c.enqueue(admission.DoneMsg{ID: callKey(callID)})
+	delete(c.calls, callID)
 }
 
 func (c *Core) queryAnswered(now clock.Millis, a query.Answer) {
-	n, cl := c.lookup(a.ID)
+	callID, cl := c.callByKey(a.ID)
 	if cl == nil {
 		return
 	}
-	c.push(admission.DoneMsg{ID: a.ID, QueueMs: a.MeanQueueMs, ServiceMs: a.MeanServiceMs, ElapsedMs: a.TookMs, Overloaded: a.Overloaded})
-	c.answerQuery(now, n, cl, QueryAnswer{
+	c.enqueue(admission.DoneMsg{ID: a.ID, QueueMs: a.MeanQueueMs, ServiceMs: a.MeanServiceMs, ElapsedMs: a.TookMs, Overloaded: a.Overloaded})
+	c.answerQuery(now, callID, cl, QueryAnswer{
 		Outcome: Outcome(a.Outcome), Execution: a.Execution, Snapshot: a.Snapshot, Expected: a.Expected, Covered: a.Covered,
 		Missing: a.Missing, Rows: a.Rows, Reason: a.Reason, Attempts: a.Attempts, AttemptsNeeded: a.Needed,
 	})
 }
 
-func (c *Core) answerQuery(now clock.Millis, n uint64, cl *call, a QueryAnswer) {
-	a.ID, a.Rank, a.Service, a.TookMs = cl.query.ID, cl.rank, cl.service, now-cl.arrived
-	a.Preset, a.Revision = cl.preset, cl.rev
-	delete(c.calls, n)
+func (c *Core) answerQuery(now clock.Millis, callID uint64, cl *call, a QueryAnswer) {
+	a.ID, a.Rank, a.Service, a.TookMs = cl.query.ID, cl.rank, cl.service, now-cl.arrivedAt
+	a.Preset, a.Revision = cl.preset, cl.revision
+	delete(c.calls, callID)
 	if a.Outcome == Partial || a.Outcome == Failed {
 		c.event(now, timeline.Event{
 			Kind: timeline.Answered, Request: a.ID, Rank: a.Rank.String(), Revision: a.Revision,
 			Detail: string(a.Outcome) + " " + a.Reason,
 		})
 	}
-	c.emit(AnswerQueryCmd{CallID: n, Answer: a})
+	c.emit(AnswerQueryCmd{CallID: callID, Answer: a})
 }
 
 func (c *Core) orderAnswered(now clock.Millis, a order.Answer) {
@@ -196,22 +196,22 @@
 	if cl == nil {
 		return
 	}
-	c.push(admission.DoneMsg{ID: key(a.CallID), ElapsedMs: now - cl.arrived})
+	c.enqueue(admission.DoneMsg{ID: callKey(a.CallID), ElapsedMs: now - cl.arrivedAt})
 	c.answerOrder(now, a.CallID, cl, OrderAnswer{
 		Outcome: a.Outcome, Execution: a.Execution, Reason: string(a.Reason), RetryAfterMs: a.RetryAfter, Body: a.Body,
 	})
 }
 
-func (c *Core) answerOrder(now clock.Millis, n uint64, cl *call, a OrderAnswer) {
-	a.ID, a.Rank, a.Service, a.TookMs = cl.order.ID, cl.rank, cl.service, now-cl.arrived
-	a.Preset, a.Revision = cl.preset, cl.rev
-	delete(c.calls, n)
-	if c.openID[a.ID] == n {
-		delete(c.openID, a.ID)
+func (c *Core) answerOrder(now clock.Millis, callID uint64, cl *call, a OrderAnswer) {
+	a.ID, a.Rank, a.Service, a.TookMs = cl.order.ID, cl.rank, cl.service, now-cl.arrivedAt
+	a.Preset, a.Revision = cl.preset, cl.revision
+	delete(c.calls, callID)
+	if c.openOrderCalls[a.ID] == callID {
+		delete(c.openOrderCalls, a.ID)
 	}
 	c.event(now, timeline.Event{
 		Kind: timeline.Answered, Request: a.ID, Rank: a.Rank.String(), Revision: a.Revision,
 		Detail: "order " + string(a.Outcome) + " " + a.Reason,
 	})
-	c.emit(AnswerOrderCmd{CallID: n, Answer: a})
+	c.emit(AnswerOrderCmd{CallID: callID, Answer: a})
 }
--- a/vm/carrier.go
+++ b/vm/carrier.go
@@ -19,8 +19,8 @@
 // one of two carriers may open. The rest is headroom while views differ.
 const connectionSharePercent = 45
 
-// scored is a VM with its rendezvous score for one upstream.
-type scored struct {
+// candidate is a VM with its rendezvous score for one upstream.
+type candidate struct {
 	vm    string
 	score uint64
 }
@@ -29,17 +29,17 @@
 // only the upstreams that a membership change touches, because hashing every
 // upstream against every VM takes a second at the size in two years.
 type CarrierTable struct {
-	upstreams []string
-	index     map[string]int
-	members   []string   // sorted
-	carriers  [][]scored // the best VMs of each upstream, best first; the first two are its carriers
+	upstreams  []string
+	index      map[string]int
+	members    []string      // sorted
+	candidates [][]candidate // the best VMs of each upstream, best first; the first two are its carriers
 }
 
 // NewCarrierTable returns a table without members.
 func NewCarrierTable(upstreams []string) *CarrierTable {
 	t := &CarrierTable{
 		upstreams: slices.Clone(upstreams), index: make(map[string]int, len(upstreams)),
-		carriers: make([][]scored, len(upstreams)),
+		candidates: make([][]candidate, len(upstreams)),
 	}
 	for i, u := range t.upstreams {
 		t.index[u] = i
@@ -55,23 +55,23 @@
 	changed := make(map[int]bool)
 	old := t.members
 	t.members = next
-	gone := make(map[string]bool)
+	removed := make(map[string]bool)
 	var kept []string
 	for _, m := range old {
 		if _, stays := slices.BinarySearch(next, m); stays {
 			kept = append(kept, m)
 			continue
 		}
-		gone[m] = true
+		removed[m] = true
 	}
-	if len(gone) > 0 {
-		t.remove(gone, kept, changed)
+	if len(removed) > 0 {
+		t.removeMembers(removed, kept, changed)
 	}
-	others := len(kept)
+	memberCount := len(kept)
 	for _, m := range next {
 		if _, known := slices.BinarySearch(old, m); !known {
-			t.add(m, others, changed)
-			others++
+			t.addMember(m, memberCount, changed)
+			memberCount++
 		}
 	}
 	out := make([]string, 0, len(changed))
@@ -82,11 +82,11 @@
 	return out
 }
 
-// add inserts a member. others is the number of members before it.
-func (t *CarrierTable) add(member string, others int, changed map[int]bool) {
+// addMember inserts a member. others is the number of members before it.
+func (t *CarrierTable) addMember(member string, memberCount int, changed map[int]bool) {
 	for i, u := range t.upstreams {
-		whole := len(t.carriers[i]) == others
-		if t.insert(i, scored{vm: member, score: score(u, member)}, whole) {
+		complete := len(t.candidates[i]) == memberCount
+		if t.insert(i, candidate{vm: member, score: score(u, member)}, complete) {
 			changed[i] = true
 		}
 	}
@@ -96,45 +96,45 @@
 // A VM below the last candidate goes in only if whole says that the list holds
 // every other VM; else one that is not listed may rank between. It reports
 // whether a carrier changed.
-func (t *CarrierTable) insert(i int, s scored, whole bool) bool {
-	list := t.carriers[i]
-	at, found := slices.BinarySearchFunc(list, s, compareScored)
-	if found || at >= candidatesPerUpstream || at == len(list) && !whole {
+func (t *CarrierTable) insert(i int, s candidate, complete bool) bool {
+	list := t.candidates[i]
+	pos, found := slices.BinarySearchFunc(list, s, compareCandidates)
+	if found || pos >= candidatesPerUpstream || pos == len(list) && !complete {
 		return false
 	}
-	list = slices.Insert(list, at, s)
-	t.carriers[i] = list[:min(len(list), candidatesPerUpstream)]
-	return at < carriersPerUpstream
+	list = slices.Insert(list, pos, s)
+	t.candidates[i] = list[:min(len(list), candidatesPerUpstream)]
+	return pos < carriersPerUpstream
 }
 
-// remove drops the members that are gone and scans the remaining ones only for
+// removeMembers drops the members that are gone and scans the remaining ones only for
 // upstreams that are left with too few candidates.
-func (t *CarrierTable) remove(gone map[string]bool, remaining []string, changed map[int]bool) {
-	for i, list := range t.carriers {
+func (t *CarrierTable) removeMembers(removed map[string]bool, remaining []string, changed map[int]bool) {
+	for i, list := range t.candidates {
 		before := len(list)
-		for at, s := range list {
-			if gone[s.vm] && at < carriersPerUpstream {
+		for pos, s := range list {
+			if removed[s.vm] && pos < carriersPerUpstream {
 				changed[i] = true
 			}
 		}
-		list = slices.DeleteFunc(list, func(s scored) bool { return gone[s.vm] })
-		t.carriers[i] = list
+		list = slices.DeleteFunc(list, func(s candidate) bool { return removed[s.vm] })
+		t.candidates[i] = list
 		if len(list) < before && len(list) < carriersPerUpstream {
-			t.scan(i, remaining)
+			t.rescan(i, remaining)
 		}
 	}
 }
 
-// scan finds the candidates of upstream i among all members.
-func (t *CarrierTable) scan(i int, members []string) {
-	t.carriers[i] = t.carriers[i][:0]
+// rescan finds the candidates of upstream i among all members.
+func (t *CarrierTable) rescan(i int, members []string) {
+	t.candidates[i] = t.candidates[i][:0]
 	for _, m := range members {
-		t.insert(i, scored{vm: m, score: score(t.upstreams[i], m)}, true)
+		t.insert(i, candidate{vm: m, score: score(t.upstreams[i], m)}, true)
 	}
 }
 
-// compareScored sorts higher scores first.
-func compareScored(a, b scored) int {
+// compareCandidates sorts higher scores first.
+func compareCandidates(a, b candidate) int {
 	switch {
 	case a.score > b.score:
 		return -1
--- a/vm/carrier_load.go
+++ b/vm/carrier_load.go
@@ -9,13 +9,13 @@
 	// newCarrierFactor: a new carrier counts as this many times slower than the
 	// slowest known one until it replies, because it starts with few connections.
 	newCarrierFactor = 4
-	// refusedMs is how long a VM that did not carry the upstream is not asked
+	// notCarrierBackoffMs is how long a VM that did not carry the upstream is not asked
 	// again. The views of the two VMs agree within this time.
-	refusedMs = clock.Second
+	notCarrierBackoffMs = clock.Second
 )
 
-// carrierWeight is the weight of a new sample in the mean time at a carrier.
-const carrierWeight = 0.25
+// sampleWeight is the weight of a new sample in the mean time at a carrier.
+const sampleWeight = 0.25
 
 // carrierLoad is what this VM knows about its attempts through one carrier of
 // one upstream.
@@ -23,7 +23,7 @@
 	vm          string
 	outstanding int
 	meanMs      float64 // moving mean of queue wait and service
-	refusedTill clock.Millis
+	avoidUntil  clock.Millis
 }
 
 // carrierLoads holds the loads by upstream, in the order of the carrier table.
@@ -38,20 +38,20 @@
 	return nil
 }
 
-// keep drops the loads of VMs that no longer carry upstream i.
-func (ls carrierLoads) keep(i int, carriers []scored) {
+// setCarriers drops the loads of VMs that no longer carry upstream i.
+func (ls carrierLoads) setCarriers(i int, carriers []candidate) {
 	var next []carrierLoad
 	for _, s := range carriers {
 		if l := ls.find(i, s.vm); l != nil {
 			next = append(next, *l)
 		} else {
-			next = append(next, carrierLoad{vm: s.vm, meanMs: newCarrierFactor * ls.slowest(i)})
+			next = append(next, carrierLoad{vm: s.vm, meanMs: newCarrierFactor * ls.slowestMs(i)})
 		}
 	}
 	ls[i] = next
 }
 
-func (ls carrierLoads) slowest(i int) float64 {
+func (ls carrierLoads) slowestMs(i int) float64 {
 	ms := 0.0
 	for _, l := range ls[i] {
 		ms = max(ms, l.meanMs)
@@ -78,7 +78,7 @@
 	}
 	l.outstanding = max(l.outstanding-1, 0)
 	if r.Status == attempt.NotCarrier {
-		l.refusedTill = now + refusedMs
+		l.avoidUntil = now + notCarrierBackoffMs
 	}
 	if r.Status != attempt.OK {
 		return
@@ -87,7 +87,7 @@
 	if l.meanMs == 0 {
 		l.meanMs = took
 	}
-	l.meanMs += carrierWeight * (took - l.meanMs)
+	l.meanMs += sampleWeight * (took - l.meanMs)
 }
 
 func (c *Core) loadOf(up, carrier string) *carrierLoad {
--- a/vm/carrier_query.go
+++ b/vm/carrier_query.go
@@ -3,10 +3,10 @@
 // Carrier returns the i-th carrier of an upstream, or "" if there is none.
 func (t *CarrierTable) Carrier(upstream string, i int) string {
 	n, ok := t.index[upstream]
-	if !ok || i >= min(len(t.carriers[n]), carriersPerUpstream) {
+	if !ok || i >= min(len(t.candidates[n]), carriersPerUpstream) {
 		return ""
 	}
-	return t.carriers[n][i].vm
+	return t.candidates[n][i].vm
 }
 
 // IsCarrier reports whether member is a carrier of the upstream.
@@ -28,7 +28,7 @@
 	return max(1, connections*connectionSharePercent/100)
 }
 
-// current returns the carriers of the i-th upstream without the other candidates.
-func (t *CarrierTable) current(i int) []scored {
-	return t.carriers[i][:min(len(t.carriers[i]), carriersPerUpstream)]
+// carriersOf returns the carriers of the i-th upstream without the other candidates.
+func (t *CarrierTable) carriersOf(i int) []candidate {
+	return t.candidates[i][:min(len(t.candidates[i]), carriersPerUpstream)]
 }
--- a/vm/carrier_test.go
+++ b/vm/carrier_test.go
@@ -39,9 +39,9 @@
 	})
 }
 
-// TestCarrierTableMovesLittle guards against a membership change that moves
+// TestCarrierTableMovesFewUpstreams guards against a membership change that moves
 // most connections to other VMs.
-func TestCarrierTableMovesLittle(t *testing.T) {
+func TestCarrierTableMovesFewUpstreams(t *testing.T) {
 	upstreams := names("plots/g/", 1000)
 	table := vm.NewCarrierTable(upstreams)
 	table.SetMembers(names("vm-", 9))
--- a/vm/core.go
+++ b/vm/core.go
@@ -22,13 +22,13 @@
 
 // Core is the whole decision state of one VM.
 type Core struct {
-	self     fleet.VM
-	routing  Routing
-	services map[string]*service
-	ordered  []*service // fixed order, so that runs repeat
-	ups      map[string]upstream.Upstream
+	self        fleet.VM
+	routing     Routing
+	services    map[string]*service
+	serviceList []*service // fixed order, so that runs repeat
+	upstreams   map[string]upstream.Upstream
 
-	gate      *admission.Controller
+	admission *admission.Controller
 	queries   *query.Model
 	pool      *pool.Model
 	orders    *order.Model
@@ -39,23 +39,23 @@
 	loads     carrierLoads
 	handovers handovers
 
-	preset      preset.Preset
-	revision    uint64
-	calls       map[uint64]*call
-	openID      map[string]uint64 // open order id to its call
-	forwards    *forwards
-	rng         *rand.Rand
-	stopping    bool
-	drained     bool // the end of the drain was recorded
-	live        int
-	orderSeq    uint64
-	nextPoll    clock.Millis
-	stallMs     clock.Millis
-	nextStall   clock.Millis
-	polled      map[upstream.ID]bool // polls without an answer
-	silentPolls map[upstream.ID]int  // failed polls in a row of leaving upstreams
-
-	inner []any // messages between the machines, in order
+	preset          preset.Preset
+	revision        uint64
+	calls           map[uint64]*call
+	openOrderCalls  map[string]uint64 // open order id to its call
+	forwards        *forwards
+	rng             *rand.Rand
+	stopping        bool
+	drained         bool // the end of the drain was recorded
+	liveVMs         int
+	orderSeq        uint64
+	nextPoll        clock.Millis
+	stallTimeout    clock.Millis
+	nextStallCheck  clock.Millis
+	unansweredPolls map[upstream.ID]bool // polls without an answer
+	failedPolls     map[upstream.ID]int  // failed polls in a row of leaving upstreams
+
+	queue []any // messages between the machines, in order
 	cmds  []Cmd
 }
 
@@ -63,47 +63,47 @@
 type service struct {
 	name       string
 	groups     int
-	ups        []string
+	upstreams  []string
 	overloaded bool
 }
 
 // call is one open request of a caller.
 type call struct {
-	query   QueryMsg
-	order   OrderMsg
-	isOrder bool
-	rank    rank.Rank
-	service string
-	arrived clock.Millis
-	budget  clock.Millis
-	running bool // admitted
-	gone    bool // its caller does not wait any more
-	preset  string
-	rev     uint64
+	query        QueryMsg
+	order        OrderMsg
+	isOrder      bool
+	rank         rank.Rank
+	service      string
+	arrivedAt    clock.Millis
+	budget       clock.Millis
+	running      bool // admitted
+	disconnected bool // its caller does not wait any more
+	preset       string
+	revision     uint64
 }
 
 // New returns a Core.
 func New(opts ...Option) *Core {
 	cfg := newConfig(opts)
 	c := &Core{
-		self: cfg.self, routing: cfg.routing, stallMs: cfg.stallMs,
-		services: make(map[string]*service), ups: make(map[string]upstream.Upstream),
+		self: cfg.self, routing: cfg.routing, stallTimeout: cfg.stallTimeout,
+		services: make(map[string]*service), upstreams: make(map[string]upstream.Upstream),
 		ring:  timeline.NewRing(cfg.self.ID, cfg.ringEvents),
-		calls: make(map[uint64]*call), openID: make(map[string]uint64), forwards: newForwards(),
-		rng: rand.New(rand.NewPCG(cfg.seed, cfg.self.Incarnation)), polled: make(map[upstream.ID]bool),
-		silentPolls: make(map[upstream.ID]int),
+		calls: make(map[uint64]*call), openOrderCalls: make(map[string]uint64), forwards: newForwards(),
+		rng: rand.New(rand.NewPCG(cfg.seed, cfg.self.Incarnation)), unansweredPolls: make(map[upstream.ID]bool),
+		failedPolls: make(map[upstream.ID]int),
 	}
 	all := c.addServices(cfg.services)
 	c.book = upstream.New(upstream.WithUpstreams(all), upstream.WithSeed(cfg.seed))
 	c.queries = query.New(c.book, query.WithServices(cfg.services...), query.WithVM(cfg.self.ID, cfg.self.Incarnation))
-	c.gate = admission.New(gateOptions(cfg)...)
+	c.admission = admission.New(admissionOptions(cfg)...)
 	c.pool = pool.New(poolOptions(all)...)
 	c.orders = order.New(
 		order.WithSelf(cfg.self.ID, cfg.self.Incarnation),
 		order.WithPicker(c.book.Pick), order.WithAttemptID(c.orderAttemptID),
 	)
 	c.fleet = fleet.New(fleet.WithSelf(cfg.self), fleet.WithSeed(cfg.seed),
-		fleet.WithSeedVMs(cfg.seeds...), fleet.WithInitialRecord(cfg.initial))
+		fleet.WithSeedVMs(cfg.seedVMs...), fleet.WithInitialRecord(cfg.initialRecord))
 	ids := make([]string, len(all))
 	for i, u := range all {
 		ids[i] = string(u.ID)
@@ -120,13 +120,13 @@
 		s := &service{name: svc.Name, groups: len(svc.Groups)}
 		for _, g := range svc.Groups {
 			for _, u := range g.Replicas {
-				s.ups = append(s.ups, string(u.ID))
-				c.ups[string(u.ID)] = u
+				s.upstreams = append(s.upstreams, string(u.ID))
+				c.upstreams[string(u.ID)] = u
 				all = append(all, u)
 			}
 		}
 		c.services[svc.Name] = s
-		c.ordered = append(c.ordered, s)
+		c.serviceList = append(c.serviceList, s)
 	}
 	return all
 }
@@ -134,11 +134,11 @@
 // unlimited is a limit that is never reached.
 const unlimited = 1 << 40
 
-// gateOptions starts the limit of each service at this VM's share of the
+// admissionOptions starts the limit of each service at this VM's share of the
 // connections. It may grow to the whole, because load on the VMs is uneven.
-func gateOptions(cfg config) []admission.Option {
+func admissionOptions(cfg config) []admission.Option {
 	var opts []admission.Option
-	if cfg.openGate {
+	if cfg.admitAll {
 		opts = append(opts, admission.WithAdjustInterval(unlimited)) // never adapts
 	}
 	for _, svc := range cfg.services {
@@ -149,11 +149,11 @@
 			}
 		}
 		share := max(connections/max(cfg.fleetSize, 1), 2*len(svc.Groups))
-		most := max(connections, share)
-		if cfg.openGate {
-			share, most = unlimited, unlimited
+		maxLimit := max(connections, share)
+		if cfg.admitAll {
+			share, maxLimit = unlimited, unlimited
 		}
-		opts = append(opts, admission.WithService(svc.Name, share, most))
+		opts = append(opts, admission.WithService(svc.Name, share, maxLimit))
 	}
 	return opts
 }
@@ -176,31 +176,31 @@
 func (c *Core) Update(now clock.Millis, msg Msg) []Cmd {
 	c.cmds = c.cmds[:0]
 	c.handle(now, msg)
-	c.drain(now)
+	c.processQueue(now)
 	return c.cmds
 }
 
-// drain passes messages between the machines until none is left.
-func (c *Core) drain(now clock.Millis) {
-	for i := 0; i < len(c.inner); i++ {
-		switch m := c.inner[i].(type) {
+// processQueue passes messages between the machines until none is left.
+func (c *Core) processQueue(now clock.Millis) {
+	for i := 0; i < len(c.queue); i++ {
+		switch m := c.queue[i].(type) {
 		case query.Msg:
-			c.fromQueries(now, c.queries.Update(now, m))
+			c.handleQueryCmds(now, c.queries.Update(now, m))
 		case pool.Msg:
-			c.fromPool(now, c.pool.Update(now, m))
+			c.handlePoolCmds(now, c.pool.Update(now, m))
 		case admission.Msg:
-			c.fromGate(now, c.gate.Update(now, m))
+			c.handleAdmissionCmds(now, c.admission.Update(now, m))
 		case order.Msg:
-			c.fromOrders(now, c.orders.Update(now, m))
+			c.handleOrderCmds(now, c.orders.Update(now, m))
 		case fleet.Msg:
-			c.fromFleet(now, c.fleet.Update(now, m))
+			c.handleFleetCmds(now, c.fleet.Update(now, m))
 		}
-		c.inner[i] = nil
+		c.queue[i] = nil
 	}
-	c.inner = c.inner[:0]
+	c.queue = c.queue[:0]
 }
 
-func (c *Core) push(msg any) { c.inner = append(c.inner, msg) }
+func (c *Core) enqueue(msg any) { c.queue = append(c.queue, msg) }
 
 func (c *Core) emit(cmd Cmd) { c.cmds = append(c.cmds, cmd) }
 
@@ -208,8 +208,8 @@
 // number; callers and operators know it by the id of the caller.
 func (c *Core) event(now clock.Millis, ev timeline.Event) {
 	if n, err := strconv.ParseUint(ev.Request, 10, 64); err == nil {
-		if call := c.calls[n]; call != nil {
-			ev.Request = call.id()
+		if cl := c.calls[n]; cl != nil {
+			ev.Request = cl.id()
 		}
 	}
 	if ev.Revision == 0 {
@@ -225,4 +225,4 @@
 	return cl.query.ID
 }
 
-func key(n uint64) string { return strconv.FormatUint(n, 10) }
+func callKey(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/vm/forward_test.go
+++ b/vm/forward_test.go
@@ -15,8 +15,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// trio runs three cores over one store and keeps the forwards instead of delivering them.
-type trio struct {
+// cluster runs three cores over one store and keeps the forwards instead of delivering them.
+type cluster struct {
 	now      clock.Millis
 	cores    map[string]*vm.Core
 	entries  map[string]store.Entry
@@ -24,9 +24,9 @@
 	answers  []vm.OrderAnswer
 }
 
-// newTrio returns three members; "a" carries none of the upstreams.
-func newTrio() *trio {
-	t := &trio{now: 1_700_000_000_000, cores: make(map[string]*vm.Core), entries: make(map[string]store.Entry)}
+// newCluster returns three members; "a" carries none of the upstreams.
+func newCluster() *cluster {
+	t := &cluster{now: 1_700_000_000_000, cores: make(map[string]*vm.Core), entries: make(map[string]store.Entry)}
 	group := upstream.Group{Name: "g"}
 	for i := 0; len(group.Replicas) < 2; i++ {
 		id := fmt.Sprintf("desk/g/%d", i)
@@ -47,7 +47,7 @@
 	return t
 }
 
-func (t *trio) run(d clock.Millis) {
+func (t *cluster) run(d clock.Millis) {
 	for end := t.now + d; t.now < end; t.now += 20 {
 		for _, id := range []string{"a", "b", "c"} {
 			t.deliver(id, vm.TickMsg{})
@@ -55,7 +55,7 @@
 	}
 }
 
-func (t *trio) deliver(id string, msg vm.Msg) {
+func (t *cluster) deliver(id string, msg vm.Msg) {
 	for _, cmd := range slices.Clone(t.cores[id].Update(t.now, msg)) {
 		switch cmd := cmd.(type) {
 		case vm.StoreCmd:
@@ -72,7 +72,7 @@
 	}
 }
 
-func (t *trio) callStore(r store.Request) store.Reply {
+func (t *cluster) callStore(r store.Request) store.Reply {
 	reply := store.Reply{Owner: r.Owner, Tag: r.Tag, Op: r.Op}
 	e := t.entries[r.Key]
 	switch {
@@ -122,7 +122,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTrio()
+			r := newCluster()
 			r.deliver("a", vm.OrderMsg{CallID: 1, ID: fmt.Sprintf("%d-x", r.now), Rank: rank.Ordinary, Service: "desk", Group: "g"})
 			r.run(200)
 			if len(r.forwards) != 1 {
--- a/vm/handle.go
+++ b/vm/handle.go
@@ -14,35 +14,35 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// pollInterval is how often a carrier asks its upstreams for their load. A
+// pollIntervalMs is how often a carrier asks its upstreams for their load. A
 // leaving upstream without traffic must be noticed and spread within 3 s.
-const pollInterval = clock.Second
+const pollIntervalMs = clock.Second
 
-// gonePolls is how many polls in a row must fail before a leaving upstream
+// stoppedAfterPolls is how many polls in a row must fail before a leaving upstream
 // counts as stopped. One may fail because the upstream is slow.
-const gonePolls = 2
+const stoppedAfterPolls = 2
 
 func (c *Core) handle(now clock.Millis, msg Msg) {
 	switch m := msg.(type) {
 	case QueryMsg:
-		c.arriveQuery(now, m)
+		c.startQuery(now, m)
 	case OrderMsg:
-		c.arriveOrder(now, m)
+		c.startOrder(now, m)
 	case CallerDisconnectedMsg:
-		c.callerGone(m.CallID)
+		c.callerDisconnected(m.CallID)
 	case ReplyMsg:
-		c.noticeLeaving(m.Reply)
-		c.push(pool.ReplyMsg{Reply: m.Reply})
+		c.reportLeaving(m.Reply)
+		c.enqueue(pool.ReplyMsg{Reply: m.Reply})
 	case AbortedMsg:
-		c.push(pool.AbortedMsg{ID: m.ID})
+		c.enqueue(pool.AbortedMsg{ID: m.ID})
 	case LoadMsg:
-		c.loadReported(now, m)
+		c.handleLoad(now, m)
 	case StoreMsg:
-		c.storeReplied(m)
+		c.handleStoreReply(m)
 	case VMListMsg:
-		c.push(fleet.VMListMsg{VMs: m.VMs})
+		c.enqueue(fleet.VMListMsg{VMs: m.VMs})
 	case PresetRecordMsg:
-		c.push(fleet.RecordMsg{Record: m.Record})
+		c.enqueue(fleet.RecordMsg{Record: m.Record})
 	case PresetSwitchedMsg:
 		c.event(now, timeline.Event{
 			Kind: timeline.PresetSwitched, Revision: m.Change.Revision,
@@ -50,11 +50,11 @@
 		})
 	case PeerMsg:
 		c.ring.Observe(now, m.Stamp)
-		c.fromPeer(now, m)
+		c.handlePeerMsg(now, m)
 	case PeerUnsentMsg:
-		c.peerUnsent(now, m)
+		c.handlePeerUnsent(now, m)
 	case PeerDownMsg:
-		c.peerDown(now, m.VM)
+		c.handlePeerDown(now, m.VM)
 	case StopMsg:
 		c.stop(now)
 	case TickMsg:
@@ -67,29 +67,29 @@
 		at, ok := m.NextWake()
 		return ok && at <= now
 	}
-	if due(c.gate) {
-		c.push(admission.TickMsg{})
+	if due(c.admission) {
+		c.enqueue(admission.TickMsg{})
 	}
 	if due(c.queries) {
-		c.push(query.TickMsg{})
+		c.enqueue(query.TickMsg{})
 	}
 	if due(c.pool) {
-		c.push(pool.TickMsg{})
+		c.enqueue(pool.TickMsg{})
 	}
 	if due(c.orders) {
-		c.push(order.TickMsg{})
+		c.enqueue(order.TickMsg{})
 	}
 	if due(c.fleet) {
-		c.push(fleet.TickMsg{})
+		c.enqueue(fleet.TickMsg{})
 	}
 	c.checkStalls(now)
 	if c.stopping && !c.drained && c.Drained(now) {
 		c.drained = true
 		c.event(now, timeline.Event{Kind: timeline.DrainFinished})
 	}
-	c.endHandovers(now)
+	c.finishHandovers(now)
 	if now >= c.nextPoll {
-		c.nextPoll = now + pollInterval
+		c.nextPoll = now + pollIntervalMs
 		c.pollUpstreams()
 		c.expireForwards(now)
 	}
@@ -100,35 +100,35 @@
 func (c *Core) pollUpstreams() {
 	for _, id := range c.carriers.upstreams {
 		up := upstream.ID(id)
-		if c.carriers.IsCarrier(id, c.self.ID) && !c.polled[up] {
-			c.polled[up] = true
+		if c.carriers.IsCarrier(id, c.self.ID) && !c.unansweredPolls[up] {
+			c.unansweredPolls[up] = true
 			c.emit(PollLoadCmd{Upstream: up})
 		}
 	}
 }
 
-// loadReported uses only what is binding: that the upstream leaves or takes
+// handleLoad uses only what is binding: that the upstream leaves or takes
 // work again, and which snapshots it holds. Health and load figures lag.
 //
 // A leaving upstream is back only after it was gone: its endpoint, which may
 // lag or mislead, failed to answer for several polls and then answers without
 // leaving. Otherwise only the expiry of the report ends the drain.
-func (c *Core) loadReported(now clock.Millis, m LoadMsg) {
-	delete(c.polled, m.Upstream)
+func (c *Core) handleLoad(now clock.Millis, m LoadMsg) {
+	delete(c.unansweredPolls, m.Upstream)
 	leaving := c.fleet.UpstreamLeaving(m.Upstream)
 	switch {
 	case !leaving:
-		delete(c.silentPolls, m.Upstream)
+		delete(c.failedPolls, m.Upstream)
 		if m.OK && m.Load.Leaving {
-			c.push(fleet.UpstreamLeavingMsg{Upstream: m.Upstream, Leaving: true})
+			c.enqueue(fleet.UpstreamLeavingMsg{Upstream: m.Upstream, Leaving: true})
 		}
 	case !m.OK:
-		c.silentPolls[m.Upstream]++
-	case m.Load.Leaving || c.silentPolls[m.Upstream] < gonePolls:
-		delete(c.silentPolls, m.Upstream)
+		c.failedPolls[m.Upstream]++
+	case m.Load.Leaving || c.failedPolls[m.Upstream] < stoppedAfterPolls:
+		delete(c.failedPolls, m.Upstream)
 	default:
-		delete(c.silentPolls, m.Upstream)
-		c.push(fleet.UpstreamLeavingMsg{Upstream: m.Upstream, Leaving: false})
+		delete(c.failedPolls, m.Upstream)
+		c.enqueue(fleet.UpstreamLeavingMsg{Upstream: m.Upstream, Leaving: false})
 	}
 	if !m.OK {
 		return
@@ -136,18 +136,18 @@
 	c.book.LearnHeld(now, m.Upstream, m.Load.Held)
 }
 
-func (c *Core) noticeLeaving(r attempt.Reply) {
+func (c *Core) reportLeaving(r attempt.Reply) {
 	if (r.Leaving || r.Status == attempt.Leaving) && !c.fleet.UpstreamLeaving(upstream.ID(r.Upstream)) {
-		c.push(fleet.UpstreamLeavingMsg{Upstream: upstream.ID(r.Upstream), Leaving: true})
+		c.enqueue(fleet.UpstreamLeavingMsg{Upstream: upstream.ID(r.Upstream), Leaving: true})
 	}
 }
 
-func (c *Core) storeReplied(m StoreMsg) {
+func (c *Core) handleStoreReply(m StoreMsg) {
 	if m.Reply.Owner == orderOwner {
-		c.push(order.StoreMsg{Reply: m.Reply})
+		c.enqueue(order.StoreMsg{Reply: m.Reply})
 		return
 	}
-	c.push(fleet.StoreMsg{Reply: m.Reply})
+	c.enqueue(fleet.StoreMsg{Reply: m.Reply})
 }
 
 func (c *Core) stop(now clock.Millis) {
@@ -156,7 +156,7 @@
 	}
 	c.stopping = true
 	c.event(now, timeline.Event{Kind: timeline.DrainStarted})
-	c.push(admission.DrainMsg{})
-	c.push(order.StopMsg{})
-	c.push(fleet.StopMsg{})
+	c.enqueue(admission.DrainMsg{})
+	c.enqueue(order.StopMsg{})
+	c.enqueue(fleet.StopMsg{})
 }
--- a/vm/handover.go
+++ b/vm/handover.go
@@ -20,57 +20,57 @@
 
 // handovers holds the upstreams whose connections this VM takes over.
 type handovers struct {
-	open map[string]handover
-	next clock.Millis // when to look at them, 0 if there is none
+	open      map[string]handover
+	nextCheck clock.Millis // when to look at them, 0 if there is none
 }
 
 // handover is the change of one carrier of one upstream.
 type handover struct {
-	until clock.Millis
-	gone  []string // former carriers that may still hold connections
+	deadline       clock.Millis
+	formerCarriers []string // former carriers that may still hold connections
 }
 
-// beginHandover notes that the carriers of an upstream changed. A new carrier
+// startHandover notes that the carriers of an upstream changed. A new carrier
 // starts with few connections, because the former ones close theirs only once
 // they know of the change. Those of a dead VM are closed.
-func (c *Core) beginHandover(now clock.Millis, id string, former []carrierLoad) {
+func (c *Core) startHandover(now clock.Millis, id string, oldLoads []carrierLoad) {
 	h := &c.handovers
 	if !c.carriers.IsCarrier(id, c.self.ID) {
 		delete(h.open, id)
 		return
 	}
-	var gone []string
-	for _, f := range former {
+	var formerCarriers []string
+	for _, f := range oldLoads {
 		if f.vm == c.self.ID {
 			return
 		}
 		if !c.carriers.IsCarrier(id, f.vm) {
-			gone = append(gone, f.vm)
+			formerCarriers = append(formerCarriers, f.vm)
 		}
 	}
-	h.open[id] = handover{until: now + handoverMs, gone: gone}
-	if h.next == 0 {
-		h.next = now + handoverCheckMs
+	h.open[id] = handover{deadline: now + handoverMs, formerCarriers: formerCarriers}
+	if h.nextCheck == 0 {
+		h.nextCheck = now + handoverCheckMs
 	}
 }
 
-// over reports whether a new carrier may open its whole share. A VM that knew
+// done reports whether a new carrier may open its whole share. A VM that knew
 // no former carrier has just started, and waits for its first view of the fleet.
-func (h *handover) over(now clock.Millis, present map[string]bool) bool {
-	if now >= h.until {
+func (h *handover) done(now clock.Millis, notDead map[string]bool) bool {
+	if now >= h.deadline {
 		return true
 	}
-	for _, id := range h.gone {
-		if present[id] {
+	for _, id := range h.formerCarriers {
+		if notDead[id] {
 			return false
 		}
 	}
-	return len(h.gone) > 0
+	return len(h.formerCarriers) > 0
 }
 
-// present returns the members that are not known to be dead. Those that are
+// notDead returns the members that are not known to be dead. Those that are
 // missing were forgotten some time after their death.
-func (c *Core) present() map[string]bool {
+func (c *Core) notDead() map[string]bool {
 	out := make(map[string]bool)
 	for _, v := range c.fleet.Members() {
 		if v.State != fleet.Dead {
@@ -80,21 +80,21 @@
 	return out
 }
 
-// endHandovers raises the limits whose time has come.
-func (c *Core) endHandovers(now clock.Millis) {
+// finishHandovers raises the limits whose time has come.
+func (c *Core) finishHandovers(now clock.Millis) {
 	h := &c.handovers
-	if h.next == 0 || now < h.next {
+	if h.nextCheck == 0 || now < h.nextCheck {
 		return
 	}
-	present := c.present()
+	notDead := c.notDead()
 	for _, id := range c.carriers.upstreams {
-		if open, ok := h.open[id]; ok && open.over(now, present) {
+		if open, ok := h.open[id]; ok && open.done(now, notDead) {
 			delete(h.open, id)
-			c.setConnections(id)
+			c.setConnectionLimit(id)
 		}
 	}
-	h.next = 0
+	h.nextCheck = 0
 	if len(h.open) > 0 {
-		h.next = now + handoverCheckMs
+		h.nextCheck = now + handoverCheckMs
 	}
 }
--- a/vm/options.go
+++ b/vm/options.go
@@ -8,16 +8,16 @@
 )
 
 type config struct {
-	self       fleet.VM
-	seed       uint64
-	seeds      []fleet.VM
-	services   []upstream.Service
-	initial    preset.Record
-	ringEvents int
-	routing    Routing
-	fleetSize  int
-	openGate   bool
-	stallMs    clock.Millis
+	self          fleet.VM
+	seed          uint64
+	seedVMs       []fleet.VM
+	services      []upstream.Service
+	initialRecord preset.Record
+	ringEvents    int
+	routing       Routing
+	fleetSize     int
+	admitAll      bool
+	stallTimeout  clock.Millis
 }
 
 // Routing says how attempts reach upstreams.
@@ -41,7 +41,7 @@
 
 // WithSeedVMs sets VMs to contact before the VM list is known.
 func WithSeedVMs(vms ...fleet.VM) Option {
-	return func(c *config) { c.seeds = append(c.seeds, vms...) }
+	return func(c *config) { c.seedVMs = append(c.seedVMs, vms...) }
 }
 
 // WithServices sets the services and their upstreams.
@@ -50,7 +50,7 @@
 }
 
 // WithInitialRecord sets the record that is written when the store has none.
-func WithInitialRecord(r preset.Record) Option { return func(c *config) { c.initial = r } }
+func WithInitialRecord(r preset.Record) Option { return func(c *config) { c.initialRecord = r } }
 
 // WithRingEvents sets how many events the VM keeps.
 func WithRingEvents(n int) Option { return func(c *config) { c.ringEvents = n } }
@@ -64,14 +64,14 @@
 
 // WithoutAdmissionControl admits every query at once. Experiments use it as their
 // baseline.
-func WithoutAdmissionControl() Option { return func(c *config) { c.openGate = true } }
+func WithoutAdmissionControl() Option { return func(c *config) { c.admitAll = true } }
 
 // WithStallTimeout sets how long a carrier may be silent while it owes results; 0
 // leaves the detection to membership.
-func WithStallTimeout(d clock.Millis) Option { return func(c *config) { c.stallMs = d } }
+func WithStallTimeout(d clock.Millis) Option { return func(c *config) { c.stallTimeout = d } }
 
 func newConfig(opts []Option) config {
-	c := config{seed: 1, initial: preset.Default(), fleetSize: 9, stallMs: defaultStallMs}
+	c := config{seed: 1, initialRecord: preset.Default(), fleetSize: 9, stallTimeout: defaultStallTimeout}
 	for _, opt := range opts {
 		opt(&c)
 	}
--- a/vm/route.go
+++ b/vm/route.go
@@ -9,13 +9,13 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-func (c *Core) fromQueries(now clock.Millis, cmds []query.Cmd) {
+func (c *Core) handleQueryCmds(now clock.Millis, cmds []query.Cmd) {
 	for _, cmd := range cmds {
 		switch m := cmd.(type) {
 		case query.SendCmd:
 			c.route(now, m.Request)
 		case query.CancelCmd:
-			c.cancel(now, m.ID, m.Upstream)
+			c.cancelAttempt(now, m.ID, m.Upstream)
 		case query.AnswerCmd:
 			c.queryAnswered(now, m.Answer)
 		case query.EventCmd:
@@ -24,7 +24,7 @@
 	}
 }
 
-func (c *Core) fromOrders(now clock.Millis, cmds []order.Cmd) {
+func (c *Core) handleOrderCmds(now clock.Millis, cmds []order.Cmd) {
 	for _, cmd := range cmds {
 		switch m := cmd.(type) {
 		case order.SendCmd:
@@ -48,10 +48,10 @@
 	to := c.chooseCarrier(now, req)
 	switch to {
 	case "":
-		c.deliver(now, attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted})
+		c.deliverReply(now, attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted})
 	case c.self.ID:
 		c.attemptSent(req.Upstream, to)
-		c.push(pool.EnqueueMsg{Request: req, From: c.self.ID})
+		c.enqueue(pool.EnqueueMsg{Request: req, From: c.self.ID})
 	default:
 		c.attemptSent(req.Upstream, to)
 		c.forwards.add(req, to, now)
@@ -73,19 +73,19 @@
 		first = 1 - first
 	}
 	to := c.carriers.Carrier(req.Upstream, first)
-	if to == "" || c.avoid(now, req.Upstream, to) {
-		if other := c.carriers.Carrier(req.Upstream, 1-first); other != "" && !c.avoid(now, req.Upstream, other) {
+	if to == "" || c.shouldAvoid(now, req.Upstream, to) {
+		if other := c.carriers.Carrier(req.Upstream, 1-first); other != "" && !c.shouldAvoid(now, req.Upstream, other) {
 			return other
 		}
 	}
 	return to
 }
 
-// avoid reports whether a carrier cannot be reached or has just refused an
+// shouldAvoid reports whether a carrier cannot be reached or has just refused an
 // attempt on the upstream.
-func (c *Core) avoid(now clock.Millis, up, carrier string) bool {
+func (c *Core) shouldAvoid(now clock.Millis, up, carrier string) bool {
 	l := c.loadOf(up, carrier)
-	return c.forwards.avoid(now, carrier) || (l != nil && now < l.refusedTill)
+	return c.forwards.isUnreachable(now, carrier) || (l != nil && now < l.avoidUntil)
 }
 
 // reroute tries the other carrier after a carrier gave up the upstream's
@@ -96,12 +96,12 @@
 	}
 	for i := range carriersPerUpstream {
 		to := c.carriers.Carrier(f.req.Upstream, i)
-		if to == "" || to == f.to || c.forwards.avoid(now, to) {
+		if to == "" || to == f.carrier || c.forwards.isUnreachable(now, to) {
 			continue
 		}
 		c.attemptSent(f.req.Upstream, to)
 		if to == c.self.ID {
-			c.push(pool.EnqueueMsg{Request: f.req, From: c.self.ID})
+			c.enqueue(pool.EnqueueMsg{Request: f.req, From: c.self.ID})
 			return true
 		}
 		c.forwards.add(f.req, to, now).rerouted = true
@@ -111,26 +111,26 @@
 	return false
 }
 
-// deliver passes the reply of one of this VM's own attempts to the machine that sent it.
-func (c *Core) deliver(now clock.Millis, r attempt.Reply) {
+// deliverReply passes the reply of one of this VM's own attempts to the machine that sent it.
+func (c *Core) deliverReply(now clock.Millis, r attempt.Reply) {
 	if r.ID.Seq&orderSeqBit == 0 {
-		c.push(query.ReplyMsg{Reply: r})
+		c.enqueue(query.ReplyMsg{Reply: r})
 		return
 	}
 	c.book.Observe(now, upstream.ID(r.Upstream), r)
-	c.push(order.AttemptReplyMsg{Reply: r})
+	c.enqueue(order.AttemptReplyMsg{Reply: r})
 }
 
-func (c *Core) cancel(now clock.Millis, id attempt.ID, up string) {
+func (c *Core) cancelAttempt(now clock.Millis, id attempt.ID, up string) {
 	if f := c.forwards.remove(id); f != nil {
-		c.attemptEnded(now, up, f.to, attempt.Reply{Status: attempt.Cancelled})
-		c.sendPeer(now, f.to, CancelForward{ID: id, Upstream: up})
+		c.attemptEnded(now, up, f.carrier, attempt.Reply{Status: attempt.Cancelled})
+		c.sendPeer(now, f.carrier, CancelForward{ID: id, Upstream: up})
 		return
 	}
-	c.push(pool.CancelMsg{ID: id})
+	c.enqueue(pool.CancelMsg{ID: id})
 }
 
-func (c *Core) fromPool(now clock.Millis, cmds []pool.Cmd) {
+func (c *Core) handlePoolCmds(now clock.Millis, cmds []pool.Cmd) {
 	for _, cmd := range cmds {
 		switch m := cmd.(type) {
 		case pool.DispatchCmd:
@@ -138,13 +138,13 @@
 		case pool.AbortCmd:
 			c.emit(AbortCmd{ID: m.ID, Upstream: m.Upstream})
 		case pool.ReturnCmd:
-			c.giveBack(now, m.To, m.Reply)
+			c.returnReply(now, m.To, m.Reply)
 		}
 	}
 }
 
-// giveBack returns a reply to the VM that asked for the attempt.
-func (c *Core) giveBack(now clock.Millis, to string, r attempt.Reply) {
+// returnReply returns a reply to the VM that asked for the attempt.
+func (c *Core) returnReply(now clock.Millis, to string, r attempt.Reply) {
 	if r.Status == attempt.NotSent && c.pool.Limit(r.Upstream) == 0 {
 		r.Status = attempt.NotCarrier
 	}
@@ -153,5 +153,5 @@
 		return
 	}
 	c.attemptEnded(now, r.Upstream, to, r)
-	c.deliver(now, r)
+	c.deliverReply(now, r)
 }
--- a/vm/status.go
+++ b/vm/status.go
@@ -16,15 +16,15 @@
 // NextWake returns when the core wants a TickMsg.
 func (c *Core) NextWake() (clock.Millis, bool) {
 	wake := c.nextPoll
-	if c.handovers.next > 0 {
-		wake = min(wake, c.handovers.next)
+	if c.handovers.nextCheck > 0 {
+		wake = min(wake, c.handovers.nextCheck)
 	}
-	for _, m := range []interface{ NextWake() (clock.Millis, bool) }{c.gate, c.queries, c.pool, c.orders, c.fleet} {
+	for _, m := range []interface{ NextWake() (clock.Millis, bool) }{c.admission, c.queries, c.pool, c.orders, c.fleet} {
 		if at, ok := m.NextWake(); ok {
 			wake = min(wake, at)
 		}
 	}
-	if at, ok := c.wakeStall(); ok {
+	if at, ok := c.stallWake(); ok {
 		wake = min(wake, at)
 	}
 	return wake, true
@@ -50,7 +50,7 @@
 // OnlyStoreWritesPending reports whether a stopping VM has finished all requests and
 // attempts, and waits only for the store to take marks and releases of orders.
 func (c *Core) OnlyStoreWritesPending(now clock.Millis) bool {
-	return len(c.calls) == 0 && c.gate.Idle() && c.pool.Idle() && c.fleet.StopAnnounced(now)
+	return len(c.calls) == 0 && c.admission.Idle() && c.pool.Idle() && c.fleet.StopAnnounced(now)
 }
 
 // PendingWork names what keeps a stopping VM from being drained.
@@ -62,7 +62,7 @@
 		}
 	}
 	add("requests", len(c.calls) == 0)
-	add("admission", c.gate.Idle())
+	add("admission", c.admission.Idle())
 	add("attempts", c.pool.Idle())
 	add(fmt.Sprintf("orders (%d open, %d claims, %d releases)",
 		c.orders.OpenOrders(), c.orders.PendingOperations(), c.orders.PendingReleases()), c.orders.Drained())
@@ -144,11 +144,11 @@
 			Rank: r, Queries: t.Queries, AttemptsNeeded: t.Needed, AttemptsSent: t.Sent, Hedges: t.Hedges, Retries: t.Retries,
 		})
 	}
-	for _, svc := range c.ordered {
+	for _, svc := range c.serviceList {
 		name := svc.name
-		s.Limits[name] = c.gate.Limit(name)
+		s.Limits[name] = c.admission.Limit(name)
 		for _, r := range rank.All() {
-			load := RankLoad{Service: name, Rank: r, Running: c.gate.Running(name, r), Queued: c.gate.Queued(name, r)}
+			load := RankLoad{Service: name, Rank: r, Running: c.admission.Running(name, r), Queued: c.admission.Queued(name, r)}
 			if load.Running+load.Queued > 0 {
 				s.Load = append(s.Load, load)
 			}
