--- a/vm/call.go
+++ b/vm/call.go
@@ -12,7 +12,8 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// Reasons of refusals that the core decides itself. Admission names the others.
+// Reasons of the refusals that Core itself decides. Package admission defines
+// the others.
 const (
 	ReasonNotReady        = "not_ready"
 	ReasonUnknownService  = "unknown_service"
@@ -56,7 +57,8 @@
 	return ""
 }
 
-// requestAdmission asks the gate for the one decision about this request.
+// requestAdmission submits the request to admission control, which decides on
+// it once.
 func (c *Core) requestAdmission(now clock.Millis, callID uint64, cl *call, budget clock.Millis, cost int) {
 	maxDeadline := c.preset.Policy(cl.rank).DeadlineMs
 	cl.budget = maxDeadline
@@ -82,7 +84,8 @@
 	c.updateOverload()
 }
 
-// updateOverload switches hedging off for services whose work has to queue.
+// updateOverload disables hedging for services that have queued requests and
+// enables it again once their queues are empty.
 func (c *Core) updateOverload() {
 	for _, s := range c.serviceList {
 		if on := c.admission.QueuedTotal(s.name) > 0; on != s.overloaded {
@@ -92,8 +95,8 @@
 	}
 }
 
-// startAdmitted starts a request. Only work that had to wait makes an event: the
-// rest would fill the ring.
+// startAdmitted starts an admitted request. It records an event only for a
+// request that was queued; one event per request would fill the event ring.
 func (c *Core) startAdmitted(now clock.Millis, m admission.AdmitCmd) {
 	callID, cl := c.callByKey(m.ID)
 	if cl == nil {
@@ -105,7 +108,7 @@
 			Kind: timeline.Admitted, Request: m.ID, Rank: cl.rank.String(), Detail: fmt.Sprintf("waited %d ms", m.WaitedMs),
 		})
 	}
-	// Work that waited runs under the preset that is in force now.
+	// A queued request runs under the preset in force now, not at its arrival.
 	cl.preset, cl.revision = c.preset.Name, c.revision
 	if cl.isOrder {
 		c.enqueue(order.SubmitMsg{
@@ -148,8 +151,8 @@
 	return n, c.calls[n]
 }
 
-// callerDisconnected stops a query that nobody waits for. An order goes on, because
-// its claim must reach a known end.
+// callerDisconnected stops the query of a caller that disconnected.
+// An order continues, because its claim must reach a final state.
 func (c *Core) callerDisconnected(callID uint64) {
 	cl := c.calls[callID]
 	if cl == nil || cl.isOrder || cl.disconnected {
--- a/vm/carrier.go
+++ b/vm/carrier.go
@@ -6,17 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// carriersPerUpstream is how many VMs own the connections of one upstream.
-// Two let queries go on while one of them fails.
+// carriersPerUpstream is how many VMs are carriers of one upstream, that is,
+// hold connections to it. With two, queries continue when one of them fails.
 const carriersPerUpstream = 2
 
-// candidatesPerUpstream is how many of the best VMs are kept per upstream, so
-// that the loss of a rack or a data centre needs no scan of all VMs for most
-// upstreams.
+// candidatesPerUpstream is how many of the highest-scoring VMs are stored per
+// upstream, so that the loss of a rack or a data centre requires no scan of
+// all VMs for most upstreams.
 const candidatesPerUpstream = 5
 
 // connectionSharePercent is the share of an upstream's connection limit that
-// one of two carriers may open. The rest is headroom while views differ.
+// one of two carriers may open. The rest is headroom while the VMs' membership
+// views differ.
 const connectionSharePercent = 45
 
 // candidate is a VM with its rendezvous score for one upstream.
@@ -26,13 +27,13 @@
 }
 
 // CarrierTable assigns carriers to upstreams by rendezvous hashing. It updates
-// only the upstreams that a membership change touches, because hashing every
-// upstream against every VM takes a second at the size in two years.
+// only the upstreams that a membership change affects, because hashing every
+// upstream against every VM takes a second at the size planned for in two years.
 type CarrierTable struct {
 	upstreams  []string
 	index      map[string]int
 	members    []string      // sorted
-	candidates [][]candidate // the best VMs of each upstream, best first; the first two are its carriers
+	candidates [][]candidate // per upstream, the highest-scoring VMs in descending order; the first two are its carriers
 }
 
 // NewCarrierTable returns a table without members.
@@ -82,7 +83,7 @@
 	return out
 }
 
-// addMember inserts a member. others is the number of members before it.
+// addMember inserts a member into a table of memberCount members.
 func (t *CarrierTable) addMember(member string, memberCount int, changed map[int]bool) {
 	for i, u := range t.upstreams {
 		complete := len(t.candidates[i]) == memberCount
@@ -92,10 +93,10 @@
 	}
 }
 
-// insert puts s into the candidates of upstream i if its score is high enough.
-// A VM below the last candidate goes in only if whole says that the list holds
-// every other VM; else one that is not listed may rank between. It reports
-// whether a carrier changed.
+// insert adds s to the candidates of upstream i if its score is high enough.
+// A VM that scores below the last candidate is added only if complete is set,
+// which means that the list holds every other VM; otherwise an unlisted VM may
+// score between the two. It reports whether a carrier changed.
 func (t *CarrierTable) insert(i int, s candidate, complete bool) bool {
 	list := t.candidates[i]
 	pos, found := slices.BinarySearchFunc(list, s, compareCandidates)
@@ -107,8 +108,8 @@
 	return pos < carriersPerUpstream
 }
 
-// removeMembers drops the members that are gone and scans the remaining ones only for
-// upstreams that are left with too few candidates.
+// removeMembers deletes the removed members and scans the remaining ones only
+// for upstreams that have fewer candidates left than carriers.
 func (t *CarrierTable) removeMembers(removed map[string]bool, remaining []string, changed map[int]bool) {
 	for i, list := range t.candidates {
 		before := len(list)
@@ -133,7 +134,7 @@
 	}
 }
 
-// compareCandidates sorts higher scores first.
+// compareCandidates sorts higher scores first, equal scores by VM.
 func compareCandidates(a, b candidate) int {
 	switch {
 	case a.score > b.score:
--- a/vm/carrier_load.go
+++ b/vm/carrier_load.go
@@ -6,27 +6,30 @@
 )
 
 const (
-	// newCarrierFactor: a new carrier counts as this many times slower than the
-	// slowest known one until it replies, because it starts with few connections.
+	// newCarrierFactor is how many times slower than the slowest known carrier a
+	// new carrier is assumed to be until it replies, because it starts with few
+	// connections.
 	newCarrierFactor = 4
-	// notCarrierBackoffMs is how long a VM that did not carry the upstream is not asked
-	// again. The views of the two VMs agree within this time.
+	// notCarrierBackoffMs is how long a VM that replied not_carrier gets no more
+	// attempts for the upstream. The membership views of the two VMs converge
+	// within this time.
 	notCarrierBackoffMs = clock.Second
 )
 
-// sampleWeight is the weight of a new sample in the mean time at a carrier.
+// sampleWeight is the weight of a new sample in the moving mean of the time at
+// a carrier.
 const sampleWeight = 0.25
 
-// carrierLoad is what this VM knows about its attempts through one carrier of
-// one upstream.
+// carrierLoad is the load of one carrier of one upstream, as measured by the
+// attempts that this VM sends through it.
 type carrierLoad struct {
 	vm          string
 	outstanding int
-	meanMs      float64 // moving mean of queue wait and service
+	meanMs      float64 // moving mean of queue time plus service time
 	avoidUntil  clock.Millis
 }
 
-// carrierLoads holds the loads by upstream, in the order of the carrier table.
+// carrierLoads holds the loads per upstream, in the order of the carrier table.
 type carrierLoads [][]carrierLoad
 
 func (ls carrierLoads) find(i int, vm string) *carrierLoad {
@@ -38,7 +41,8 @@
 	return nil
 }
 
-// setCarriers drops the loads of VMs that no longer carry upstream i.
+// setCarriers sets the carriers of upstream i. It keeps the loads of those that
+// were carriers before and drops the others.
 func (ls carrierLoads) setCarriers(i int, carriers []candidate) {
 	var next []carrierLoad
 	for _, s := range carriers {
@@ -59,18 +63,19 @@
 	return ms
 }
 
-// expectedMs weighs the outstanding attempts by their time. The other VMs'
-// attempts show only in the time, so both are needed.
+// expectedMs estimates the time of one more attempt from the number of
+// outstanding attempts and their mean time. The load of other VMs shows only in
+// the mean time, so both are needed.
 func (l *carrierLoad) expectedMs() float64 { return float64(l.outstanding+1) * max(l.meanMs, 1) }
 
-// attemptSent counts an attempt through a carrier.
+// attemptSent counts an attempt through a carrier as outstanding.
 func (c *Core) attemptSent(up, carrier string) {
 	if l := c.loadOf(up, carrier); l != nil {
 		l.outstanding++
 	}
 }
 
-// attemptEnded counts the end of an attempt through a carrier.
+// attemptEnded records the end of an attempt through a carrier and its times.
 func (c *Core) attemptEnded(now clock.Millis, up, carrier string, r attempt.Reply) {
 	l := c.loadOf(up, carrier)
 	if l == nil {
--- a/vm/carrier_test.go
+++ b/vm/carrier_test.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// TestCarrierTableIncremental guards against a table whose updates drift from
-// a fresh calculation, which would give an upstream more carriers than planned.
+// TestCarrierTableIncremental guards against incremental updates that diverge
+// from a full calculation, which would give an upstream more than two carriers.
 func TestCarrierTableIncremental(t *testing.T) {
 	upstreams := names("plots/g/", 40)
 	rapid.Check(t, func(t *rapid.T) {
@@ -39,14 +39,14 @@
 	})
 }
 
-// TestCarrierTableMovesFewUpstreams guards against a membership change that moves
-// most connections to other VMs.
+// TestCarrierTableMovesFewUpstreams guards against a membership change that
+// moves most connections to other VMs.
 func TestCarrierTableMovesFewUpstreams(t *testing.T) {
 	upstreams := names("plots/g/", 1000)
 	table := vm.NewCarrierTable(upstreams)
 	table.SetMembers(names("vm-", 9))
 	got := len(table.SetMembers(names("vm-", 8)))
-	// One of nine VMs carries 2/9 of the upstreams; allow a third.
+	// Each of nine VMs is a carrier of 2/9 of the upstreams; a third is accepted.
 	if want := 333; got > want {
 		t.Errorf("upstreams changed by one VM leaving = %d, want at most %d", got, want)
 	}
--- a/vm/command.go
+++ b/vm/command.go
@@ -14,7 +14,7 @@
 // Cmd is an output of a Core.
 type Cmd interface{ vmCmd() }
 
-// Outcome says how a query ended.
+// Outcome is the result of a query.
 type Outcome string
 
 // The outcomes of a query.
@@ -61,20 +61,20 @@
 	Body         []byte
 }
 
-// AnswerQueryCmd answers a caller.
+// AnswerQueryCmd sends the answer to a query to its caller.
 type AnswerQueryCmd struct {
 	CallID uint64
 	Answer QueryAnswer
 }
 
-// AnswerOrderCmd answers a caller.
+// AnswerOrderCmd sends the answer to an order to its caller.
 type AnswerOrderCmd struct {
 	CallID uint64
 	Answer OrderAnswer
 }
 
-// DispatchCmd sends an attempt to its upstream. Open says that no idle
-// connection is left.
+// DispatchCmd sends an attempt to its upstream. NewConn is set if there is no idle
+// connection, so that a new one has to be opened.
 type DispatchCmd struct {
 	Request attempt.Request
 	NewConn bool
@@ -86,19 +86,20 @@
 	Upstream string
 }
 
-// ConnectionLimitCmd sets how many connections this VM may open to an upstream.
+// ConnectionLimitCmd sets the maximum number of connections that this VM may open
+// to an upstream.
 type ConnectionLimitCmd struct {
 	Upstream    upstream.ID
 	Connections int
 }
 
-// PollLoadCmd asks an upstream for its load.
+// PollLoadCmd requests the load of an upstream. The result is a LoadMsg.
 type PollLoadCmd struct{ Upstream upstream.ID }
 
-// StoreCmd asks for one call of the configuration store.
+// StoreCmd requests one call of the configuration store. The result is a StoreMsg.
 type StoreCmd struct{ Request store.Request }
 
-// EventCmd logs an event that was added to the time line.
+// EventCmd logs an event that was added to the event ring.
 type EventCmd struct{ Event timeline.Event }
 
 func (AnswerQueryCmd) vmCmd()     {}
--- a/vm/core.go
+++ b/vm/core.go
@@ -20,12 +20,13 @@
 // orderSeqBit keeps the attempt identifiers of orders apart from those of queries.
 const orderSeqBit uint64 = 1 << 63
 
-// Core is the whole decision state of one VM.
+// Core is the complete decision state of one VM: the state machines, the event
+// ring and the open requests.
 type Core struct {
 	self        fleet.VM
 	routing     Routing
 	services    map[string]*service
-	serviceList []*service // fixed order, so that runs repeat
+	serviceList []*service // in configuration order, so that runs are reproducible
 	upstreams   map[string]upstream.Upstream
 
 	admission *admission.Controller
@@ -42,24 +43,24 @@
 	preset          preset.Preset
 	revision        uint64
 	calls           map[uint64]*call
-	openOrderCalls  map[string]uint64 // open order id to its call
+	openOrderCalls  map[string]uint64 // call of each open order, by order identifier
 	forwards        *forwards
 	rng             *rand.Rand
 	stopping        bool
-	drained         bool // the end of the drain was recorded
+	drained         bool // the DrainFinished event was recorded
 	liveVMs         int
 	orderSeq        uint64
 	nextPoll        clock.Millis
 	stallTimeout    clock.Millis
 	nextStallCheck  clock.Millis
-	unansweredPolls map[upstream.ID]bool // polls without an answer
-	failedPolls     map[upstream.ID]int  // failed polls in a row of leaving upstreams
+	unansweredPolls map[upstream.ID]bool // upstreams with an unanswered poll
+	failedPolls     map[upstream.ID]int  // consecutive failed polls of leaving upstreams
 
-	queue []any // messages between the machines, in order
+	queue []any // queued messages between the state machines, in order
 	cmds  []Cmd
 }
 
-// service is what the core needs to know about a configured service.
+// service is a configured service.
 type service struct {
 	name       string
 	groups     int
@@ -67,7 +68,7 @@
 	overloaded bool
 }
 
-// call is one open request of a caller.
+// call is one open query or order of a caller.
 type call struct {
 	query        QueryMsg
 	order        OrderMsg
@@ -77,7 +78,7 @@
 	arrivedAt    clock.Millis
 	budget       clock.Millis
 	running      bool // admitted
-	disconnected bool // its caller does not wait any more
+	disconnected bool // its caller disconnected
 	preset       string
 	revision     uint64
 }
@@ -131,11 +132,12 @@
 	return all
 }
 
-// unlimited is a limit that is never reached.
+// unlimited is a limit, or an interval in ms, that is never reached.
 const unlimited = 1 << 40
 
-// admissionOptions starts the limit of each service at this VM's share of the
-// connections. It may grow to the whole, because load on the VMs is uneven.
+// admissionOptions sets the initial limit of each service to this VM's share of
+// the connections. The limit may grow to all connections, because the load on
+// the VMs is uneven.
 func admissionOptions(cfg config) []admission.Option {
 	var opts []admission.Option
 	if cfg.admitAll {
@@ -180,7 +182,8 @@
 	return c.cmds
 }
 
-// processQueue passes messages between the machines until none is left.
+// processQueue passes queued messages to the state machines until the queue is
+// empty.
 func (c *Core) processQueue(now clock.Millis) {
 	for i := 0; i < len(c.queue); i++ {
 		switch m := c.queue[i].(type) {
@@ -204,8 +207,9 @@
 
 func (c *Core) emit(cmd Cmd) { c.cmds = append(c.cmds, cmd) }
 
-// event adds an event to the time line. Machines know a request by its call
-// number; callers and operators know it by the id of the caller.
+// event adds an event to the event ring. The state machines identify a request
+// by its call number, callers and operators by the identifier that the caller
+// chose, so the first is replaced by the second.
 func (c *Core) event(now clock.Millis, ev timeline.Event) {
 	if n, err := strconv.ParseUint(ev.Request, 10, 64); err == nil {
 		if cl := c.calls[n]; cl != nil {
--- a/vm/forward.go
+++ b/vm/forward.go
@@ -9,14 +9,15 @@
 
 const (
 	// forwardGraceMs is how long after its deadline a forwarded attempt may still
-	// be answered.
+	// be answered before it counts as timed out.
 	forwardGraceMs = clock.Second
-	// unreachableMs is how long a VM whose connection broke is not chosen while the
-	// other carrier is available. Membership decides within this time.
+	// unreachableMs is how long a VM whose connection broke is not chosen while
+	// the other carrier is available. Membership detects a failed VM within this
+	// time.
 	unreachableMs = 2 * clock.Second
 )
 
-// forward is an attempt that another VM runs for this one.
+// forward is an attempt of this VM that a carrier, another VM, runs.
 type forward struct {
 	req      attempt.Request
 	carrier  string
@@ -24,11 +25,11 @@
 	rerouted bool
 }
 
-// forwards tracks the attempts at other VMs.
+// forwards tracks the attempts forwarded to other VMs.
 type forwards struct {
 	open             map[attempt.ID]*forward
-	unreachableUntil map[string]clock.Millis // until when a VM is avoided
-	lastReceived     map[string]clock.Millis // when a VM last sent something
+	unreachableUntil map[string]clock.Millis // per VM, the end of the time in which it is not chosen
+	lastReceived     map[string]clock.Millis // per VM, when a message from it last arrived
 }
 
 func newForwards() *forwards {
@@ -51,8 +52,8 @@
 	return now < fs.unreachableUntil[vmID]
 }
 
-// takeMatching removes the forwards that match, ordered by attempt so that one
-// seed gives one history.
+// takeMatching removes and returns the forwards that match. They are sorted by
+// attempt, so that runs with the same seed are identical.
 func (fs *forwards) takeMatching(match func(*forward) bool) []*forward {
 	var out []*forward
 	for id, f := range fs.open {
@@ -70,7 +71,8 @@
 	return out
 }
 
-// handlePeerDown ends the attempts at a VM whose connection broke. They may have run.
+// handlePeerDown fails the attempts forwarded to a VM whose connection broke.
+// They may have run.
 func (c *Core) handlePeerDown(now clock.Millis, peer string) {
 	failed := c.forwards.takeMatching(func(f *forward) bool { return f.carrier == peer })
 	if len(failed) > 0 {
@@ -87,7 +89,8 @@
 	c.deliverReply(now, r)
 }
 
-// handlePeerUnsent handles a message that never left. A forward is proven not run.
+// handlePeerUnsent handles a message that was never sent. An attempt in it has
+// provably not run.
 func (c *Core) handlePeerUnsent(now clock.Millis, m PeerUnsentMsg) {
 	fwd, ok := m.Body.(Forward)
 	if !ok {
@@ -95,7 +98,7 @@
 	}
 	c.forwards.unreachableUntil[m.To] = now + unreachableMs
 	f := c.forwards.open[fwd.Request.ID]
-	if f == nil || f.carrier != m.To { // the report is doubled: the attempt is at another carrier by now
+	if f == nil || f.carrier != m.To { // duplicate report: the attempt was already rerouted to another carrier
 		return
 	}
 	delete(c.forwards.open, fwd.Request.ID)
@@ -106,14 +109,14 @@
 	c.deliverReply(now, attempt.Reply{ID: f.req.ID, Upstream: f.req.Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted})
 }
 
-// handleResult accepts a result only from the VM that was asked. After a
-// rerouted forward, a doubled answer of the first carrier does not prove that
-// the second carrier has not run an order, so it is dropped.
+// handleResult accepts a result only from the VM to which the attempt was
+// forwarded. After rerouting, a duplicate result of the first carrier does not
+// prove that the second carrier has not run an order, so it is dropped.
 func (c *Core) handleResult(now clock.Millis, from string, r attempt.Reply) {
 	f := c.forwards.open[r.ID]
 	if f == nil || f.carrier != from {
 		if r.Status != attempt.Cancelled && r.ID.Seq&orderSeqBit == 0 {
-			c.deliverReply(now, r) // the machine that sent it counts and drops a late reply
+			c.deliverReply(now, r) // the query machine counts and drops late replies
 		}
 		return
 	}
--- a/vm/forward_test.go
+++ b/vm/forward_test.go
@@ -15,7 +15,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// cluster runs three cores over one store and keeps the forwards instead of delivering them.
+// cluster runs three cores over one store. It captures forwards instead of
+// delivering them.
 type cluster struct {
 	now      clock.Millis
 	cores    map[string]*vm.Core
@@ -24,7 +25,7 @@
 	answers  []vm.OrderAnswer
 }
 
-// newCluster returns three members; "a" carries none of the upstreams.
+// newCluster returns three members; "a" is a carrier of none of the upstreams.
 func newCluster() *cluster {
 	t := &cluster{now: 1_700_000_000_000, cores: make(map[string]*vm.Core), entries: make(map[string]store.Entry)}
 	group := upstream.Group{Name: "g"}
@@ -88,8 +89,9 @@
 	return reply
 }
 
-// TestForwardedOrder guards against an order that reaches two upstreams because
-// a doubled or late report about one carrier is taken for the other's.
+// TestForwardedOrder guards against an order that is sent to two upstreams
+// because a duplicate or late report about one carrier is attributed to the
+// other.
 func TestForwardedOrder(t *testing.T) {
 	type event func(first, last vm.SendPeerCmd) vm.Msg
 	result := func(s attempt.Status, of func(first, last vm.SendPeerCmd) vm.SendPeerCmd) event {
@@ -108,7 +110,7 @@
 		events   []event
 		forwards int
 		attempts int
-		outcome  order.Outcome // empty while the order is open
+		outcome  order.Outcome // empty if the order is still open
 	}{
 		{"not carrier doubled", []event{result(attempt.NotCarrier, first), result(attempt.NotCarrier, first)}, 2, 1, ""},
 		{"shed by a former carrier", []event{result(attempt.NotCarrier, first), result(attempt.Shed, first)}, 2, 1, ""},
--- a/vm/handle.go
+++ b/vm/handle.go
@@ -14,12 +14,13 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// pollIntervalMs is how often a carrier asks its upstreams for their load. A
-// leaving upstream without traffic must be noticed and spread within 3 s.
+// pollIntervalMs is how often a carrier polls the load of its upstreams. The
+// draining of an upstream without traffic must be detected and disseminated to
+// all VMs within 3 s.
 const pollIntervalMs = clock.Second
 
-// stoppedAfterPolls is how many polls in a row must fail before a leaving upstream
-// counts as stopped. One may fail because the upstream is slow.
+// stoppedAfterPolls is how many consecutive polls must fail before a leaving
+// upstream counts as stopped. One may fail because the upstream is slow.
 const stoppedAfterPolls = 2
 
 func (c *Core) handle(now clock.Millis, msg Msg) {
@@ -95,8 +96,8 @@
 	}
 }
 
-// pollUpstreams asks every upstream that this VM carries for its load. An
-// upstream that has not answered the last poll is not asked again.
+// pollUpstreams polls the load of every upstream of which this VM is a carrier.
+// An upstream whose last poll is unanswered is not polled again.
 func (c *Core) pollUpstreams() {
 	for _, id := range c.carriers.upstreams {
 		up := upstream.ID(id)
@@ -107,12 +108,14 @@
 	}
 }
 
-// handleLoad uses only what is binding: that the upstream leaves or takes
-// work again, and which snapshots it holds. Health and load figures lag.
+// handleLoad uses only the binding part of a load report: whether the upstream
+// is leaving, and which snapshots it holds. The health and load figures are
+// ignored because they lag.
 //
-// A leaving upstream is back only after it was gone: its endpoint, which may
-// lag or mislead, failed to answer for several polls and then answers without
-// leaving. Otherwise only the expiry of the report ends the drain.
+// A leaving upstream counts as back only after a restart: its load endpoint,
+// which may be stale or wrong, failed several polls and then answers without
+// the leaving flag. Otherwise only the expiry of the leaving report ends the
+// drain.
 func (c *Core) handleLoad(now clock.Millis, m LoadMsg) {
 	delete(c.unansweredPolls, m.Upstream)
 	leaving := c.fleet.UpstreamLeaving(m.Upstream)
--- a/vm/handover.go
+++ b/vm/handover.go
@@ -6,33 +6,35 @@
 )
 
 const (
-	// handoverMs is how long a new carrier leaves the connections to its
-	// predecessor. A change of the live list reaches every VM within about 3 s.
+	// handoverMs is how long a new carrier limits its connections, so that the
+	// former carrier can close its own. A change of the live list reaches every
+	// VM within about 3 s.
 	handoverMs = 4 * clock.Second
 	// handoverPercent is the share of an upstream's connection limit that a new
-	// carrier may open meanwhile: half the headroom, because both carriers may
-	// change at once.
+	// carrier may open during the handover: half the headroom, because both
+	// carriers may change at once.
 	handoverPercent = (100 - 2*connectionSharePercent) / 2
-	// handoverCheckMs is how often a new carrier looks whether its predecessors
-	// have died meanwhile.
+	// handoverCheckMs is how often a new carrier checks whether the former
+	// carriers are dead, which ends the handover early.
 	handoverCheckMs = 200
 )
 
-// handovers holds the upstreams whose connections this VM takes over.
+// handovers holds the upstreams of which this VM has just become a carrier.
 type handovers struct {
 	open      map[string]handover
-	nextCheck clock.Millis // when to look at them, 0 if there is none
+	nextCheck clock.Millis // time of the next check, 0 if no handover is open
 }
 
-// handover is the change of one carrier of one upstream.
+// handover is the time in which this VM and a former carrier may both hold
+// connections to one upstream.
 type handover struct {
 	deadline       clock.Millis
-	formerCarriers []string // former carriers that may still hold connections
+	formerCarriers []string // former carriers, which may still hold connections
 }
 
-// startHandover notes that the carriers of an upstream changed. A new carrier
-// starts with few connections, because the former ones close theirs only once
-// they know of the change. Those of a dead VM are closed.
+// startHandover handles a change of the carriers of an upstream. A new carrier
+// starts with few connections, because the former carriers close theirs only
+// when the change has reached them. The connections of a dead VM are closed.
 func (c *Core) startHandover(now clock.Millis, id string, oldLoads []carrierLoad) {
 	h := &c.handovers
 	if !c.carriers.IsCarrier(id, c.self.ID) {
@@ -54,8 +56,9 @@
 	}
 }
 
-// done reports whether a new carrier may open its whole share. A VM that knew
-// no former carrier has just started, and waits for its first view of the fleet.
+// done reports whether a new carrier may open its whole share. A VM without
+// former carriers has just started; its handover lasts the full time, until it
+// has its first view of the membership.
 func (h *handover) done(now clock.Millis, notDead map[string]bool) bool {
 	if now >= h.deadline {
 		return true
@@ -68,8 +71,8 @@
 	return len(h.formerCarriers) > 0
 }
 
-// notDead returns the members that are not known to be dead. Those that are
-// missing were forgotten some time after their death.
+// notDead returns the members that are not known to be dead. A former member
+// that is absent from the membership was removed some time after it died.
 func (c *Core) notDead() map[string]bool {
 	out := make(map[string]bool)
 	for _, v := range c.fleet.Members() {
@@ -80,7 +83,8 @@
 	return out
 }
 
-// finishHandovers raises the limits whose time has come.
+// finishHandovers ends the handovers that are done and raises their connection
+// limits.
 func (c *Core) finishHandovers(now clock.Millis) {
 	h := &c.handovers
 	if h.nextCheck == 0 || now < h.nextCheck {
--- a/vm/member.go
+++ b/vm/member.go
@@ -11,7 +11,8 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// orderOwner routes answers of the store to the order machine.
+// orderOwner marks store requests of the order machine, so that the replies are
+// routed to it.
 const orderOwner = "order"
 
 func (c *Core) handleFleetCmds(now clock.Millis, cmds []fleet.Cmd) {
@@ -105,7 +106,8 @@
 	}
 }
 
-// handleForward runs an attempt for another VM if this VM carries the upstream.
+// handleForward runs an attempt of another VM if this VM is a carrier of the
+// upstream.
 func (c *Core) handleForward(now clock.Millis, from string, req attempt.Request) {
 	if !c.carriers.IsCarrier(req.Upstream, c.self.ID) {
 		c.sendPeer(now, from, Result{Reply: attempt.Reply{
@@ -125,8 +127,8 @@
 	}
 }
 
-// sendPeer sends to a member by identifier. A message to a VM that is not a
-// member is reported as unsent by the runtime, because it has no address.
+// sendPeer sends a message to a member. The runtime reports a message to a VM
+// that is not a member as unsent, because it has no address.
 func (c *Core) sendPeer(now clock.Millis, to string, body PeerBody) {
 	c.emit(SendPeerCmd{To: to, Address: c.fleet.Address(to), Stamp: c.ring.NextTimestamp(now), Body: body})
 }
--- a/vm/message.go
+++ b/vm/message.go
@@ -13,16 +13,16 @@
 // Msg is an input of a Core.
 type Msg interface{ vmMsg() }
 
-// QueryMsg is an idempotent request from a caller. Call is unique per process
-// and routes the answer back, because callers choose ID freely.
+// QueryMsg is an idempotent request from a caller. CallID is unique per process
+// and correlates the answer with its request, because callers choose ID freely.
 type QueryMsg struct {
 	CallID      uint64
 	ID          string
 	Rank        rank.Rank
 	Service     string
 	Body        []byte
-	BudgetMs    clock.Millis // 0 means the default of the preset
-	MinCoverage float64      // percent; negative means the default of the preset
+	BudgetMs    clock.Millis // 0 selects the default of the preset
+	MinCoverage float64      // percent; negative selects the default of the preset
 }
 
 // OrderMsg is a non-idempotent request from a caller.
@@ -35,16 +35,17 @@
 	Body    []byte
 }
 
-// CallerDisconnectedMsg says that nobody waits for the answer any more.
+// CallerDisconnectedMsg reports that the caller disconnected and no longer needs
+// an answer.
 type CallerDisconnectedMsg struct{ CallID uint64 }
 
 // ReplyMsg is the reply to a DispatchCmd.
 type ReplyMsg struct{ Reply attempt.Reply }
 
-// AbortedMsg says that the connection of an aborted attempt is closed.
+// AbortedMsg reports that the connection of an aborted attempt is closed.
 type AbortedMsg struct{ ID attempt.ID }
 
-// LoadMsg is the answer to a PollLoadCmd. OK is false if there was none.
+// LoadMsg is the result of a PollLoadCmd. OK is false if the poll failed.
 type LoadMsg struct {
 	Upstream upstream.ID
 	Load     upstream.Load
@@ -54,19 +55,19 @@
 // StoreMsg is the result of a StoreCmd.
 type StoreMsg struct{ Reply store.Reply }
 
-// VMListMsg is the VM list as last read.
+// VMListMsg is the VM list as read most recently.
 type VMListMsg struct{ VMs []fleet.VM }
 
-// PresetRecordMsg is a record that this VM has just committed to the store.
+// PresetRecordMsg is a preset record that this VM has just committed to the store.
 type PresetRecordMsg struct{ Record preset.Record }
 
-// PresetSwitchedMsg says that this VM has carried out an operator's change.
+// PresetSwitchedMsg reports that this VM has committed an operator's change.
 type PresetSwitchedMsg struct{ Change preset.AppliedChange }
 
-// StopMsg begins a planned stop.
+// StopMsg starts a graceful shutdown.
 type StopMsg struct{}
 
-// TickMsg reports that the time of NextWake has come.
+// TickMsg reports that the time returned by NextWake has passed.
 type TickMsg struct{}
 
 func (QueryMsg) vmMsg()              {}
--- a/vm/options.go
+++ b/vm/options.go
@@ -20,7 +20,7 @@
 	stallTimeout  clock.Millis
 }
 
-// Routing says how attempts reach upstreams.
+// Routing selects how attempts reach upstreams.
 type Routing uint8
 
 // RouteCarriers sends attempts through the two carriers of the upstream.
@@ -33,13 +33,13 @@
 // Option configures a Core.
 type Option func(*config)
 
-// WithSelf sets the identity of this VM. Its incarnation must be new at each start.
+// WithSelf sets the identity of this VM. Each start needs a new incarnation.
 func WithSelf(v fleet.VM) Option { return func(c *config) { c.self = v } }
 
 // WithSeed seeds the random choices.
 func WithSeed(seed uint64) Option { return func(c *config) { c.seed = seed } }
 
-// WithSeedVMs sets VMs to contact before the VM list is known.
+// WithSeedVMs sets the VMs to contact before the VM list has been read.
 func WithSeedVMs(vms ...fleet.VM) Option {
 	return func(c *config) { c.seedVMs = append(c.seedVMs, vms...) }
 }
@@ -49,25 +49,25 @@
 	return func(c *config) { c.services = append(c.services, list...) }
 }
 
-// WithInitialRecord sets the record that is written when the store has none.
+// WithInitialRecord sets the record to write if the store has none.
 func WithInitialRecord(r preset.Record) Option { return func(c *config) { c.initialRecord = r } }
 
-// WithRingEvents sets how many events the VM keeps.
+// WithRingEvents sets the capacity of the event ring.
 func WithRingEvents(n int) Option { return func(c *config) { c.ringEvents = n } }
 
 // WithRouting sets how attempts reach upstreams.
 func WithRouting(r Routing) Option { return func(c *config) { c.routing = r } }
 
 // WithFleetSize sets the expected number of VMs, from which the admission
-// limits start. They adapt afterwards.
+// limits start; the limits adapt afterwards.
 func WithFleetSize(n int) Option { return func(c *config) { c.fleetSize = n } }
 
-// WithoutAdmissionControl admits every query at once. Experiments use it as their
-// baseline.
+// WithoutAdmissionControl admits every query immediately. Experiments use it as
+// their baseline.
 func WithoutAdmissionControl() Option { return func(c *config) { c.admitAll = true } }
 
-// WithStallTimeout sets how long a carrier may be silent while it owes results; 0
-// leaves the detection to membership.
+// WithStallTimeout sets how long a carrier may send nothing while results are
+// due from it. With 0, only membership detects a stalled carrier.
 func WithStallTimeout(d clock.Millis) Option { return func(c *config) { c.stallTimeout = d } }
 
 func newConfig(opts []Option) config {
--- a/vm/peer.go
+++ b/vm/peer.go
@@ -9,25 +9,25 @@
 // PeerBody is the content of a message between VMs.
 type PeerBody interface{ PeerBody() }
 
-// Forward asks the receiver, a carrier of the upstream, to run an attempt.
+// Forward requests that the receiver, a carrier of the upstream, run an attempt.
 type Forward struct{ Request attempt.Request }
 
 // Result returns the reply of a forwarded attempt.
 type Result struct{ Reply attempt.Reply }
 
-// CancelForward withdraws a forwarded attempt.
+// CancelForward cancels a forwarded attempt.
 type CancelForward struct {
 	ID       attempt.ID
 	Upstream string
 }
 
-// FleetMessage carries a membership payload.
+// FleetMessage contains a membership payload of package fleet.
 type FleetMessage struct{ Payload []byte }
 
-// ClaimRequest asks the owner of a partition for a change of one claim.
+// ClaimRequest requests a change of one claim from the owner of its partition.
 type ClaimRequest struct{ Msg order.ClaimRequestMsg }
 
-// ClaimResponse answers a Claim.
+// ClaimResponse is the response to a ClaimRequest.
 type ClaimResponse struct{ Msg order.ClaimResponseMsg }
 
 // PeerBody marks messages between VMs.
@@ -55,7 +55,7 @@
 	Body  PeerBody
 }
 
-// PeerUnsentMsg reports that a message certainly never left this VM.
+// PeerUnsentMsg reports that a message was provably never sent.
 type PeerUnsentMsg struct {
 	To   string
 	Body PeerBody
@@ -73,24 +73,24 @@
 	Body    PeerBody
 }
 
-// AdminKind says what an Ask wants to know.
+// AdminKind selects what an AdminRequest returns.
 type AdminKind uint8
 
-// AdminStatus asks for the Status, AdminEvents for events of the time line.
+// AdminStatus returns the Status, AdminEvents the events in the event ring.
 const (
 	AdminStatus AdminKind = iota
 	AdminEvents
 )
 
-// AdminRequest is an operator's question that one VM passes to another. Runtimes answer
-// it from the accessors of their Core; the Core itself ignores it.
+// AdminRequest is an operator's request that one VM sends to another. The
+// runtime answers it from the accessors of its Core; the Core ignores it.
 type AdminRequest struct {
 	ID      uint64
 	Kind    AdminKind
 	Payload []byte // JSON of a timeline.Filter for AdminEvents
 }
 
-// AdminResponse answers an Ask with a JSON document.
+// AdminResponse is the response to an AdminRequest, a JSON document.
 type AdminResponse struct {
 	ID      uint64
 	Payload []byte
--- a/vm/route.go
+++ b/vm/route.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// chooseCarrier returns the carrier through which the attempt should end first.
-// Alternation alone would leave connections of one carrier idle while work
-// waits at the other.
+// chooseCarrier returns the carrier with the lower expected time. Alternating
+// between the two would leave connections of one carrier idle while attempts
+// are queued at the other.
 func (c *Core) chooseCarrier(now clock.Millis, req attempt.Request) string {
 	if c.routing == RouteDirect {
 		return c.self.ID
@@ -81,15 +81,16 @@
 	return to
 }
 
-// shouldAvoid reports whether a carrier cannot be reached or has just refused an
-// attempt on the upstream.
+// shouldAvoid reports whether a carrier is unreachable or has recently replied
+// not_carrier for the upstream.
 func (c *Core) shouldAvoid(now clock.Millis, up, carrier string) bool {
 	l := c.loadOf(up, carrier)
 	return c.forwards.isUnreachable(now, carrier) || (l != nil && now < l.avoidUntil)
 }
 
-// reroute tries the other carrier after a carrier gave up the upstream's
-// connections. Nothing was sent, so no retry budget is spent.
+// reroute sends the attempt to the other carrier if the first one is
+// unreachable or no longer a carrier. Nothing was sent to the upstream, so this
+// uses no retry budget.
 func (c *Core) reroute(now clock.Millis, f *forward) bool {
 	if f.rerouted || f.req.Deadline <= now {
 		return false
@@ -111,7 +112,8 @@
 	return false
 }
 
-// deliverReply passes the reply of one of this VM's own attempts to the machine that sent it.
+// deliverReply passes the reply to one of this VM's own attempts to the state
+// machine that sent it.
 func (c *Core) deliverReply(now clock.Millis, r attempt.Reply) {
 	if r.ID.Seq&orderSeqBit == 0 {
 		c.enqueue(query.ReplyMsg{Reply: r})
@@ -143,7 +145,7 @@
 	}
 }
 
-// returnReply returns a reply to the VM that asked for the attempt.
+// returnReply returns a reply to the VM from which the attempt came.
 func (c *Core) returnReply(now clock.Millis, to string, r attempt.Reply) {
 	if r.Status == attempt.NotSent && c.pool.Limit(r.Upstream) == 0 {
 		r.Status = attempt.NotCarrier
--- a/vm/stall.go
+++ b/vm/stall.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// defaultStallTimeout is how long a carrier may be silent while it owes results.
-	// Membership takes seconds to suspect a paused VM, longer than the deadline
-	// of urgent work; a VM without power closes no connection either.
+	// defaultStallTimeout is how long a carrier may send nothing while results
+	// are due from it. Membership takes seconds to suspect a paused VM, longer
+	// than the deadline of urgent requests, and a VM that lost power does not
+	// close its connections either.
 	defaultStallTimeout clock.Millis = 150
-	// stallCheckMs is how often open forwards are looked at.
+	// stallCheckMs is how often open forwards are checked for stalled carriers.
 	stallCheckMs clock.Millis = 50
 )
 
-// markReceived notes that a VM sent something.
+// markReceived records that a message from a VM arrived.
 func (fs *forwards) markReceived(from string, now clock.Millis) { fs.lastReceived[from] = now }
 
-// stalled reports whether the VM that runs f has been silent since f was sent,
-// for longer than limit.
+// stalled reports whether the carrier of f has sent nothing since f was sent,
+// for at least limit.
 func (fs *forwards) stalled(f *forward, now, limit clock.Millis) bool {
 	return now-f.sentAt >= limit && fs.lastReceived[f.carrier] < f.sentAt
 }
 
-// checkStalls ends the queries' attempts at VMs that fell silent, so that they
-// are retried through the other carrier. An order's attempt stays open: its
-// outcome is unknown, and only a reply can settle it.
+// checkStalls fails the query attempts forwarded to stalled VMs, so that they
+// are retried through the other carrier. An order attempt stays open: its
+// outcome is unknown, and only a reply can resolve it.
 func (c *Core) checkStalls(now clock.Millis) {
 	if c.stallTimeout <= 0 || now < c.nextStallCheck {
 		return
@@ -49,7 +50,8 @@
 	}
 }
 
-// stallWake returns when open forwards have to be looked at.
+// stallWake returns when open forwards are next checked for stalled
+// carriers.
 func (c *Core) stallWake() (clock.Millis, bool) {
 	return c.nextStallCheck, c.stallTimeout > 0 && len(c.forwards.open) > 0
 }
--- a/vm/status.go
+++ b/vm/status.go
@@ -13,7 +13,7 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// NextWake returns when the core wants a TickMsg.
+// NextWake returns when the core needs its next TickMsg.
 func (c *Core) NextWake() (clock.Millis, bool) {
 	wake := c.nextPoll
 	if c.handovers.nextCheck > 0 {
@@ -33,7 +33,8 @@
 // OpenConnections returns the connections of this VM to an upstream, busy and idle.
 func (c *Core) OpenConnections(id string) int { return c.pool.OpenConns(id) }
 
-// Ready reports whether the balancer may send requests, and why not.
+// Ready reports whether the load balancer may send requests to this VM, and the
+// reason if it may not.
 func (c *Core) Ready() (bool, string) {
 	switch {
 	case c.stopping:
@@ -44,16 +45,16 @@
 	return true, ""
 }
 
-// Drained reports whether a stopping VM has nothing left to do.
+// Drained reports whether a stopping VM has no pending work.
 func (c *Core) Drained(now clock.Millis) bool { return c.stopping && len(c.PendingWork(now)) == 0 }
 
 // OnlyStoreWritesPending reports whether a stopping VM has finished all requests and
-// attempts, and waits only for the store to take marks and releases of orders.
+// attempts, and only store writes of order marks and releases are pending.
 func (c *Core) OnlyStoreWritesPending(now clock.Millis) bool {
 	return len(c.calls) == 0 && c.admission.Idle() && c.pool.Idle() && c.fleet.StopAnnounced(now)
 }
 
-// PendingWork names what keeps a stopping VM from being drained.
+// PendingWork lists the work that a stopping VM must finish before it is drained.
 func (c *Core) PendingWork(now clock.Millis) []string {
 	var out []string
 	add := func(name string, done bool) {
@@ -76,7 +77,7 @@
 // Record returns the record in force.
 func (c *Core) Record() preset.Record { return c.fleet.Record() }
 
-// Events returns the kept events that match f.
+// Events returns the events in the ring that match f.
 func (c *Core) Events(f timeline.Filter) []timeline.Event { return c.ring.Events(f) }
 
 // Members returns all known members.
@@ -85,13 +86,13 @@
 // QueryTotals returns the totals of a rank.
 func (c *Core) QueryTotals(r rank.Rank) query.Totals { return c.queries.Totals(r) }
 
-// DroppedReplies returns how many replies were dropped for a reason.
+// DroppedReplies returns how many replies were dropped for the given reason.
 func (c *Core) DroppedReplies(d query.DropReason) int { return c.queries.Dropped(d) }
 
 // OrderStats returns the totals of the order machine.
 func (c *Core) OrderStats() order.Stats { return c.orders.Stats() }
 
-// OpenForwards returns the number of attempts at other VMs.
+// OpenForwards returns the number of open attempts forwarded to other VMs.
 func (c *Core) OpenForwards() int { return len(c.forwards.open) }
 
 // RankLoad is the load of one rank of one service.
@@ -112,7 +113,7 @@
 	Retries        int       `json:"retries"`
 }
 
-// Status is what a VM reports to operators.
+// Status is the state of a VM as reported to operators.
 type Status struct {
 	VM         string             `json:"vm"`
 	DataCentre string             `json:"data_centre"`
@@ -130,7 +131,7 @@
 	Totals     []RankTotals       `json:"totals"`
 }
 
-// Status describes the VM at now.
+// Status returns the state of the VM at now.
 func (c *Core) Status(now clock.Millis) Status {
 	ready, reason := c.Ready()
 	s := Status{
