--- a/vm/forward_test.go
+++ b/vm/forward_test.go
@@ -112,12 +112,12 @@
 		attempts int
 		outcome  order.Outcome // empty if the order is still open
 	}{
-		{"not carrier doubled", []event{result(attempt.NotCarrier, first), result(attempt.NotCarrier, first)}, 2, 1, ""},
+		{"duplicate not_carrier reply", []event{result(attempt.NotCarrier, first), result(attempt.NotCarrier, first)}, 2, 1, ""},
 		{"shed by a former carrier", []event{result(attempt.NotCarrier, first), result(attempt.Shed, first)}, 2, 1, ""},
-		{"unsent doubled", []event{unsent, unsent}, 2, 1, ""},
-		{"unsent after not carrier", []event{result(attempt.NotCarrier, first), unsent}, 2, 1, ""},
-		{"shed after the link broke", []event{down, result(attempt.Shed, first)}, 1, 1, order.OutcomeUnknown},
-		{"not carrier after the link broke", []event{down, result(attempt.NotCarrier, first)}, 1, 1, order.OutcomeUnknown},
+		{"duplicate unsent report", []event{unsent, unsent}, 2, 1, ""},
+		{"unsent after not_carrier reply", []event{result(attempt.NotCarrier, first), unsent}, 2, 1, ""},
+		{"shed after the connection broke", []event{down, result(attempt.Shed, first)}, 1, 1, order.OutcomeUnknown},
+		{"not_carrier reply after the connection broke", []event{down, result(attempt.NotCarrier, first)}, 1, 1, order.OutcomeUnknown},
 		{"first carrier down after rerouting", []event{result(attempt.NotCarrier, first), down}, 2, 1, ""},
 		{"shed proves not run", []event{result(attempt.Shed, first)}, 2, 2, ""},
 		{"no carrier left", []event{result(attempt.NotCarrier, first), result(attempt.NotCarrier, last)}, 3, 2, ""},
