--- a/preset/change.go
+++ b/preset/change.go
@@ -20,7 +20,7 @@
 // Apply performs c on rec. It is a pure function.
 func Apply(rec Record, c Change) (Record, error) {
 	if c.Preset != nil && c.SwitchTo != "" {
-		return rec, fail("apply", KindInvalid, "change %s: switch_to and preset exclude each other", c.ID)
+		return rec, newError("apply", KindInvalid, "change %s: switch_to and preset exclude each other", c.ID)
 	}
 	if c.Preset != nil {
 		return Edit(rec, c)
@@ -30,26 +30,26 @@
 
 // Switch puts another preset in force.
 func Switch(rec Record, c Change) (Record, error) {
-	if err := c.check("switch", &rec); err != nil {
+	if err := c.validate("switch", &rec); err != nil {
 		return rec, err
 	}
 	if _, ok := rec.FindPreset(c.SwitchTo); !ok {
-		return rec, fail("switch", KindNotFound, "switch_to: %q is not one of %v", c.SwitchTo, names(rec.Presets))
+		return rec, newError("switch", KindNotFound, "switch_to: %q is not one of %v", c.SwitchTo, presetNames(rec.Presets))
 	}
-	next := advance(rec, c)
+	next := nextRecord(rec, c)
 	next.InForce = c.SwitchTo
 	return next, nil
 }
 
 // Edit replaces the preset with the name of c.Preset, or adds it.
 func Edit(rec Record, c Change) (Record, error) {
-	if err := c.check("edit", &rec); err != nil {
+	if err := c.validate("edit", &rec); err != nil {
 		return rec, err
 	}
 	if c.Preset == nil {
-		return rec, fail("edit", KindInvalid, "preset: must be set")
+		return rec, newError("edit", KindInvalid, "preset: must be set")
 	}
-	next := advance(rec, c)
+	next := nextRecord(rec, c)
 	i := slices.IndexFunc(next.Presets, func(p Preset) bool { return p.Name == c.Preset.Name })
 	if i < 0 {
 		next.Presets = append(next.Presets, *c.Preset)
@@ -62,25 +62,25 @@
 	return next, nil
 }
 
-func (c *Change) check(op string, rec *Record) error {
+func (c *Change) validate(op string, rec *Record) error {
 	switch {
 	case c.ID == "" || len(c.ID) > maxTextBytes:
-		return fail(op, KindInvalid, "change_id: must have 1 to %d bytes", maxTextBytes)
+		return newError(op, KindInvalid, "change_id: must have 1 to %d bytes", maxTextBytes)
 	case c.Author == "" || len(c.Author) > maxTextBytes:
-		return fail(op, KindInvalid, "author: must have 1 to %d bytes", maxTextBytes)
+		return newError(op, KindInvalid, "author: must have 1 to %d bytes", maxTextBytes)
 	case c.Reason == "" || len(c.Reason) > maxTextBytes:
-		return fail(op, KindInvalid, "reason: must have 1 to %d bytes", maxTextBytes)
+		return newError(op, KindInvalid, "reason: must have 1 to %d bytes", maxTextBytes)
 	case c.BaseRevision != 0 && c.BaseRevision != rec.Revision:
-		last := rec.LatestChange()
-		return fail(op, KindConflict, "revision is %d, not %d: %s", rec.Revision, c.BaseRevision, last)
+		latest := rec.LatestChange()
+		return newError(op, KindConflict, "revision is %d, not %d: %s", rec.Revision, c.BaseRevision, latest)
 	}
 	if past, ok := rec.FindChange(c.ID); ok {
-		return fail(op, KindConflict, "change_id %q was used: %s", c.ID, past)
+		return newError(op, KindConflict, "change_id %q was used: %s", c.ID, past)
 	}
 	return nil
 }
 
-func advance(rec Record, c Change) Record {
+func nextRecord(rec Record, c Change) Record {
 	next := rec
 	next.Presets = slices.Clone(rec.Presets)
 	next.History = append([]AppliedChange{rec.LatestChange()}, rec.History[:min(len(rec.History), MaxHistory-1)]...)
@@ -89,7 +89,7 @@
 	return next
 }
 
-func names(presets []Preset) []string {
+func presetNames(presets []Preset) []string {
 	list := make([]string, len(presets))
 	for i, p := range presets {
 		list[i] = p.Name
--- a/preset/codec.go
+++ b/preset/codec.go
@@ -22,7 +22,7 @@
 		return nil, &Error{op: "encode", kind: KindInvalid, err: err}
 	}
 	if len(b) > MaxRecordBytes {
-		return nil, fail("encode", KindInvalid, "record has %d bytes, at most %d are accepted", len(b), MaxRecordBytes)
+		return nil, newError("encode", KindInvalid, "record has %d bytes, at most %d are accepted", len(b), MaxRecordBytes)
 	}
 	return b, nil
 }
@@ -54,14 +54,14 @@
 
 func decodeStrict(b []byte, out any) error {
 	if len(b) > MaxRecordBytes {
-		return fail("decode", KindInvalid, "document has %d bytes, at most %d are accepted", len(b), MaxRecordBytes)
+		return newError("decode", KindInvalid, "document has %d bytes, at most %d are accepted", len(b), MaxRecordBytes)
 	}
-	d := json.NewDecoder(bytes.NewReader(b))
-	if err := d.Decode(out); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(b))
+	if err := decoder.Decode(out); err != nil {
 		return &Error{op: "decode", kind: KindInvalid, err: err}
 	}
-	if _, err := d.Token(); err != io.EOF {
-		return fail("decode", KindInvalid, "data after the document")
+	if _, err := decoder.Token(); err != io.EOF {
+		return newError("decode", KindInvalid, "data after the document")
 	}
 	if err := checkValue(json.NewDecoder(bytes.NewReader(b)), "", reflect.TypeOf(out).Elem()); err != nil {
 		return &Error{op: "decode", kind: KindInvalid, err: err}
--- a/preset/changer.go
+++ b/preset/committer.go
@@ -6,7 +6,7 @@
 )
 
 // Msg is an input of a Changer.
-type Msg interface{ changerMsg() }
+type Msg interface{ committerMsg() }
 
 // StartMsg begins the change.
 type StartMsg struct{}
@@ -17,12 +17,12 @@
 // TickMsg reports that the time of NextWake has come.
 type TickMsg struct{}
 
-func (StartMsg) changerMsg() {}
-func (StoreMsg) changerMsg() {}
-func (TickMsg) changerMsg()  {}
+func (StartMsg) committerMsg() {}
+func (StoreMsg) committerMsg() {}
+func (TickMsg) committerMsg()  {}
 
 // Cmd is an output of a Changer.
-type Cmd interface{ changerCmd() }
+type Cmd interface{ committerCmd() }
 
 // StoreCmd asks for one store call.
 type StoreCmd struct{ Request store.Request }
@@ -30,8 +30,8 @@
 // ResultCmd ends the change. It is returned exactly once.
 type ResultCmd struct{ Result Result }
 
-func (StoreCmd) changerCmd()  {}
-func (ResultCmd) changerCmd() {}
+func (StoreCmd) committerCmd()  {}
+func (ResultCmd) committerCmd() {}
 
 // Acceptance says whether a change was accepted by the store.
 type Acceptance string
@@ -64,15 +64,15 @@
 	deadline clock.Millis
 	tag      uint64
 
-	step    step
-	sent    clock.Millis
-	retryAt clock.Millis // 0 if a call is outstanding
-	base    store.Entry
-	next    Record
-	value   []byte
-	doubt   int  // swaps that may have taken effect without an answer
-	refused bool // a swap was answered with a conflict
-	last    Record
+	step            step
+	sentAt          clock.Millis
+	retryAt         clock.Millis // 0 if a call is outstanding
+	baseEntry       store.Entry
+	next            Record
+	encoded         []byte
+	unresolvedSwaps int  // swaps that may have taken effect without an answer
+	conflicted      bool // a swap was answered with a conflict
+	lastRead        Record
 }
 
 type step uint8
@@ -86,8 +86,8 @@
 )
 
 const (
-	callTimeout  clock.Millis = 1000 // a call without an answer counts as lost
-	retryPauseMs clock.Millis = 200
+	callTimeoutMs clock.Millis = 1000 // a call without an answer counts as lost
+	retryPauseMs  clock.Millis = 200
 )
 
 // NewCommitter returns a Changer that gives up at deadline. known is the newest
@@ -105,11 +105,11 @@
 	switch msg := msg.(type) {
 	case StartMsg:
 		if c.step == stepIdle {
-			return c.call(now, stepRead)
+			return c.startCall(now, stepRead)
 		}
 	case StoreMsg:
 		if msg.Reply.Tag == c.tag && c.retryAt == 0 {
-			return c.answered(now, msg.Reply)
+			return c.handleReply(now, msg.Reply)
 		}
 	}
 	return c.tick(now)
@@ -122,37 +122,37 @@
 	case now >= c.deadline:
 		return c.giveUp()
 	case c.retryAt != 0 && now >= c.retryAt:
-		return c.call(now, c.step)
-	case c.retryAt == 0 && now >= c.sent+callTimeout:
-		return c.failed(now, store.KindUnknown)
+		return c.startCall(now, c.step)
+	case c.retryAt == 0 && now >= c.sentAt+callTimeoutMs:
+		return c.handleFailure(now, store.KindUnknown)
 	}
 	return nil
 }
 
-func (c *Committer) call(now clock.Millis, s step) []Cmd {
-	c.step, c.sent, c.retryAt = s, now, 0
+func (c *Committer) startCall(now clock.Millis, s step) []Cmd {
+	c.step, c.sentAt, c.retryAt = s, now, 0
 	c.tag++
 	req := store.Request{Owner: "preset", Tag: c.tag, Op: store.OpGet, Key: StoreKey}
 	if s == stepSwap {
-		req.Op, req.Value, req.Expect = store.OpSwap, c.value, c.base.Revision
-		c.doubt++
+		req.Op, req.Value, req.Expect = store.OpSwap, c.encoded, c.baseEntry.Revision
+		c.unresolvedSwaps++
 	}
 	return []Cmd{StoreCmd{req}}
 }
 
-func (c *Committer) answered(now clock.Millis, r store.Reply) []Cmd {
+func (c *Committer) handleReply(now clock.Millis, r store.Reply) []Cmd {
 	if r.Kind != store.KindOK && r.Kind != store.KindConflict {
-		return c.failed(now, r.Kind)
+		return c.handleFailure(now, r.Kind)
 	}
 	switch c.step {
 	case stepRead:
-		return c.prepare(now, r.Entry)
+		return c.swapChange(now, r.Entry)
 	case stepSwap:
 		if r.Kind == store.KindOK {
 			return c.finish(Result{Accepted: Accepted, Record: c.next})
 		}
-		c.refused = true
-		return c.call(now, stepReadBack)
+		c.conflicted = true
+		return c.startCall(now, stepReadBack)
 	default:
 		return c.readBack(r.Entry)
 	}
--- a/preset/changer_result.go
+++ b/preset/committer_result.go
@@ -13,11 +13,11 @@
 	case c.retryAt != 0:
 		return min(c.retryAt, c.deadline), true
 	}
-	return min(c.sent+callTimeout, c.deadline), true
+	return min(c.sentAt+callTimeoutMs, c.deadline), true
 }
 
-// prepare applies the change to the record that was read.
-func (c *Committer) prepare(now clock.Millis, entry store.Entry) []Cmd {
+// swapChange applies the change to the record that was read.
+func (c *Committer) swapChange(now clock.Millis, entry store.Entry) []Cmd {
 	rec := c.known
 	if entry.Revision > 0 {
 		stored, err := Decode(entry.Value)
@@ -32,7 +32,7 @@
 	if rec.Revision == 0 {
 		rec = Default()
 	}
-	c.last = rec
+	c.lastRead = rec
 	if past, ok := rec.FindChange(c.change.ID); ok {
 		return c.finish(Result{Accepted: Accepted, Record: rec, Superseded: past.Revision != rec.Revision})
 	}
@@ -40,22 +40,22 @@
 	if err != nil {
 		return c.finish(Result{Accepted: NotAccepted, Record: rec, Err: err})
 	}
-	c.base, c.next = entry, next
-	if c.value, err = Encode(next); err != nil {
+	c.baseEntry, c.next = entry, next
+	if c.encoded, err = Encode(next); err != nil {
 		return c.finish(Result{Accepted: NotAccepted, Record: rec, Err: err})
 	}
-	return c.call(now, stepSwap)
+	return c.startCall(now, stepSwap)
 }
 
-// failed handles a call that the store did not answer or did not accept. The
+// handleFailure handles a call that the store did not answer or did not accept. The
 // same step is repeated until the deadline.
-func (c *Committer) failed(now clock.Millis, kind store.Kind) []Cmd {
+func (c *Committer) handleFailure(now clock.Millis, kind store.Kind) []Cmd {
 	if kind == store.KindTooLarge {
-		err := fail("change", KindInvalid, "the store refuses a record of %d bytes", len(c.value))
-		return c.finish(Result{Accepted: NotAccepted, Record: c.last, Err: err})
+		err := newError("change", KindInvalid, "the store refuses a record of %d bytes", len(c.encoded))
+		return c.finish(Result{Accepted: NotAccepted, Record: c.lastRead, Err: err})
 	}
 	if c.step == stepSwap && kind == store.KindUnavailable {
-		c.doubt-- // the store did not accept the call
+		c.unresolvedSwaps-- // the store did not accept the call
 	}
 	c.retryAt = now + retryPauseMs
 	if now >= c.deadline {
@@ -67,7 +67,7 @@
 // readBack looks for the change after a conflict.
 func (c *Committer) readBack(entry store.Entry) []Cmd {
 	if entry.Revision == 0 {
-		return c.finish(Result{Accepted: AcceptanceUnknown, Err: fail("change", KindUnknown, "the record was removed from the store")})
+		return c.finish(Result{Accepted: AcceptanceUnknown, Err: newError("change", KindUnknown, "the record was removed from the store")})
 	}
 	rec, err := Decode(entry.Value)
 	if err != nil {
@@ -77,21 +77,21 @@
 		return c.finish(Result{Accepted: Accepted, Record: rec, Superseded: past.Revision != rec.Revision})
 	}
 	if rec.Revision > c.next.Revision+uint64(len(rec.History)) {
-		err := fail("change", KindUnknown, "the history no longer reaches back to revision %d", c.next.Revision)
+		err := newError("change", KindUnknown, "the history no longer reaches back to revision %d", c.next.Revision)
 		return c.finish(Result{Accepted: AcceptanceUnknown, Record: rec, Err: err})
 	}
-	err = fail("change", KindConflict, "not in force, another change came first: %s", rec.LatestChange())
+	err = newError("change", KindConflict, "not in force, another change came first: %s", rec.LatestChange())
 	return c.finish(Result{Accepted: NotAccepted, Record: rec, Err: err})
 }
 
 func (c *Committer) giveUp() []Cmd {
-	if c.doubt > 0 || c.refused {
-		err := fail("change", KindUnknown,
+	if c.unresolvedSwaps > 0 || c.conflicted {
+		err := newError("change", KindUnknown,
 			"the store did not say whether the write took effect; look for change %s in the history before repeating it", c.change.ID)
-		return c.finish(Result{Accepted: AcceptanceUnknown, Record: c.last, Err: err})
+		return c.finish(Result{Accepted: AcceptanceUnknown, Record: c.lastRead, Err: err})
 	}
-	err := fail("change", KindUnavailable, "the store cannot be reached; the change was not written and is not in force")
-	return c.finish(Result{Accepted: NotAccepted, Record: c.last, Err: err})
+	err := newError("change", KindUnavailable, "the store cannot be reached; the change was not written and is not in force")
+	return c.finish(Result{Accepted: NotAccepted, Record: c.lastRead, Err: err})
 }
 
 func (c *Committer) finish(r Result) []Cmd {
--- a/preset/changer_test.go
+++ b/preset/committer_test.go
@@ -82,23 +82,23 @@
 	return preset.Result{}
 }
 
-// TestChangerTellsTheTruth guards against a report to the operator that the store contradicts.
-func TestChangerTellsTheTruth(t *testing.T) {
-	forever := make([]string, 200)
-	for i := range forever {
-		forever[i] = "down"
+// TestCommitterResultMatchesStore guards against a report to the operator that the store contradicts.
+func TestCommitterResultMatchesStore(t *testing.T) {
+	downForever := make([]string, 200)
+	for i := range downForever {
+		downForever[i] = "down"
 	}
-	silent := make([]string, 200)
-	for i := range silent {
-		silent[i] = "silent"
+	silentForever := make([]string, 200)
+	for i := range silentForever {
+		silentForever[i] = "silent"
 	}
 	tests := []struct {
-		name   string
-		faults []string
-		base   uint64
-		want   preset.Acceptance
-		kind   preset.Kind
-		later  bool
+		name       string
+		faults     []string
+		base       uint64
+		want       preset.Acceptance
+		kind       preset.Kind
+		superseded bool
 	}{
 		{name: "no fault", want: preset.Accepted},
 		{name: "answer lost after the write", faults: []string{"", "lost after"}, want: preset.Accepted},
@@ -106,11 +106,11 @@
 		{name: "request lost before the write", faults: []string{"", "lost before"}, want: preset.Accepted},
 		{name: "short outage", faults: []string{"down", "down", "", "down"}, want: preset.Accepted},
 		{name: "rival between read and write", faults: []string{"", "rival"}, want: preset.NotAccepted, kind: preset.KindConflict},
-		{name: "lost after the write, then rival", faults: []string{"", "lost after", "rival"}, want: preset.Accepted, later: true},
+		{name: "lost after the write, then rival", faults: []string{"", "lost after", "rival"}, want: preset.Accepted, superseded: true},
 		{name: "lost before the write, then rival", faults: []string{"", "lost before", "rival"}, want: preset.NotAccepted, kind: preset.KindConflict},
-		{name: "outage", faults: forever, want: preset.NotAccepted, kind: preset.KindUnavailable},
-		{name: "outage right after the write", faults: append([]string{"", "lost after"}, forever...), want: preset.AcceptanceUnknown, kind: preset.KindUnknown},
-		{name: "silence from the first write on", faults: append([]string{""}, silent...), want: preset.AcceptanceUnknown, kind: preset.KindUnknown},
+		{name: "outage", faults: downForever, want: preset.NotAccepted, kind: preset.KindUnavailable},
+		{name: "outage right after the write", faults: append([]string{"", "lost after"}, downForever...), want: preset.AcceptanceUnknown, kind: preset.KindUnknown},
+		{name: "silence from the first write on", faults: append([]string{""}, silentForever...), want: preset.AcceptanceUnknown, kind: preset.KindUnknown},
 		{name: "old base", base: 9, want: preset.NotAccepted, kind: preset.KindConflict},
 	}
 	for _, tt := range tests {
@@ -119,13 +119,13 @@
 			s := &fakeStore{entry: store.Entry{Value: value, Revision: 4}, faults: tt.faults}
 			change := preset.Change{ID: "mine", Author: "ann", Reason: "fair", SwitchTo: "peak", BaseRevision: tt.base}
 			got := run(t, preset.NewCommitter(change, preset.Record{}, 10_000), s)
-			if got.Accepted != tt.want || got.Superseded != tt.later {
-				t.Fatalf("accepted %s superseded %v (%v), want %s %v", got.Accepted, got.Superseded, got.Err, tt.want, tt.later)
+			if got.Accepted != tt.want || got.Superseded != tt.superseded {
+				t.Fatalf("accepted %s superseded %v (%v), want %s %v", got.Accepted, got.Superseded, got.Err, tt.want, tt.superseded)
 			}
 			rec, _ := preset.Decode(s.entry.Value)
-			_, there := rec.FindChange("mine")
-			if tt.want != preset.AcceptanceUnknown && there != (tt.want == preset.Accepted) {
-				t.Errorf("store holds the change: %v, reported %s", there, got.Accepted)
+			_, found := rec.FindChange("mine")
+			if tt.want != preset.AcceptanceUnknown && found != (tt.want == preset.Accepted) {
+				t.Errorf("store holds the change: %v, reported %s", found, got.Accepted)
 			}
 			var e *preset.Error
 			if tt.kind != 0 && (!errors.As(got.Err, &e) || e.Kind() != tt.kind) {
--- a/preset/diff.go
+++ b/preset/diff.go
@@ -29,7 +29,7 @@
 		list = append(list, DiffPresets(p, other)...)
 	}
 	for _, p := range b.Presets {
-		if !slices.Contains(names(a.Presets), p.Name) {
+		if !slices.Contains(presetNames(a.Presets), p.Name) {
 			list = append(list, Difference{"presets." + p.Name, "", p.Name})
 		}
 	}
@@ -50,8 +50,8 @@
 	}
 	var list []Difference
 	for i := range a.NumField() {
-		sub := path + "." + a.Type().Field(i).Tag.Get("json")
-		list = append(list, diffValues(sub, a.Field(i), b.Field(i))...)
+		fieldPath := path + "." + a.Type().Field(i).Tag.Get("json")
+		list = append(list, diffValues(fieldPath, a.Field(i), b.Field(i))...)
 	}
 	return list
 }
--- a/preset/error.go
+++ b/preset/error.go
@@ -43,6 +43,6 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
 
-func fail(op string, kind Kind, format string, args ...any) *Error {
+func newError(op string, kind Kind, format string, args ...any) *Error {
 	return &Error{op: op, kind: kind, err: fmt.Errorf(format, args...)}
 }
--- a/preset/explain.go
+++ b/preset/explain.go
@@ -9,14 +9,14 @@
 // Explain says in plain sentences what each rank gets under p. Every field is covered.
 func Explain(p Preset) []string {
 	lines := []string{fmt.Sprintf("Preset %s: %s", p.Name, p.Description)}
-	free := 100.0
+	unreserved := 100.0
 	for _, r := range rank.All() {
 		policy := p.Policy(r)
-		free -= policy.FloorPercent
+		unreserved -= policy.FloorPercent
 		lines = append(lines, explainRank(r, policy)...)
 	}
 	lines = append(lines, fmt.Sprintf(
-		"The remaining %g%% of capacity and every unused share is lent to whichever rank needs it, urgent first.", free))
+		"The remaining %g%% of capacity and every unused share is lent to whichever rank needs it, urgent first.", unreserved))
 	return append(lines, explainOutage(p.OrdersOnStoreOutage))
 }
 
--- a/preset/preset_test.go
+++ b/preset/preset_test.go
@@ -11,8 +11,8 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// TestDecodeRefuses guards against documents whose mistakes would pass unnoticed.
-func TestDecodeRefuses(t *testing.T) {
+// TestDecodeRejects guards against documents whose mistakes would pass unnoticed.
+func TestDecodeRejects(t *testing.T) {
 	valid, err := preset.Encode(preset.Default())
 	if err != nil {
 		t.Fatal(err)
--- a/preset/validate.go
+++ b/preset/validate.go
@@ -16,12 +16,12 @@
 	maxQueue     = 1_000_000
 )
 
-var nameForm = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
 // Validate checks every field. The error names each wrong field by its path
 // and says which values are accepted.
 func (r *Record) Validate() error {
-	v := &checker{}
+	v := &validator{}
 	v.require(r.Revision > 0, "revision", "must be at least 1")
 	v.require(len(r.Presets) > 0 && len(r.Presets) <= maxPresets, "presets", "must have 1 to 64 entries")
 	v.require(len(r.History) <= MaxHistory, "history", "must have at most 32 entries")
@@ -35,7 +35,7 @@
 		v.require(!seen[r.Presets[i].Name], path+".name", "must be unique")
 		seen[r.Presets[i].Name] = true
 	}
-	v.require(seen[r.InForce], "in_force", fmt.Sprintf("must be one of %v", names(r.Presets)))
+	v.require(seen[r.InForce], "in_force", fmt.Sprintf("must be one of %v", presetNames(r.Presets)))
 	for i, p := range r.History {
 		path := fmt.Sprintf("history[%d]", i)
 		v.require(p.Revision > 0 && p.Revision < r.Revision, path+".revision", "must be from 1 to below revision")
@@ -46,44 +46,44 @@
 
 // Validate checks every field of one preset.
 func (p *Preset) Validate() error {
-	v := &checker{}
+	v := &validator{}
 	v.preset("preset", p)
 	return v.result("validate preset")
 }
 
-type checker struct {
-	faults []error
+type validator struct {
+	violations []error
 }
 
-func (v *checker) require(ok bool, path, rule string) {
+func (v *validator) require(ok bool, path, rule string) {
 	if !ok {
-		v.faults = append(v.faults, fmt.Errorf("%s: %s", path, rule))
+		v.violations = append(v.violations, fmt.Errorf("%s: %s", path, rule))
 	}
 }
 
-func (v *checker) text(path, s string) {
+func (v *validator) text(path, s string) {
 	v.require(s != "" && len(s) <= maxTextBytes, path, "must have 1 to 512 bytes")
 }
 
-func (v *checker) percent(path string, f float64) {
+func (v *validator) percent(path string, f float64) {
 	v.require(f >= 0 && f <= 100, path, "must be from 0 to 100")
 }
 
-func (v *checker) preset(path string, p *Preset) {
-	v.require(nameForm.MatchString(p.Name), path+".name", "must be lower-case letters, digits and hyphens, 1 to 63 bytes")
+func (v *validator) preset(path string, p *Preset) {
+	v.require(namePattern.MatchString(p.Name), path+".name", "must be lower-case letters, digits and hyphens, 1 to 63 bytes")
 	v.text(path+".description", p.Description)
-	floors := 0.0
+	floorSum := 0.0
 	for _, r := range rank.All() {
 		policy := p.Policy(r)
 		v.policy(path+"."+r.String(), policy)
-		floors += policy.FloorPercent
+		floorSum += policy.FloorPercent
 	}
-	v.require(floors <= 100, path, "the floor_percent of urgent, ordinary and patient must add up to at most 100")
+	v.require(floorSum <= 100, path, "the floor_percent of urgent, ordinary and patient must add up to at most 100")
 	ok := p.OrdersOnStoreOutage == OutageRefuse || p.OrdersOnStoreOutage == OutageWait
 	v.require(ok, path+".orders_on_store_outage", "must be one of refuse, wait")
 }
 
-func (v *checker) policy(path string, p RankPolicy) {
+func (v *validator) policy(path string, p RankPolicy) {
 	v.require(p.DeadlineMs >= 1 && p.DeadlineMs <= maxDeadline, path+".deadline_ms", "must be from 1 to 86400000")
 	v.require(p.QueueRequests >= 0 && p.QueueRequests <= maxQueue, path+".queue_requests", "must be from 0 to 1000000")
 	v.percent(path+".floor_percent", p.FloorPercent)
@@ -92,9 +92,9 @@
 	v.percent(path+".min_coverage_percent", p.MinCoveragePercent)
 }
 
-func (v *checker) result(op string) error {
-	if len(v.faults) == 0 {
+func (v *validator) result(op string) error {
+	if len(v.violations) == 0 {
 		return nil
 	}
-	return &Error{op: op, kind: KindInvalid, err: errors.Join(v.faults...)}
+	return &Error{op: op, kind: KindInvalid, err: errors.Join(v.violations...)}
 }
