--- a/preset/change.go
+++ b/preset/change.go
@@ -12,12 +12,12 @@
 	Author       string       `json:"author"`
 	Reason       string       `json:"reason"`
 	At           clock.Millis `json:"at_ms"`
-	BaseRevision uint64       `json:"base_revision"` // revision that the operator looked at; 0 accepts any
+	BaseRevision uint64       `json:"base_revision"` // revision on which the change is based; 0 accepts any
 	SwitchTo     string       `json:"switch_to,omitempty"`
-	Preset       *Preset      `json:"preset,omitempty"` // replaces or adds the preset of that name
+	Preset       *Preset      `json:"preset,omitempty"` // replaces the preset of that name, or adds it
 }
 
-// Apply performs c on rec. It is a pure function.
+// Apply returns rec with c applied. It does not change rec.
 func Apply(rec Record, c Change) (Record, error) {
 	if c.Preset != nil && c.SwitchTo != "" {
 		return rec, newError("apply", KindInvalid, "change %s: switch_to and preset exclude each other", c.ID)
@@ -28,7 +28,7 @@
 	return Switch(rec, c)
 }
 
-// Switch puts another preset in force.
+// Switch returns rec with the preset c.SwitchTo in force.
 func Switch(rec Record, c Change) (Record, error) {
 	if err := c.validate("switch", &rec); err != nil {
 		return rec, err
@@ -41,7 +41,7 @@
 	return next, nil
 }
 
-// Edit replaces the preset with the name of c.Preset, or adds it.
+// Edit returns rec with c.Preset added, or replacing the preset of that name.
 func Edit(rec Record, c Change) (Record, error) {
 	if err := c.validate("edit", &rec); err != nil {
 		return rec, err
--- a/preset/codec.go
+++ b/preset/codec.go
@@ -27,8 +27,8 @@
 	return b, nil
 }
 
-// Decode reads a record strictly: unknown fields, missing fields and trailing
-// data are refused, and the result is valid.
+// Decode decodes and validates a record. It rejects unknown, missing and
+// repeated fields, null and trailing data.
 func Decode(b []byte) (Record, error) {
 	var r Record
 	if err := decodeStrict(b, &r); err != nil {
@@ -40,7 +40,7 @@
 	return r, nil
 }
 
-// DecodePreset reads one preset as strictly as Decode reads a record.
+// DecodePreset decodes one preset as strictly as Decode decodes a record.
 func DecodePreset(b []byte) (Preset, error) {
 	var p Preset
 	if err := decodeStrict(b, &p); err != nil {
@@ -69,8 +69,9 @@
 	return nil
 }
 
-// checkValue compares the fields of the next JSON value with those of t. It
-// exists because encoding/json accepts missing and repeated fields and ignores letter case.
+// checkValue compares the fields of the next JSON value with those of t. It is
+// needed because encoding/json accepts missing and repeated fields and ignores
+// letter case.
 func checkValue(d *json.Decoder, path string, t reflect.Type) error {
 	token, err := d.Token()
 	switch {
--- a/preset/committer.go
+++ b/preset/committer.go
@@ -5,26 +5,26 @@
 	"lentillink.example/lentillink/store"
 )
 
-// Msg is an input of a Changer.
+// Msg is an input of a Committer.
 type Msg interface{ committerMsg() }
 
-// StartMsg begins the change.
+// StartMsg starts the change.
 type StartMsg struct{}
 
-// StoreMsg carries the answer to a StoreCmd.
+// StoreMsg is the reply to a StoreCmd.
 type StoreMsg struct{ Reply store.Reply }
 
-// TickMsg reports that the time of NextWake has come.
+// TickMsg reports that the time returned by NextWake has passed.
 type TickMsg struct{}
 
 func (StartMsg) committerMsg() {}
 func (StoreMsg) committerMsg() {}
 func (TickMsg) committerMsg()  {}
 
-// Cmd is an output of a Changer.
+// Cmd is an output of a Committer.
 type Cmd interface{ committerCmd() }
 
-// StoreCmd asks for one store call.
+// StoreCmd requests one store call.
 type StoreCmd struct{ Request store.Request }
 
 // ResultCmd ends the change. It is returned exactly once.
@@ -33,31 +33,31 @@
 func (StoreCmd) committerCmd()  {}
 func (ResultCmd) committerCmd() {}
 
-// Acceptance says whether a change was accepted by the store.
+// Acceptance is whether the store accepted a change, as far as is known.
 type Acceptance string
 
-// The values of Truth.
+// The values of Acceptance.
 const (
 	Accepted          Acceptance = "yes"
 	NotAccepted       Acceptance = "no"
 	AcceptanceUnknown Acceptance = "unknown" // read the record again and look for the change identifier
 )
 
-// Result tells the operator what became of the change.
+// Result is the outcome of a change as reported to the operator.
 type Result struct {
 	Accepted Acceptance
-	Record   Record // newest committed record that was read; revision 0 if none was
+	Record   Record // newest committed record that was read; revision 0 if none was read
 	Err      error  // nil if Accepted is yes
-	// Superseded is set when the change was accepted and a later one has replaced it.
+	// Superseded is set if the change was accepted and a later one has replaced it.
 	Superseded bool
 }
 
-// Committer carries out one operator's change against the store.
+// Committer commits one operator's change to the record in the store.
 //
-// It reads the record, applies the change and compares and swaps. After a
-// lost answer it sends the same swap again: because both swaps expect the same
-// store revision, at most one takes effect, and a conflict proves that the
-// outcome can be read back by the change identifier.
+// It reads the record, applies the change and writes the result with a
+// compare-and-swap. After a lost reply it sends the same swap again: both swaps
+// expect the same store revision, so at most one takes effect, and a conflict
+// proves that the outcome can be read back by the change identifier.
 type Committer struct {
 	change   Change
 	known    Record
@@ -66,12 +66,12 @@
 
 	step            step
 	sentAt          clock.Millis
-	retryAt         clock.Millis // 0 if a call is outstanding
+	retryAt         clock.Millis // 0 while a call is outstanding
 	baseEntry       store.Entry
 	next            Record
 	encoded         []byte
-	unresolvedSwaps int  // swaps that may have taken effect without an answer
-	conflicted      bool // a swap was answered with a conflict
+	unresolvedSwaps int  // swaps without a reply, which may have taken effect
+	conflicted      bool // a swap got a conflict as its reply
 	lastRead        Record
 }
 
@@ -86,13 +86,13 @@
 )
 
 const (
-	callTimeoutMs clock.Millis = 1000 // a call without an answer counts as lost
+	callTimeoutMs clock.Millis = 1000 // a call without a reply counts as lost after this time
 	retryPauseMs  clock.Millis = 200
 )
 
-// NewCommitter returns a Changer that gives up at deadline. known is the newest
-// committed record of this VM: the new revision exceeds it even if the store
-// was restored from an old copy or emptied.
+// NewCommitter returns a Committer that stops retrying at deadline. known is the
+// newest committed record of this VM: the new revision exceeds its revision
+// even if the store was restored from an old copy or emptied.
 func NewCommitter(change Change, known Record, deadline clock.Millis) *Committer {
 	return &Committer{change: change, known: known, deadline: deadline}
 }
--- a/preset/committer_result.go
+++ b/preset/committer_result.go
@@ -5,7 +5,8 @@
 	"lentillink.example/lentillink/store"
 )
 
-// NextWake returns when the Changer wants a TickMsg.
+// NextWake returns when the Committer needs its next TickMsg, or false if it
+// needs none.
 func (c *Committer) NextWake() (clock.Millis, bool) {
 	switch {
 	case c.step == stepIdle || c.step == stepDone:
@@ -16,7 +17,7 @@
 	return min(c.sentAt+callTimeoutMs, c.deadline), true
 }
 
-// swapChange applies the change to the record that was read.
+// swapChange applies the change to the record that was read and starts the swap.
 func (c *Committer) swapChange(now clock.Millis, entry store.Entry) []Cmd {
 	rec := c.known
 	if entry.Revision > 0 {
@@ -24,7 +25,7 @@
 		if err != nil {
 			return c.finish(Result{Accepted: NotAccepted, Err: err})
 		}
-		// A store restored from an old copy must not undo changes that the fleet holds.
+		// A store restored from an old copy must not undo changes that the VMs have already applied.
 		if stored.Revision >= rec.Revision {
 			rec = stored
 		}
@@ -47,8 +48,8 @@
 	return c.startCall(now, stepSwap)
 }
 
-// handleFailure handles a call that the store did not answer or did not accept. The
-// same step is repeated until the deadline.
+// handleFailure handles a call that the store did not answer or did not accept.
+// It retries the same step until the deadline.
 func (c *Committer) handleFailure(now clock.Millis, kind store.Kind) []Cmd {
 	if kind == store.KindTooLarge {
 		err := newError("change", KindInvalid, "the store refuses a record of %d bytes", len(c.encoded))
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// readBack looks for the change after a conflict.
+// readBack looks for the change in the record that was read after a conflict.
 func (c *Committer) readBack(entry store.Entry) []Cmd {
 	if entry.Revision == 0 {
 		return c.finish(Result{Accepted: AcceptanceUnknown, Err: newError("change", KindUnknown, "the record was removed from the store")})
--- a/preset/committer_test.go
+++ b/preset/committer_test.go
@@ -9,7 +9,7 @@
 	"lentillink.example/lentillink/store"
 )
 
-// fakeStore keeps one entry and applies a scripted fault to each call.
+// fakeStore holds one entry and applies a scripted fault to each call.
 type fakeStore struct {
 	entry  store.Entry
 	faults []string
@@ -82,7 +82,8 @@
 	return preset.Result{}
 }
 
-// TestCommitterResultMatchesStore guards against a report to the operator that the store contradicts.
+// TestCommitterResultMatchesStore guards against a result that contradicts the
+// store, after replies or requests are lost or another change is written first.
 func TestCommitterResultMatchesStore(t *testing.T) {
 	downForever := make([]string, 200)
 	for i := range downForever {
@@ -135,7 +136,8 @@
 	}
 }
 
-// TestRevisionExceedsKnown guards against a revision that VMs would refuse after the store lost its data.
+// TestRevisionExceedsKnown guards against a revision that VMs would reject as
+// old, after the store lost its data or was restored from an old copy.
 func TestRevisionExceedsKnown(t *testing.T) {
 	known := preset.Default()
 	known.Revision = 57
--- a/preset/defaults.go
+++ b/preset/defaults.go
@@ -1,6 +1,6 @@
 package preset
 
-// Default returns the record that a fleet starts with when the store has none.
+// Default returns the record that the VMs use when the store has none.
 func Default() Record {
 	return Record{
 		Presets:  []Preset{ordinaryPreset(), peakPreset(), maintenancePreset()},
@@ -54,9 +54,10 @@
 	return p
 }
 
-// GatewayDefault returns the record that gateways follow until operators write another.
-// Its hedges and retries are bounded by the users' budget of extra attempts, a
-// fifth of the requests, and a route's own share of shards is never lowered.
+// GatewayDefault returns the record that gateways use until an operator writes another.
+// Its hedge and retry budgets are at most the users' budget of extra attempts, a
+// fifth of the requests. Its minimum coverage is 0, so that it never lowers the
+// minimum share of shards that a route sets.
 func GatewayDefault() Record {
 	rec := Default()
 	rec.Reason = "shipped with the gateway"
@@ -75,5 +76,6 @@
 	return rec
 }
 
-// gatewayExtraPercent is the users' bound of extra attempts, as a share of the requests.
+// gatewayExtraPercent is the users' upper bound of extra attempts, as a share of
+// the requests.
 const gatewayExtraPercent = 20
--- a/preset/diff.go
+++ b/preset/diff.go
@@ -14,7 +14,8 @@
 	After  string `json:"after"`
 }
 
-// Diff lists how the presets and the preset in force differ between a and b.
+// Diff lists the differences between the presets, and between the names of the
+// preset in force, of a and b.
 func Diff(a, b Record) []Difference {
 	var list []Difference
 	if a.InForce != b.InForce {
--- a/preset/doc.go
+++ b/preset/doc.go
@@ -1,3 +1,4 @@
-// Package preset defines presets: what each rank of work gets, and which
-// preset is in force.
+// Package preset defines presets, which set the deadline, capacity, queue
+// length, retry budget and coverage of each request rank, and the record that
+// selects the preset in force.
 package preset
--- a/preset/error.go
+++ b/preset/error.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Kind classifies a failure.
+// Kind is the class of a failure.
 type Kind uint8
 
 // The kinds of failure.
 const (
-	KindInvalid     Kind = iota + 1 // the document or the change breaks a rule
+	KindInvalid     Kind = iota + 1 // the document or the change is invalid
 	KindNotFound                    // the named preset does not exist
-	KindConflict                    // another change came first; this one is not in force
+	KindConflict                    // another change was written first; this one is not in force
 	KindUnavailable                 // the store could not be reached; the change was not written
 	KindUnknown                     // the write may have taken effect
 )
@@ -24,7 +24,7 @@
 	return "none"
 }
 
-// Error reports a failed operation on presets.
+// Error is a failed operation on presets.
 type Error struct {
 	op   string
 	kind Kind
--- a/preset/explain.go
+++ b/preset/explain.go
@@ -6,7 +6,7 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// Explain says in plain sentences what each rank gets under p. Every field is covered.
+// Explain describes every field of p in plain sentences.
 func Explain(p Preset) []string {
 	lines := []string{fmt.Sprintf("Preset %s: %s", p.Name, p.Description)}
 	unreserved := 100.0
--- a/preset/policy.go
+++ b/preset/policy.go
@@ -5,23 +5,24 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// OutageRule says what happens to orders while the configuration store is down.
+// OutageRule selects how orders are handled while the configuration store is down.
 type OutageRule string
 
-// OutageRefuse refuses at once as not run. OutageWait waits until the deadline, then refuses.
+// OutageRefuse refuses orders immediately, as not run. OutageWait keeps them
+// waiting until their deadline, then refuses them.
 const (
 	OutageRefuse OutageRule = "refuse"
 	OutageWait   OutageRule = "wait"
 )
 
-// RankPolicy is what one rank gets under a preset.
+// RankPolicy holds the limits and budgets of one rank under a preset.
 type RankPolicy struct {
 	DeadlineMs         clock.Millis `json:"deadline_ms"`          // default and upper bound of a request's deadline
 	FloorPercent       float64      `json:"floor_percent"`        // guaranteed share of the concurrency limit
-	QueueRequests      int          `json:"queue_requests"`       // bound of the waiting queue
+	QueueRequests      int          `json:"queue_requests"`       // maximum queue length
 	HedgeBudgetPercent float64      `json:"hedge_budget_percent"` // hedges as a share of needed attempts
 	RetryBudgetPercent float64      `json:"retry_budget_percent"` // retries as a share of needed attempts
-	MinCoveragePercent float64      `json:"min_coverage_percent"` // below this an answer fails instead of being partial
+	MinCoveragePercent float64      `json:"min_coverage_percent"` // a query with less coverage fails instead of returning a partial answer
 }
 
 // Preset is one named set of policies.
--- a/preset/preset_test.go
+++ b/preset/preset_test.go
@@ -11,7 +11,8 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// TestDecodeRejects guards against documents whose mistakes would pass unnoticed.
+// TestDecodeRejects guards against invalid documents that Decode accepts, or
+// rejects without naming the wrong field.
 func TestDecodeRejects(t *testing.T) {
 	valid, err := preset.Encode(preset.Default())
 	if err != nil {
@@ -46,7 +47,8 @@
 	}
 }
 
-// TestExplainCoversEveryField guards against a field that changes behaviour without showing in the explanation.
+// TestExplainCoversEveryField guards against a field that the explanation or the
+// diff of a preset leaves out.
 func TestExplainCoversEveryField(t *testing.T) {
 	base := preset.Default().Presets[0]
 	doc, _ := json.Marshal(base)
@@ -68,7 +70,8 @@
 	}
 }
 
-// TestChangesRaiseRevision guards against a change that leaves the revision, the history bound or the input unchanged.
+// TestChangesRaiseRevision guards against a change that does not raise the
+// revision by one, exceeds the history bound or modifies its input.
 func TestChangesRaiseRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rec := preset.Default()
--- a/preset/record.go
+++ b/preset/record.go
@@ -10,15 +10,17 @@
 // StoreKey is the key of the record in the configuration store.
 const StoreKey = "presets"
 
-// MaxHistory bounds the history in a record, so that the record stays a few kilobytes long.
+// MaxHistory is the maximum number of history entries in a record. It keeps the
+// record at a few kilobytes.
 const MaxHistory = 32
 
 // Record is the document in the configuration store: all presets and which one is in force.
 //
-// Revision is one more than the revision of the record that the change was
-// based on. Writes compare and swap on the store entry's own revision, so the
-// accepted records form one chain and Revision strictly rises along it. The
-// two numbers are otherwise independent: the store may number its entries as it likes.
+// Revision is one more than the revision of the record on which the change is
+// based. Writes are a compare-and-swap on the revision of the store entry, so
+// the accepted records form one chain along which Revision strictly increases.
+// The two revisions are otherwise independent: the store numbers its entries by
+// its own rules.
 type Record struct {
 	Presets  []Preset        `json:"presets"`
 	InForce  string          `json:"in_force"`
@@ -27,10 +29,10 @@
 	Reason   string          `json:"reason"`
 	ChangeID string          `json:"change_id"`
 	At       clock.Millis    `json:"at_ms"`
-	History  []AppliedChange `json:"history"` // newest first, without the latest change
+	History  []AppliedChange `json:"history"` // newest first, excluding the latest change
 }
 
-// AppliedChange is one earlier change, or the latest one as returned by Latest.
+// AppliedChange describes an applied change, an earlier one or the latest.
 type AppliedChange struct {
 	Revision uint64       `json:"revision"`
 	ChangeID string       `json:"change_id"`
@@ -56,7 +58,7 @@
 	return p
 }
 
-// LatestChange describes the change that made r.
+// LatestChange returns the change that produced r.
 func (r *Record) LatestChange() AppliedChange {
 	return AppliedChange{
 		Revision: r.Revision, ChangeID: r.ChangeID, Author: r.Author,
@@ -64,7 +66,7 @@
 	}
 }
 
-// FindChange reports whether the change with the given identifier made r or a
+// FindChange returns the change with the given identifier, if it produced r or a
 // record in its history.
 func (r *Record) FindChange(changeID string) (AppliedChange, bool) {
 	if r.ChangeID == changeID {
@@ -78,7 +80,8 @@
 	return AppliedChange{}, false
 }
 
-// String says who changed what, when and why.
+// String formats the revision, author, time, preset in force, reason and change
+// identifier.
 func (p AppliedChange) String() string {
 	at := time.UnixMilli(int64(p.At)).UTC().Format(time.DateTime)
 	return fmt.Sprintf("revision %d by %s at %s UTC put %q in force: %s (change %s)",
--- a/preset/validate.go
+++ b/preset/validate.go
@@ -18,8 +18,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
-// Validate checks every field. The error names each wrong field by its path
-// and says which values are accepted.
+// Validate checks every field of the record. The error lists the path of each
+// invalid field and the accepted values.
 func (r *Record) Validate() error {
 	v := &validator{}
 	v.require(r.Revision > 0, "revision", "must be at least 1")
