--- a/preset/change.go
+++ b/preset/change.go
@@ -20,7 +20,7 @@
 // Apply returns rec with c applied. It does not change rec.
 func Apply(rec Record, c Change) (Record, error) {
 	if c.Preset != nil && c.SwitchTo != "" {
-		return rec, newError("apply", KindInvalid, "change %s: switch_to and preset exclude each other", c.ID)
+		return rec, newError("apply", KindInvalid, "change %s: switch_to and preset are mutually exclusive", c.ID)
 	}
 	if c.Preset != nil {
 		return Edit(rec, c)
@@ -72,10 +72,10 @@
 		return newError(op, KindInvalid, "reason: must have 1 to %d bytes", maxTextBytes)
 	case c.BaseRevision != 0 && c.BaseRevision != rec.Revision:
 		latest := rec.LatestChange()
-		return newError(op, KindConflict, "revision is %d, not %d: %s", rec.Revision, c.BaseRevision, latest)
+		return newError(op, KindConflict, "record revision is %d, but base_revision is %d: %s", rec.Revision, c.BaseRevision, latest)
 	}
 	if past, ok := rec.FindChange(c.ID); ok {
-		return newError(op, KindConflict, "change_id %q was used: %s", c.ID, past)
+		return newError(op, KindConflict, "change_id %q was already used: %s", c.ID, past)
 	}
 	return nil
 }
--- a/preset/committer_result.go
+++ b/preset/committer_result.go
@@ -52,7 +52,7 @@
 // It retries the same step until the deadline.
 func (c *Committer) handleFailure(now clock.Millis, kind store.Kind) []Cmd {
 	if kind == store.KindTooLarge {
-		err := newError("change", KindInvalid, "the store refuses a record of %d bytes", len(c.encoded))
+		err := newError("change", KindInvalid, "the store rejected a record of %d bytes as too large", len(c.encoded))
 		return c.finish(Result{Accepted: NotAccepted, Record: c.lastRead, Err: err})
 	}
 	if c.step == stepSwap && kind == store.KindUnavailable {
@@ -68,7 +68,7 @@
 // readBack looks for the change in the record that was read after a conflict.
 func (c *Committer) readBack(entry store.Entry) []Cmd {
 	if entry.Revision == 0 {
-		return c.finish(Result{Accepted: AcceptanceUnknown, Err: newError("change", KindUnknown, "the record was removed from the store")})
+		return c.finish(Result{Accepted: AcceptanceUnknown, Err: newError("change", KindUnknown, "the record no longer exists in the store")})
 	}
 	rec, err := Decode(entry.Value)
 	if err != nil {
@@ -78,17 +78,17 @@
 		return c.finish(Result{Accepted: Accepted, Record: rec, Superseded: past.Revision != rec.Revision})
 	}
 	if rec.Revision > c.next.Revision+uint64(len(rec.History)) {
-		err := newError("change", KindUnknown, "the history no longer reaches back to revision %d", c.next.Revision)
+		err := newError("change", KindUnknown, "the history no longer contains revision %d", c.next.Revision)
 		return c.finish(Result{Accepted: AcceptanceUnknown, Record: rec, Err: err})
 	}
-	err = newError("change", KindConflict, "not in force, another change came first: %s", rec.LatestChange())
+	err = newError("change", KindConflict, "the change is not in force, another change was written first: %s", rec.LatestChange())
 	return c.finish(Result{Accepted: NotAccepted, Record: rec, Err: err})
 }
 
 func (c *Committer) giveUp() []Cmd {
 	if c.unresolvedSwaps > 0 || c.conflicted {
 		err := newError("change", KindUnknown,
-			"the store did not say whether the write took effect; look for change %s in the history before repeating it", c.change.ID)
+			"it is unknown whether the write took effect; check the history for change %s before retrying", c.change.ID)
 		return c.finish(Result{Accepted: AcceptanceUnknown, Record: c.lastRead, Err: err})
 	}
 	err := newError("change", KindUnavailable, "the store cannot be reached; the change was not written and is not in force")
--- a/preset/committer_test.go
+++ b/preset/committer_test.go
@@ -61,7 +61,7 @@
 		if len(cmds) == 0 {
 			wake, ok := c.NextWake()
 			if !ok {
-				t.Fatal("the changer ended without a result")
+				t.Fatal("the committer ended without a result")
 			}
 			now = max(now, wake)
 			cmds = c.Update(now, preset.TickMsg{})
@@ -103,16 +103,16 @@
 	}{
 		{name: "no fault", want: preset.Accepted},
 		{name: "answer lost after the write", faults: []string{"", "lost after"}, want: preset.Accepted},
-		{name: "silent after the write", faults: []string{"", "silent"}, want: preset.Accepted},
+		{name: "no reply after the write", faults: []string{"", "silent"}, want: preset.Accepted},
 		{name: "request lost before the write", faults: []string{"", "lost before"}, want: preset.Accepted},
 		{name: "short outage", faults: []string{"down", "down", "", "down"}, want: preset.Accepted},
-		{name: "rival between read and write", faults: []string{"", "rival"}, want: preset.NotAccepted, kind: preset.KindConflict},
-		{name: "lost after the write, then rival", faults: []string{"", "lost after", "rival"}, want: preset.Accepted, superseded: true},
-		{name: "lost before the write, then rival", faults: []string{"", "lost before", "rival"}, want: preset.NotAccepted, kind: preset.KindConflict},
+		{name: "concurrent change between read and write", faults: []string{"", "rival"}, want: preset.NotAccepted, kind: preset.KindConflict},
+		{name: "lost after the write, then concurrent change", faults: []string{"", "lost after", "rival"}, want: preset.Accepted, superseded: true},
+		{name: "lost before the write, then concurrent change", faults: []string{"", "lost before", "rival"}, want: preset.NotAccepted, kind: preset.KindConflict},
 		{name: "outage", faults: downForever, want: preset.NotAccepted, kind: preset.KindUnavailable},
 		{name: "outage right after the write", faults: append([]string{"", "lost after"}, downForever...), want: preset.AcceptanceUnknown, kind: preset.KindUnknown},
-		{name: "silence from the first write on", faults: append([]string{""}, silentForever...), want: preset.AcceptanceUnknown, kind: preset.KindUnknown},
-		{name: "old base", base: 9, want: preset.NotAccepted, kind: preset.KindConflict},
+		{name: "no reply from the first write on", faults: append([]string{""}, silentForever...), want: preset.AcceptanceUnknown, kind: preset.KindUnknown},
+		{name: "outdated base revision", base: 9, want: preset.NotAccepted, kind: preset.KindConflict},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/preset/validate.go
+++ b/preset/validate.go
@@ -38,7 +38,7 @@
 	v.require(seen[r.InForce], "in_force", fmt.Sprintf("must be one of %v", presetNames(r.Presets)))
 	for i, p := range r.History {
 		path := fmt.Sprintf("history[%d]", i)
-		v.require(p.Revision > 0 && p.Revision < r.Revision, path+".revision", "must be from 1 to below revision")
+		v.require(p.Revision > 0 && p.Revision < r.Revision, path+".revision", "must be at least 1 and less than revision")
 		v.text(path+".change_id", p.ChangeID)
 	}
 	return v.result("validate record")
