--- a/timeline/error.go
+++ b/timeline/error.go
@@ -22,7 +22,7 @@
 	err  error
 }
 
-func wrap(op string, kind ErrorKind, err error) *Error {
+func newError(op string, kind ErrorKind, err error) *Error {
 	return &Error{op: op, kind: kind, err: trace.Wrap(err)}
 }
 
--- a/timeline/plot.go
+++ b/timeline/plot.go
@@ -34,7 +34,7 @@
 	for i, kind := range kinds {
 		s, err := plotter.NewScatter(points(events, vms, kind))
 		if err != nil {
-			return wrap("plot", KindInvalid, err)
+			return newError("plot", KindInvalid, err)
 		}
 		s.GlyphStyle = draw.GlyphStyle{Color: glyphColor(i), Radius: markerRadius, Shape: plotutil.Shape(i)}
 		p.Add(s)
@@ -43,10 +43,10 @@
 	height := plotMargin + rowHeight*vg.Length(max(len(vms), len(kinds)/2))
 	wt, err := p.WriterTo(plotWidth, height, format)
 	if err != nil {
-		return wrap("plot", KindInvalid, err)
+		return newError("plot", KindInvalid, err)
 	}
 	if _, err := wt.WriteTo(w); err != nil {
-		return wrap("plot", KindIO, err)
+		return newError("plot", KindIO, err)
 	}
 	return nil
 }
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -41,7 +41,7 @@
 
 // Observe merges the stamp of a message from another VM, so that events
 // caused by the message sort after its sending.
-func (r *Ring) Observe(now clock.Millis, stamp clock.Timestamp) { r.clock.Observe(now, stamp) }
+func (r *Ring) Observe(now clock.Millis, timestamp clock.Timestamp) { r.clock.Observe(now, timestamp) }
 
 // NextTimestamp returns a stamp for a message that is sent now.
 func (r *Ring) NextTimestamp(now clock.Millis) clock.Timestamp { return r.clock.Next(now) }
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestObserveIgnoresWildClock guards against one VM with a wrong clock moving
+// TestObserveIgnoresFarFutureTimestamp guards against one VM with a wrong clock moving
 // every stamp of the fleet into the future.
-func TestObserveIgnoresWildClock(t *testing.T) {
+func TestObserveIgnoresFarFutureTimestamp(t *testing.T) {
 	r := timeline.NewRing("vm-1", 8)
 	r.Observe(1000, clock.Timestamp{WallMs: 1000 + 10*clock.Hour})
 	got := r.Add(1001, timeline.Event{}).Timestamp.WallMs
