--- a/timeline/doc.go
+++ b/timeline/doc.go
@@ -1,2 +1,3 @@
-// Package timeline records typed events of one VM and merges the events of all VMs.
+// Package timeline records the typed events of one VM in a ring buffer and
+// merges the events of all VMs.
 package timeline
--- a/timeline/error.go
+++ b/timeline/error.go
@@ -6,16 +6,16 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrorKind classifies a failure.
+// ErrorKind is the class of a failure.
 type ErrorKind string
 
-// KindInvalid is unusable input. KindIO is a failed write.
+// KindInvalid is an invalid input. KindIO is a failed write.
 const (
 	KindInvalid ErrorKind = "invalid"
 	KindIO      ErrorKind = "io"
 )
 
-// Error reports a failed operation on a time line.
+// Error is a failed operation on events.
 type Error struct {
 	op   string
 	kind ErrorKind
--- a/timeline/event.go
+++ b/timeline/event.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Event is one thing that happened on one VM. Machines leave Stamp and VM
-// empty; the core fills them in.
+// Event is an event on one VM. The state machines leave Timestamp and VM
+// empty; Ring.Add sets them.
 type Event struct {
 	Timestamp clock.Timestamp `json:"stamp"`
 	VM        string          `json:"vm"`
--- a/timeline/query.go
+++ b/timeline/query.go
@@ -7,7 +7,7 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Events returns the kept events that match f, oldest first.
+// Events returns the stored events that match f, oldest first.
 func (r *Ring) Events(f Filter) []Event {
 	var out []Event
 	add := func(events []Event) {
@@ -24,20 +24,20 @@
 	return out
 }
 
-// Dropped returns how many events were replaced by newer ones.
+// Dropped returns how many events were overwritten by newer ones.
 func (r *Ring) Dropped() uint64 { return r.dropped }
 
-// LastTimestamp returns the most recent stamp.
+// LastTimestamp returns the most recent timestamp.
 func (r *Ring) LastTimestamp() clock.Timestamp { return r.clock.Last() }
 
 // Filter selects events. Empty fields match everything.
 type Filter struct {
 	Request  string
-	Upstream string // an upstream, or a prefix such as a service
+	Upstream string // an upstream identifier or a prefix of it, such as a service
 	Revision uint64
 	Kind     Kind
 	SinceMs  clock.Millis
-	After    clock.Timestamp // events with a greater stamp, for following
+	After    clock.Timestamp // matches events with a greater timestamp; used to follow new events
 }
 
 // Matches reports whether ev passes the filter.
@@ -57,8 +57,8 @@
 	return f.After == (clock.Timestamp{}) || ev.Timestamp.Compare(f.After) > 0
 }
 
-// Merge joins the events of several VMs in the order of their stamps. Equal
-// stamps sort by VM, so that the result does not depend on the input order.
+// Merge returns the events of several VMs sorted by timestamp. Equal timestamps
+// sort by VM, so that the result does not depend on the input order.
 func Merge(lists ...[]Event) []Event {
 	out := slices.Concat(lists...)
 	slices.SortStableFunc(out, func(a, b Event) int {
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -2,10 +2,11 @@
 
 import "lentillink.example/lentillink/clock"
 
-// DefaultCapacity is the number of events that a VM keeps by default.
+// DefaultCapacity is the default number of events in a Ring.
 const DefaultCapacity = 16384
 
-// Ring keeps the most recent events of one VM. It is not safe for concurrent use.
+// Ring is a ring buffer of the most recent events of one VM. It is not safe for
+// concurrent use.
 type Ring struct {
 	vm      string
 	clock   clock.Hybrid
@@ -23,8 +24,8 @@
 	return &Ring{vm: vm, events: make([]Event, n)}
 }
 
-// Add stamps ev and stores it, replacing the oldest event of a full ring.
-// It returns the stamped event.
+// Add sets the timestamp and the VM of ev and stores it, overwriting the oldest
+// event of a full ring. It returns the stored event.
 func (r *Ring) Add(now clock.Millis, ev Event) Event {
 	ev.Timestamp = r.clock.Next(now)
 	ev.VM = r.vm
@@ -39,9 +40,9 @@
 	return ev
 }
 
-// Observe merges the stamp of a message from another VM, so that events
-// caused by the message sort after its sending.
+// Observe advances the clock past the timestamp of a message from another VM,
+// so that events caused by the message sort after the events that preceded it.
 func (r *Ring) Observe(now clock.Millis, timestamp clock.Timestamp) { r.clock.Observe(now, timestamp) }
 
-// NextTimestamp returns a stamp for a message that is sent now.
+// NextTimestamp returns the timestamp for a message that is sent now.
 func (r *Ring) NextTimestamp(now clock.Millis) clock.Timestamp { return r.clock.Next(now) }
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -8,7 +8,7 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// TestRingKeepsNewest guards against losing recent events when the ring wraps.
+// TestRingKeepsNewest guards against the loss of recent events when the ring wraps around.
 func TestRingKeepsNewest(t *testing.T) {
 	r := timeline.NewRing("vm-1", 3)
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestMergeOrdersCauseBeforeEffect guards against a receiver with a slow clock
-// whose events would sort before the message that caused them.
+// TestMergeOrdersCauseBeforeEffect guards against a receiver whose clock is
+// behind, so that its events sort before the message that caused them.
 func TestMergeOrdersCauseBeforeEffect(t *testing.T) {
 	sender := timeline.NewRing("vm-b", 8)
 	receiver := timeline.NewRing("vm-a", 8)
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestObserveIgnoresFarFutureTimestamp guards against one VM with a wrong clock moving
-// every stamp of the fleet into the future.
+// TestObserveIgnoresFarFutureTimestamp guards against one VM with a wrong clock
+// that moves the timestamps of all VMs into the future.
 func TestObserveIgnoresFarFutureTimestamp(t *testing.T) {
 	r := timeline.NewRing("vm-1", 8)
 	r.Observe(1000, clock.Timestamp{WallMs: 1000 + 10*clock.Hour})
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestFilter guards against events that a filter should hide or show.
+// TestFilter guards against a filter that selects wrong events or misses matching ones.
 func TestFilter(t *testing.T) {
 	ev := timeline.Event{
 		Timestamp: clock.Timestamp{WallMs: 50, Logical: 1}, Kind: timeline.Refused,
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestWritePlot guards against a plot that cannot be drawn in an offered format.
+// TestWritePlot guards against a plot that fails in a supported image format.
 func TestWritePlot(t *testing.T) {
 	events := []timeline.Event{
 		{Timestamp: clock.Timestamp{WallMs: 1000}, VM: "vm-1", Kind: timeline.Queued},
