--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -48,7 +48,7 @@
 	r.Observe(1000, clock.Timestamp{WallMs: 1000 + 10*clock.Hour})
 	got := r.Add(1001, timeline.Event{}).Timestamp.WallMs
 	if want := clock.Millis(1001); got != want {
-		t.Errorf("stamp = %d, want %d", got, want)
+		t.Errorf("timestamp = %d, want %d", got, want)
 	}
 }
 
@@ -62,17 +62,17 @@
 		filter timeline.Filter
 		want   bool
 	}{
-		"empty":            {timeline.Filter{}, true},
-		"request":          {timeline.Filter{Request: "q1"}, true},
-		"other request":    {timeline.Filter{Request: "q2"}, false},
-		"service prefix":   {timeline.Filter{Upstream: "plots/"}, true},
-		"other upstream":   {timeline.Filter{Upstream: "plots/g1/1"}, false},
-		"revision":         {timeline.Filter{Revision: 7}, true},
-		"other revision":   {timeline.Filter{Revision: 8}, false},
-		"other kind":       {timeline.Filter{Kind: timeline.Queued}, false},
-		"since later":      {timeline.Filter{SinceMs: 51}, false},
-		"after same stamp": {timeline.Filter{After: ev.Timestamp}, false},
-		"after earlier":    {timeline.Filter{After: clock.Timestamp{WallMs: 50}}, true},
+		"empty":                {timeline.Filter{}, true},
+		"request":              {timeline.Filter{Request: "q1"}, true},
+		"other request":        {timeline.Filter{Request: "q2"}, false},
+		"service prefix":       {timeline.Filter{Upstream: "plots/"}, true},
+		"other upstream":       {timeline.Filter{Upstream: "plots/g1/1"}, false},
+		"revision":             {timeline.Filter{Revision: 7}, true},
+		"other revision":       {timeline.Filter{Revision: 8}, false},
+		"other kind":           {timeline.Filter{Kind: timeline.Queued}, false},
+		"since later":          {timeline.Filter{SinceMs: 51}, false},
+		"after same timestamp": {timeline.Filter{After: ev.Timestamp}, false},
+		"after earlier":        {timeline.Filter{After: clock.Timestamp{WallMs: 50}}, true},
 	} {
 		if got := tc.filter.Matches(ev); got != tc.want {
 			t.Errorf("%s: Match = %v, want %v", name, got, tc.want)
