--- a/order/accessors.go
+++ b/order/accessors.go
@@ -20,13 +20,13 @@
 }
 
 // OpenOrders returns the number of submissions that are not settled.
-func (m *Model) OpenOrders() int { return len(m.open) }
+func (m *Model) OpenOrders() int { return len(m.submissions) }
 
 // PendingOperations returns the operations that wait for a write as owner.
 func (m *Model) PendingOperations() int {
 	n := 0
-	for i := range m.parts {
-		n += len(m.parts[i].queued)
+	for i := range m.partitions {
+		n += len(m.partitions[i].pending)
 	}
 	return n
 }
@@ -57,11 +57,11 @@
 // Orders that were answered as unknown do not hold the drain up. Releases wait
 // for the store, so a runtime bounds the time that it waits for Drained.
 func (m *Model) Drained() bool {
-	if !m.stopping || m.PendingOperations() > 0 || m.PendingReleases() > 0 {
+	if !m.draining || m.PendingOperations() > 0 || m.PendingReleases() > 0 {
 		return false
 	}
-	for _, o := range m.open {
-		if o.state != answered {
+	for _, o := range m.submissions {
+		if o.state != stateAnswered {
 			return false
 		}
 	}
--- /dev/null
+++ b/order/attempt.go
@@ -0,0 +1,131 @@
+package order
+
+import (
+	"lentillink.example/lentillink/attempt"
+	"lentillink.example/lentillink/clock"
+	"lentillink.example/lentillink/upstream"
+)
+
+// maxAttempts bounds the attempts under one claim; each must prove not run
+// before the next one starts.
+const maxAttempts = 2
+
+// replyGraceMs is how long after the deadline the reply of an attempt is still
+// awaited: the carrier reports a timeout at the deadline, one hop away.
+const replyGraceMs clock.Millis = 50
+
+// lateReplyMs is how long an unknown attempt is remembered, so that a late
+// reply can still mark its claim done or release it.
+const lateReplyMs = 30 * clock.Second
+
+// startAttempt starts the next attempt of a claimed order, or gives the claim up.
+func (m *Model) startAttempt(now clock.Millis, o *submission) {
+	if now >= o.msg.Deadline {
+		m.refuseAndRelease(now, o, ReasonDeadline)
+		return
+	}
+	target, ok := m.cfg.picker(now, o.msg.Service, o.msg.Group, o.triedUpstreams)
+	if !ok {
+		m.refuseAndRelease(now, o, ReasonNoUpstream)
+		return
+	}
+	o.state = stateSent
+	o.triedUpstreams = append(o.triedUpstreams, target)
+	o.currentAttempt = m.cfg.attemptID()
+	m.attempts[o.currentAttempt] = o
+	m.setTimer(o.msg.Deadline+replyGraceMs, timerSubmission, o.token.Seq)
+	m.emit(SendCmd{Request: m.request(o, target), Token: o.token})
+}
+
+func (m *Model) request(o *submission, target upstream.ID) attempt.Request {
+	return attempt.Request{
+		ID: o.currentAttempt, Upstream: string(target), Kind: attempt.Order,
+		Service: o.msg.Service, Group: o.msg.Group, Rank: o.msg.Rank,
+		Deadline: o.msg.Deadline, Body: o.msg.Body, OrderID: o.msg.ID,
+	}
+}
+
+// refuseAndRelease refuses a claimed order of which every attempt proved not run, and
+// releases its claim.
+func (m *Model) refuseAndRelease(now clock.Millis, o *submission, reason Reason) {
+	m.remove(o)
+	m.trackRelease(now, o, true, true)
+	if o.state != stateAnswered {
+		m.finish(o, Answer{Outcome: OutcomeRefused, Execution: attempt.NotExecuted, Reason: reason})
+	}
+}
+
+func (m *Model) remove(o *submission) {
+	delete(m.submissions, o.token.Seq)
+	delete(m.attempts, o.currentAttempt)
+}
+
+// handleAttemptReply handles the end of an attempt. A second reply finds no attempt and is dropped.
+func (m *Model) handleAttemptReply(now clock.Millis, r attempt.Reply) {
+	o := m.attempts[r.ID]
+	if o == nil {
+		return
+	}
+	delete(m.attempts, r.ID)
+	switch {
+	case provesNotExecuted(r):
+		m.retryOrRefuse(now, o)
+	case r.Execution == attempt.Executed:
+		m.handleExecuted(now, o, r)
+	default:
+		m.remove(o)
+		m.finishIfUnanswered(o, Answer{Outcome: OutcomeUnknown, Execution: attempt.ExecutionUnknown, Reason: ReasonUncertain})
+	}
+}
+
+func (m *Model) retryOrRefuse(now clock.Millis, o *submission) {
+	if o.state == stateAnswered || len(o.triedUpstreams) >= maxAttempts {
+		m.refuseAndRelease(now, o, ReasonUpstreamRefused)
+		return
+	}
+	m.startAttempt(now, o)
+}
+
+func (m *Model) handleExecuted(now clock.Millis, o *submission, r attempt.Reply) {
+	m.remove(o)
+	if m.cfg.doneMarks {
+		m.sendToOwner(now, m.candidates[o.hash.Partition()][0], ClaimRequestMsg{Op: OpMarkDone, Token: o.token, ID: o.hash, IssuedAt: o.issuedAt})
+	}
+	outcome := OutcomeDone
+	if r.Status != attempt.OK {
+		outcome = OutcomeUnknown
+	}
+	m.finishIfUnanswered(o, Answer{Outcome: outcome, Execution: attempt.Executed, Body: r.Body})
+}
+
+func (m *Model) finishIfUnanswered(o *submission, a Answer) {
+	if o.state != stateAnswered {
+		m.finish(o, a)
+	}
+}
+
+// checkReplyTimeout answers an order whose reply did not come in time.
+func (m *Model) checkReplyTimeout(now clock.Millis, o *submission) {
+	if now < o.msg.Deadline+replyGraceMs {
+		return
+	}
+	m.finish(o, Answer{Outcome: OutcomeUnknown, Execution: attempt.ExecutionUnknown, Reason: ReasonUncertain})
+	o.state = stateAnswered
+	o.removeAt = now + lateReplyMs
+	m.setTimer(o.removeAt, timerSubmission, o.token.Seq)
+}
+
+// provesNotExecuted accepts Ran only together with a status that can carry the
+// proof; a contradictory reply counts as uncertain.
+func provesNotExecuted(r attempt.Reply) bool {
+	if r.Execution != attempt.NotExecuted {
+		return false
+	}
+	switch r.Status {
+	case attempt.VersionGone, attempt.Shed, attempt.Leaving, attempt.NotSent, attempt.ConnRefused, attempt.Cancelled,
+		attempt.NotCarrier:
+		return true
+	default:
+		return false
+	}
+}
--- a/order/batch.go
+++ b/order/batch.go
@@ -8,16 +8,16 @@
 
 // batch is one write of the head: the operations in it and the head that it writes.
 type batch struct {
-	ops     []*operation
-	results []ClaimResult // parallel to ops, reported once the write is known
-	changes map[Hash]Claim
-	order   []Hash // keys of changes in order of arrival
-	touch   bool   // write even without a change
-	sealed  *freshSegment
-	expired []SegmentRef
-	newest  clock.Millis
-	head    Head
-	encoded []byte
+	ops             []*operation
+	results         []ClaimResult // parallel to ops, reported once the write is known
+	changes         map[Hash]Claim
+	changeOrder     []Hash // keys of changes in order of arrival
+	forceWrite      bool   // write even without a change
+	sealedSegment   *unlistedSegment
+	expiredSegments []SegmentRef
+	newestIssued    clock.Millis
+	head            Head
+	encoded         []byte
 }
 
 func newBatch() *batch { return &batch{changes: make(map[Hash]Claim)} }
@@ -29,12 +29,12 @@
 	return p.find(id)
 }
 
-func (b *batch) set(c Claim, issued clock.Millis) {
+func (b *batch) set(c Claim, issuedAt clock.Millis) {
 	if _, ok := b.changes[c.ID]; !ok {
-		b.order = append(b.order, c.ID)
+		b.changeOrder = append(b.changeOrder, c.ID)
 	}
 	b.changes[c.ID] = c
-	b.newest = max(b.newest, issued)
+	b.newestIssued = max(b.newestIssued, issuedAt)
 }
 
 func (b *batch) add(op *operation, r ClaimResult) {
@@ -46,7 +46,7 @@
 // for a write: the new revision makes every older write in flight conflict, so
 // a delayed claim under the token cannot take effect afterwards.
 func (b *batch) release(p *partition, op *operation) {
-	b.touch = true
+	b.forceWrite = true
 	b.add(op, ResultReleased)
 	c, ok := b.find(p, op.msg.ID)
 	if ok && c.Token == op.token && c.State == ClaimHeld {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (b *batch) done(p *partition, op *operation) {
+func (b *batch) markDone(p *partition, op *operation) {
 	b.add(op, ResultClaimed)
 	c, ok := b.find(p, op.msg.ID)
 	if ok && c.Token == op.token && c.State == ClaimHeld {
@@ -80,8 +80,8 @@
 	}
 }
 
-// fill evaluates the operations against the cached head, releases first.
-func (b *batch) fill(now clock.Millis, p *partition, ops []*operation) {
+// evaluate evaluates the operations against the cached head, releases first.
+func (b *batch) evaluate(now clock.Millis, p *partition, ops []*operation) {
 	released := make(map[Token]bool)
 	for _, op := range ops {
 		if op.msg.Op == OpRelease {
@@ -92,7 +92,7 @@
 	for _, op := range ops {
 		switch {
 		case op.msg.Op == OpMarkDone:
-			b.done(p, op)
+			b.markDone(p, op)
 		case op.msg.Op != OpClaim:
 		case op.msg.IssuedAt < now-MaxIDAge || op.msg.IssuedAt <= p.head.LowWatermark:
 			b.add(op, ResultExpired)
@@ -107,34 +107,34 @@
 // build computes the head to write. A claim whose release would uncover an
 // older sealed one is kept as released.
 func (b *batch) build(now clock.Millis, p *partition) {
-	b.head = Head{NextSegment: p.head.NextSegment, NewestIssued: max(b.newest, p.head.NewestIssued), LowWatermark: p.head.LowWatermark}
+	b.head = Head{NextSegment: p.head.NextSegment, NewestIssued: max(b.newestIssued, p.head.NewestIssued), LowWatermark: p.head.LowWatermark}
 	for _, s := range p.head.Segments {
 		if s.NewestIssued < now-MaxIDAge-SegmentDropMargin {
-			b.expired = append(b.expired, s)
+			b.expiredSegments = append(b.expiredSegments, s)
 			b.head.LowWatermark = max(b.head.LowWatermark, s.NewestIssued)
 			continue
 		}
 		b.head.Segments = append(b.head.Segments, s)
 	}
-	if p.freshValid() {
-		b.sealed = p.fresh
-		b.head.NextSegment = p.fresh.ref.Number + 1
-		b.head.NewestIssued = b.newest
-		b.head.Segments = append(b.head.Segments, p.fresh.ref)
+	if p.unlistedIsCurrent() {
+		b.sealedSegment = p.unlisted
+		b.head.NextSegment = p.unlisted.ref.Number + 1
+		b.head.NewestIssued = b.newestIssued
+		b.head.Segments = append(b.head.Segments, p.unlisted.ref)
 	} else {
-		b.keepUnchanged(p)
+		b.copyUnchanged(p)
 	}
-	for _, id := range b.order {
+	for _, id := range b.changeOrder {
 		c := b.changes[id]
-		if c.State != ClaimReleased || b.covers(p, id) {
+		if c.State != ClaimReleased || b.inSegment(p, id) {
 			b.head.Claims = append(b.head.Claims, c)
 		}
 	}
 	b.encoded = b.head.Encode()
 }
 
-func (b *batch) keepUnchanged(p *partition) {
-	b.head.Claims = make([]Claim, 0, len(p.head.Claims)+len(b.order))
+func (b *batch) copyUnchanged(p *partition) {
+	b.head.Claims = make([]Claim, 0, len(p.head.Claims)+len(b.changeOrder))
 	for _, c := range p.head.Claims {
 		if _, changed := b.changes[c.ID]; !changed {
 			b.head.Claims = append(b.head.Claims, c)
@@ -142,15 +142,15 @@
 	}
 }
 
-// covers reports whether a segment that the new head lists has a claim of id.
-func (b *batch) covers(p *partition, id Hash) bool {
-	_, sealed := p.sealed[id]
-	_, inHead := p.inHead[id]
-	return sealed || inHead && b.sealed != nil
+// inSegment reports whether a segment that the new head lists has a claim of id.
+func (b *batch) inSegment(p *partition, id Hash) bool {
+	_, sealed := p.segmentClaims[id]
+	_, inHead := p.headClaims[id]
+	return sealed || inHead && b.sealedSegment != nil
 }
 
-// durable reports whether the result of an operation rests on the cache alone.
-func (b *batch) durable(p *partition, op *operation, r ClaimResult) bool {
+// resultIsDurable reports whether the result of an operation rests on the cache alone.
+func (b *batch) resultIsDurable(p *partition, op *operation, r ClaimResult) bool {
 	switch r {
 	case ResultExists, ResultExistsDone:
 		c, ok := p.find(op.msg.ID)
@@ -163,17 +163,17 @@
 	}
 }
 
-// split removes the operations whose result is durable already and returns them.
-func (b *batch) split(p *partition) (early []*operation, results []ClaimResult) {
-	keep := 0
+// splitDurable removes the operations whose result is durable already and returns them.
+func (b *batch) splitDurable(p *partition) (durable []*operation, results []ClaimResult) {
+	kept := 0
 	for i, op := range b.ops {
-		if b.durable(p, op, b.results[i]) {
-			early, results = append(early, op), append(results, b.results[i])
+		if b.resultIsDurable(p, op, b.results[i]) {
+			durable, results = append(durable, op), append(results, b.results[i])
 			continue
 		}
-		b.ops[keep], b.results[keep] = op, b.results[i]
-		keep++
+		b.ops[kept], b.results[kept] = op, b.results[i]
+		kept++
 	}
-	b.ops, b.results = slices.Clip(b.ops[:keep]), b.results[:keep]
-	return early, results
+	b.ops, b.results = slices.Clip(b.ops[:kept]), b.results[:kept]
+	return durable, results
 }
--- a/order/fault_test.go
+++ b/order/fault_test.go
@@ -14,20 +14,20 @@
 // steps are run for each fault; a fault hits the first time that the step is
 // reached after two orders went through.
 var (
-	steps  = []string{stepClaim, stepRead, stepSeal, stepWrite, stepList, stepConfirm, stepSend, stepReply, stepRelease, stepFreed}
+	steps  = []string{stepClaim, stepRead, stepSeal, stepWrite, stepWriteListing, stepConfirm, stepSend, stepReply, stepRelease, stepConfirmRelease}
 	faults = []string{
-		faultNone, faultLost, faultDoubled, faultDelayed, faultUnavailable, faultUnknownDone, faultUnknownNot,
-		faultUnknownLate, faultConflict, faultKillEntry, faultKillOwner, faultPauseEntry, faultPauseOwner, faultKillWriting, faultNoStatus, faultNoProof, faultPastEnd,
+		faultNone, faultLost, faultDuplicated, faultDelayed, faultUnavailable, faultUnknownApplied, faultUnknownNotApplied,
+		faultUnknownAppliedLate, faultConflict, faultKillEntry, faultKillOwner, faultPauseEntry, faultPauseOwner, faultKillOwnerLateWrite, faultShedWithoutProof, faultFailedWithProof, faultReplyPastDeadline,
 	}
 )
 
-// mayStay reports whether a fault can leave a claim that nobody may release:
+// mayKeepClaim reports whether a fault can leave a claim that nobody may release:
 // its holder was killed, or its attempt or reply was lost.
-func mayStay(step, fault string) bool {
+func mayKeepClaim(step, fault string) bool {
 	if fault == faultKillEntry {
 		return true
 	}
-	return (step == stepSend || step == stepReply) && fault != faultNone && fault != faultDoubled
+	return (step == stepSend || step == stepReply) && fault != faultNone && fault != faultDuplicated
 }
 
 // TestFaultAtEachStep guards against a second run, a false answer and a lost
@@ -37,10 +37,10 @@
 	for _, step := range steps {
 		for _, fault := range faults {
 			for _, sheds := range []int{0, 2} {
-				for _, budget := range []clock.Millis{deadline, shortBudget} {
-					t.Run(fmt.Sprintf("%s/%s/sheds=%d/budget=%d", step, fault, sheds, budget), func(t *testing.T) {
+				for _, timeout := range []clock.Millis{deadline, shortTimeout} {
+					t.Run(fmt.Sprintf("%s/%s/sheds=%d/budget=%d", step, fault, sheds, timeout), func(t *testing.T) {
 						runFaults(t, scenario{
-							hits: []hit{{step, fault, 0}}, sheds: sheds, budget: budget, outage: preset.OutageWait, gap: 400,
+							injections: []injection{{step, fault, 0}}, sheds: sheds, timeout: timeout, outage: preset.OutageWait, interval: 400,
 						})
 					})
 				}
@@ -49,24 +49,24 @@
 	}
 }
 
-const shortBudget clock.Millis = 300
+const shortTimeout clock.Millis = 300
 
-// hit is a fault at the first occurrence of a step after a wait from the submission.
-type hit struct {
+// injection is a fault at the first occurrence of a step after a wait from the submission.
+type injection struct {
 	step, fault string
-	wait        clock.Millis
+	after       clock.Millis
 }
 
 type scenario struct {
-	hits   []hit
-	sheds  int
-	budget clock.Millis // of the order that meets the faults
-	outage preset.OutageRule
-	gap    clock.Millis // between two orders
+	injections []injection
+	sheds      int
+	timeout    clock.Millis // of the order that meets the faults
+	outage     preset.OutageRule
+	interval   clock.Millis // between two orders
 }
 
-// TestFaultsInTurn guards against faults that meet: each hit waits for the one before it.
-func TestFaultsInTurn(t *testing.T) {
+// TestFaultSequences guards against faults that meet: each hit waits for the one before it.
+func TestFaultSequences(t *testing.T) {
 	tests := []struct {
 		name    string
 		s       scenario
@@ -75,23 +75,23 @@
 		{
 			"claim written after its release, confirmation lost",
 			scenario{
-				hits:   []hit{{stepClaim, faultDelayed, 0}, {stepConfirm, faultLost, delay - 100}},
-				budget: shortBudget, outage: preset.OutageWait, gap: 400,
+				injections: []injection{{stepClaim, faultDelayed, 0}, {stepConfirm, faultLost, delay - 100}},
+				timeout:    shortTimeout, outage: preset.OutageWait, interval: 400,
 			},
 			order.OutcomeRefused,
 		},
 		{
 			"claim written, then store down",
 			scenario{
-				hits:   []hit{{stepWrite, faultUnknownDone, 0}, {stepRead, faultUnavailable, 0}},
-				budget: deadline, outage: preset.OutageRefuse, gap: 400,
+				injections: []injection{{stepWrite, faultUnknownApplied, 0}, {stepRead, faultUnavailable, 0}},
+				timeout:    deadline, outage: preset.OutageRefuse, interval: 400,
 			},
 			order.OutcomeDone,
 		},
 		{
 			"claim write later than the release, no other write between",
 			scenario{
-				hits: []hit{{stepWrite, faultKillWriting, 0}}, budget: shortBudget, outage: preset.OutageWait, gap: 4000,
+				injections: []injection{{stepWrite, faultKillOwnerLateWrite, 0}}, timeout: shortTimeout, outage: preset.OutageWait, interval: 4000,
 			},
 			order.OutcomeRefused,
 		},
@@ -107,54 +107,54 @@
 }
 
 // runFaults submits 8 orders, the third of which meets the faults, and returns its first call.
-func runFaults(t *testing.T, s scenario) (met *rigCall) {
-	var armed []hit
-	var begin clock.Millis
-	var r *rig
-	r = newRig(func(at string) string {
-		if len(armed) == 0 || at != armed[0].step || r.now < begin+armed[0].wait {
+func runFaults(t *testing.T, s scenario) (target *testCall) {
+	var remaining []injection
+	var targetAt clock.Millis
+	var h *harness
+	h = newHarness(func(step string) string {
+		if len(remaining) == 0 || step != remaining[0].step || h.now < targetAt+remaining[0].after {
 			return faultNone
 		}
-		fault := armed[0].fault
-		armed = armed[1:]
+		fault := remaining[0].fault
+		remaining = remaining[1:]
 		return fault
 	})
-	all := ids(start, 8)
-	for i, id := range all {
-		r.at(clock.Millis(i)*s.gap, func() {
+	orderIDs := ids(start, 8)
+	for i, id := range orderIDs {
+		h.schedule(clock.Millis(i)*s.interval, func() {
 			if i != 2 {
-				r.submit("entry", id)
+				h.submit("entry", id)
 				return
 			}
-			begin, armed, r.sheds = r.now, s.hits, s.sheds
-			if s.hits[0].step == stepRead { // a restarted owner has to read
-				r.boot("owner")
+			targetAt, remaining, h.sheds = h.now, s.injections, s.sheds
+			if s.injections[0].step == stepRead { // a restarted owner has to read
+				h.restart("owner")
 			}
-			met = r.submitFor("entry", id, s.budget, s.outage)
+			target = h.submitWith("entry", id, s.timeout, s.outage)
 		})
 	}
 	for _, wait := range []clock.Millis{5000, 40000, 80000} {
-		for i, id := range all {
-			r.at(clock.Millis(len(all))*s.gap+wait+clock.Millis(i), func() { r.submit("other", id) })
+		for i, id := range orderIDs {
+			h.schedule(clock.Millis(len(orderIDs))*s.interval+wait+clock.Millis(i), func() { h.submit("other", id) })
 		}
 	}
-	r.runUntil(start + 3*clock.Minute)
-	checkSafety(t, r)
-	checkClaims(t, r)
-	step, fault := s.hits[0].step, s.hits[0].fault
-	if release := step == stepRelease || step == stepFreed; len(armed) > 0 && (!release || s.sheds > 0) {
-		t.Errorf("got no %s step, want the fault injected", armed[0].step)
+	h.runUntil(start + 3*clock.Minute)
+	checkSafety(t, h)
+	checkClaims(t, h)
+	step, fault := s.injections[0].step, s.injections[0].fault
+	if release := step == stepRelease || step == stepConfirmRelease; len(remaining) > 0 && (!release || s.sheds > 0) {
+		t.Errorf("got no %s step, want the fault injected", remaining[0].step)
 	}
-	lost := 0
-	for _, id := range all {
-		if r.runs[id] == 0 {
-			lost++
+	neverRan := 0
+	for _, id := range orderIDs {
+		if h.runs[id] == 0 {
+			neverRan++
 		}
 	}
-	if lost > 0 && !mayStay(step, fault) {
-		t.Errorf("got %d orders that never ran, want 0", lost)
+	if neverRan > 0 && !mayKeepClaim(step, fault) {
+		t.Errorf("got %d orders that never ran, want 0", neverRan)
 	}
-	return met
+	return target
 }
 
 // TestRandomFaults guards against a second run and a false answer when faults
@@ -162,39 +162,39 @@
 func TestRandomFaults(t *testing.T) {
 	names := []string{"entry", "other", "owner"}
 	rapid.Check(t, func(t *rapid.T) {
-		hits := rapid.SliceOfN(rapid.IntRange(0, 4*len(faults)-1), 0, 200).Draw(t, "faults")
-		r := newRig(func(string) string {
-			if len(hits) == 0 {
+		draws := rapid.SliceOfN(rapid.IntRange(0, 4*len(faults)-1), 0, 200).Draw(t, "faults")
+		h := newHarness(func(string) string {
+			if len(draws) == 0 {
 				return faultNone
 			}
-			next := hits[0]
-			hits = hits[1:]
+			next := draws[0]
+			draws = draws[1:]
 			if next >= len(faults) { // most steps pass, so that orders reach their later steps
 				return faultNone
 			}
 			return faults[next]
 		})
-		all := ids(start, 4)
-		r.sheds = rapid.IntRange(0, 3).Draw(t, "sheds")
+		orderIDs := ids(start, 4)
+		h.sheds = rapid.IntRange(0, 3).Draw(t, "sheds")
 		for range rapid.IntRange(4, 20).Draw(t, "submissions") {
-			id := rapid.SampledFrom(all).Draw(t, "id")
+			id := rapid.SampledFrom(orderIDs).Draw(t, "id")
 			vm := rapid.SampledFrom(names).Draw(t, "vm")
-			budget := rapid.SampledFrom([]clock.Millis{deadline, shortBudget}).Draw(t, "budget")
+			timeout := rapid.SampledFrom([]clock.Millis{deadline, shortTimeout}).Draw(t, "budget")
 			outage := rapid.SampledFrom([]preset.OutageRule{preset.OutageWait, preset.OutageRefuse}).Draw(t, "outage")
 			wait := clock.Millis(rapid.IntRange(0, 8000).Draw(t, "wait"))
-			r.at(wait, func() {
-				if !r.vms[vm].dead {
-					r.submitFor(vm, id, budget, outage)
+			h.schedule(wait, func() {
+				if !h.vms[vm].killed {
+					h.submitWith(vm, id, timeout, outage)
 				}
 			})
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "views") {
 			vm := rapid.SampledFrom(names).Draw(t, "viewer")
 			live := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 3, rapid.ID[string]).Draw(t, "live")
-			r.at(clock.Millis(rapid.IntRange(0, 8000).Draw(t, "view at")), func() { r.deliver(vm, order.LiveVMsMsg{VMs: live}) })
+			h.schedule(clock.Millis(rapid.IntRange(0, 8000).Draw(t, "view at")), func() { h.deliver(vm, order.LiveVMsMsg{VMs: live}) })
 		}
-		r.runUntil(start + 2*clock.Minute)
-		checkSafety(t, r)
-		checkClaims(t, r)
+		h.runUntil(start + 2*clock.Minute)
+		checkSafety(t, h)
+		checkClaims(t, h)
 	})
 }
--- a/order/head.go
+++ b/order/head.go
@@ -44,36 +44,36 @@
 
 const (
 	fieldClaim protowire.Number = iota + 1
-	fieldNewest
-	fieldNext
+	fieldNewestIssued
+	fieldNextSegment
 	fieldSegmentNumber
-	fieldSegmentNewest
-	fieldFloor
+	fieldSegmentNewestIssued
+	fieldLowWatermark
 )
 
 const (
-	claimBytes        = 2*HashSize + 1
-	encodedClaimBytes = claimBytes + 2 // with tag and length
+	claimSize        = 2*HashSize + 1
+	encodedClaimSize = claimSize + 2 // with tag and length
 )
 
 // Encode returns the head in protobuf wire format.
 func (h Head) Encode() []byte {
-	b := make([]byte, 0, len(h.Claims)*encodedClaimBytes+len(h.Segments)*16+24)
+	b := make([]byte, 0, len(h.Claims)*encodedClaimSize+len(h.Segments)*16+24)
 	for _, c := range h.Claims {
 		b = protowire.AppendTag(b, fieldClaim, protowire.BytesType)
-		b = protowire.AppendVarint(b, claimBytes)
+		b = protowire.AppendVarint(b, claimSize)
 		b = append(b, c.ID[:]...)
 		b = append(b, c.Token[:]...)
 		b = append(b, byte(c.State))
 	}
-	b = appendUint(b, fieldNewest, uint64(h.NewestIssued))
-	b = appendUint(b, fieldNext, h.NextSegment)
+	b = appendUint(b, fieldNewestIssued, uint64(h.NewestIssued))
+	b = appendUint(b, fieldNextSegment, h.NextSegment)
 	for _, s := range h.Segments {
 		b = appendUint(b, fieldSegmentNumber, s.Number)
-		b = appendUint(b, fieldSegmentNewest, uint64(s.NewestIssued))
+		b = appendUint(b, fieldSegmentNewestIssued, uint64(s.NewestIssued))
 	}
 	if h.LowWatermark != 0 {
-		b = appendUint(b, fieldFloor, uint64(h.LowWatermark))
+		b = appendUint(b, fieldLowWatermark, uint64(h.LowWatermark))
 	}
 	return b
 }
@@ -89,14 +89,14 @@
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return Head{}, corrupt(n)
+			return Head{}, newDecodeError(n)
 		}
 		b = b[n:]
 		var err error
 		switch {
 		case num == fieldClaim && typ == protowire.BytesType:
 			b, err = h.decodeClaim(b)
-		case num > fieldClaim && num <= fieldFloor && typ == protowire.VarintType:
+		case num > fieldClaim && num <= fieldLowWatermark && typ == protowire.VarintType:
 			b, err = h.decodeUint(num, b)
 		default:
 			err = newError("decode head", KindCorrupt, nil)
@@ -111,9 +111,9 @@
 func (h *Head) decodeClaim(b []byte) ([]byte, error) {
 	v, n := protowire.ConsumeBytes(b)
 	if n < 0 {
-		return nil, corrupt(n)
+		return nil, newDecodeError(n)
 	}
-	if len(v) != claimBytes {
+	if len(v) != claimSize {
 		return nil, newError("decode claim", KindCorrupt, nil)
 	}
 	c := Claim{ID: Hash(v[:HashSize]), Token: Hash(v[HashSize : 2*HashSize]), State: ClaimState(v[2*HashSize])}
@@ -127,24 +127,26 @@
 func (h *Head) decodeUint(num protowire.Number, b []byte) ([]byte, error) {
 	v, n := protowire.ConsumeVarint(b)
 	if n < 0 {
-		return nil, corrupt(n)
+		return nil, newDecodeError(n)
 	}
 	switch num {
-	case fieldNewest:
+	case fieldNewestIssued:
 		h.NewestIssued = clock.Millis(v)
-	case fieldNext:
+	case fieldNextSegment:
 		h.NextSegment = v
 	case fieldSegmentNumber:
 		h.Segments = append(h.Segments, SegmentRef{Number: v})
-	case fieldSegmentNewest:
+	case fieldSegmentNewestIssued:
 		if len(h.Segments) == 0 {
 			return nil, newError("decode segment", KindCorrupt, nil)
 		}
 		h.Segments[len(h.Segments)-1].NewestIssued = clock.Millis(v)
-	case fieldFloor:
+	case fieldLowWatermark:
 		h.LowWatermark = clock.Millis(v)
 	}
 	return b[n:], nil
 }
 
-func corrupt(n int) error { return newError("decode head", KindCorrupt, protowire.ParseError(n)) }
+func newDecodeError(n int) error {
+	return newError("decode head", KindCorrupt, protowire.ParseError(n))
+}
--- a/order/head_test.go
+++ b/order/head_test.go
@@ -47,9 +47,9 @@
 		if err != nil {
 			return
 		}
-		again, err := order.DecodeHead(head.Encode())
-		if err != nil || !reflect.DeepEqual(again, head) {
-			t.Errorf("got %v, %v, want %v", again, err, head)
+		reencoded, err := order.DecodeHead(head.Encode())
+		if err != nil || !reflect.DeepEqual(reencoded, head) {
+			t.Errorf("got %v, %v, want %v", reencoded, err, head)
 		}
 	})
 }
--- a/order/load.go
+++ b/order/load.go
@@ -8,85 +8,85 @@
 
 func (m *Model) readHead(now clock.Millis, p *partition) {
 	p.loaded = false
-	m.call(now, p, phaseReadHead, store.Request{Op: store.OpGet, Key: HeadKey(p.n)})
+	m.startCall(now, p, phaseReadHead, store.Request{Op: store.OpGet, Key: HeadKey(p.index)})
 }
 
-// stored routes a store reply to the partition that waits for it.
-func (m *Model) stored(now clock.Millis, r store.Reply) {
-	c, ok := m.calls[r.Tag]
+// handleStoreReply routes a store reply to the partition that waits for it.
+func (m *Model) handleStoreReply(now clock.Millis, r store.Reply) {
+	call, ok := m.storeCalls[r.Tag]
 	if !ok {
 		return
 	}
-	delete(m.calls, r.Tag)
-	p := &m.parts[c.partition]
-	if c.collects {
-		m.collected(now, p, r)
+	delete(m.storeCalls, r.Tag)
+	p := &m.partitions[call.partition]
+	if call.garbageCollection {
+		m.deleteGarbage(now, p, r)
 		return
 	}
 	m.finishCall(now, p, r)
 }
 
 func (m *Model) finishCall(now clock.Millis, p *partition, r store.Reply) {
-	was := p.phase
+	finished := p.phase
 	p.phase = phaseIdle
 	if r.Kind == store.KindUnavailable || r.Kind == store.KindUnknown || r.Kind == store.KindTooLarge {
 		m.stats.StoreFailures++
-		m.event(timeline.Event{Kind: timeline.StoreFailed, Detail: r.Kind.String()})
+		m.emitEvent(timeline.Event{Kind: timeline.StoreFailed, Detail: r.Kind.String()})
 	}
-	switch was {
+	switch finished {
 	case phaseReadHead:
-		m.headRead(now, p, r)
+		m.handleHeadRead(now, p, r)
 	case phaseReadSegment:
-		m.segmentRead(now, p, r)
+		m.handleSegmentRead(now, p, r)
 	case phaseSeal:
-		m.sealed(now, p, r)
+		m.handleSealed(now, p, r)
 	case phaseWrite:
-		m.written(now, p, r)
+		m.handleWritten(now, p, r)
 	case phaseIdle:
 	}
 }
 
-func (m *Model) headRead(now clock.Millis, p *partition, r store.Reply) {
+func (m *Model) handleHeadRead(now clock.Millis, p *partition, r store.Reply) {
 	head, err := DecodeHead(r.Entry.Value)
 	if r.Kind != store.KindOK || err != nil {
-		m.unreadable(HeadKey(p.n), r, err)
-		m.fail(now, p)
+		m.reportCorrupt(HeadKey(p.index), r, err)
+		m.backOff(now, p)
 		return
 	}
-	p.readAt = now
+	p.currentAt = now
 	p.setHead(head, r.Entry.Revision)
-	p.forgetDropped()
+	p.evictDropped()
 	m.readSegments(now, p)
 }
 
-// unreadable reports a record that the store returned but that cannot be
+// reportCorrupt reports a record that the store returned but that cannot be
 // decoded. Its partition refuses every claim until the record is restored.
-func (m *Model) unreadable(key string, r store.Reply, err error) {
+func (m *Model) reportCorrupt(key string, r store.Reply, err error) {
 	if r.Kind != store.KindOK || err == nil {
 		return
 	}
 	m.stats.StoreFailures++
-	m.event(timeline.Event{Kind: timeline.StoreFailed, Detail: "cannot decode " + key})
+	m.emitEvent(timeline.Event{Kind: timeline.StoreFailed, Detail: "cannot decode " + key})
 }
 
 func (p *partition) setHead(h Head, revision uint64) {
 	p.head, p.revision = h, revision
-	clear(p.inHead)
-	for _, c := range h.Claims {
-		p.inHead[c.ID] = c
+	clear(p.headClaims)
+	for _, call := range h.Claims {
+		p.headClaims[call.ID] = call
 	}
 }
 
-// forgetDropped empties the segment cache if the head no longer lists a segment in it.
-func (p *partition) forgetDropped() {
+// evictDropped empties the segment cache if the head no longer lists a segment in it.
+func (p *partition) evictDropped() {
 	listed := make(map[uint64]bool)
 	for _, s := range p.head.Segments {
 		listed[s.Number] = true
 	}
-	for n := range p.have {
+	for n := range p.cachedSegments {
 		if !listed[n] {
-			clear(p.sealed)
-			clear(p.have)
+			clear(p.segmentClaims)
+			clear(p.cachedSegments)
 			return
 		}
 	}
@@ -96,9 +96,9 @@
 // that newer claims override older ones.
 func (m *Model) readSegments(now clock.Millis, p *partition) {
 	for _, s := range p.head.Segments {
-		if !p.have[s.Number] {
-			p.reading = s.Number
-			m.call(now, p, phaseReadSegment, store.Request{Op: store.OpGet, Key: SegmentKey(p.n, s.Number)})
+		if !p.cachedSegments[s.Number] {
+			p.readingSegment = s.Number
+			m.startCall(now, p, phaseReadSegment, store.Request{Op: store.OpGet, Key: SegmentKey(p.index, s.Number)})
 			return
 		}
 	}
@@ -107,21 +107,21 @@
 	m.advance(now, p)
 }
 
-func (m *Model) segmentRead(now clock.Millis, p *partition, r store.Reply) {
+func (m *Model) handleSegmentRead(now clock.Millis, p *partition, r store.Reply) {
 	seg, err := DecodeHead(r.Entry.Value)
 	if r.Kind != store.KindOK || err != nil || r.Entry.Revision == 0 {
 		// A missing segment was dropped by another owner: the head is read again.
-		m.unreadable(SegmentKey(p.n, p.reading), r, err)
-		m.fail(now, p)
+		m.reportCorrupt(SegmentKey(p.index, p.readingSegment), r, err)
+		m.backOff(now, p)
 		return
 	}
-	p.addSealed(p.reading, seg.Claims)
+	p.cacheSegment(p.readingSegment, seg.Claims)
 	m.readSegments(now, p)
 }
 
-func (p *partition) addSealed(number uint64, claims []Claim) {
-	for _, c := range claims {
-		p.sealed[c.ID] = c
+func (p *partition) cacheSegment(number uint64, claims []Claim) {
+	for _, call := range claims {
+		p.segmentClaims[call.ID] = call
 	}
-	p.have[number] = true
+	p.cachedSegments[number] = true
 }
--- a/order/model_test.go
+++ b/order/model_test.go
@@ -25,21 +25,21 @@
 }
 
 // checkSafety reports an order that ran twice and an answer that is not true.
-func checkSafety(t interface{ Errorf(string, ...any) }, r *rig) {
-	for id, runs := range r.runs {
+func checkSafety(t interface{ Errorf(string, ...any) }, h *harness) {
+	for id, runs := range h.runs {
 		if runs > 1 {
 			t.Errorf("order %s ran %d times, want at most 1", id, runs)
 		}
 	}
-	for _, b := range r.broken {
+	for _, b := range h.violations {
 		t.Errorf("got %s", b)
 	}
-	for i, c := range r.calls {
-		if len(c.answers) > 1 || len(c.answers) == 0 && !c.vm.dead {
+	for i, c := range h.calls {
+		if len(c.answers) > 1 || len(c.answers) == 0 && !c.vm.killed {
 			t.Errorf("call %d: got %d answers, want 1", i, len(c.answers))
 		}
 		for _, a := range c.answers {
-			if a.Execution == attempt.NotExecuted && c.runs > 0 || a.Execution == attempt.Executed && r.runs[c.id] == 0 {
+			if a.Execution == attempt.NotExecuted && c.runs > 0 || a.Execution == attempt.Executed && h.runs[c.id] == 0 {
 				t.Errorf("call %d: got %v, but it ran %d times", i, a, c.runs)
 			}
 		}
@@ -47,14 +47,14 @@
 }
 
 // checkClaims reports a claim that vanished although its order ran or its holder did not release it.
-func checkClaims(t interface{ Errorf(string, ...any) }, r *rig) {
-	claims := r.claims()
-	for _, id := range r.foreign {
+func checkClaims(t interface{ Errorf(string, ...any) }, h *harness) {
+	claims := h.claims()
+	for _, id := range h.foreignClaims {
 		if claims[id] != order.ClaimHeld {
 			t.Errorf("got state %d of another owner's claim, want it kept", claims[id])
 		}
 	}
-	for id := range r.runs {
+	for id := range h.runs {
 		if s := claims[order.HashOf(id)]; s != order.ClaimHeld && s != order.ClaimDone {
 			t.Errorf("got state %d of order %s that ran, want its claim kept", s, id)
 		}
@@ -65,12 +65,12 @@
 func TestRefusals(t *testing.T) {
 	const day = 24 * clock.Hour
 	tests := []struct {
-		name   string
-		id     string
-		stop   bool
-		want   order.Reason
-		ran    attempt.Execution
-		wanted order.Outcome
+		name          string
+		id            string
+		draining      bool
+		wantReason    order.Reason
+		wantExecution attempt.Execution
+		wantOutcome   order.Outcome
 	}{
 		{"no dash", "1700000000000", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
 		{"no random part", "1700000000000-", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
@@ -84,15 +84,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRig(func(string) string { return faultNone })
-			if tt.stop {
-				r.deliver("entry", order.StopMsg{})
+			h := newHarness(func(string) string { return faultNone })
+			if tt.draining {
+				h.deliver("entry", order.StopMsg{})
 			}
-			c := r.submit("entry", tt.id)
-			r.runUntil(start + clock.Minute)
+			c := h.submit("entry", tt.id)
+			h.runUntil(start + clock.Minute)
 			got := c.answers[0]
-			if got.Outcome != tt.wanted || got.Execution != tt.ran || got.Reason != tt.want {
-				t.Errorf("got %v, want %v %v %v", got, tt.wanted, tt.ran, tt.want)
+			if got.Outcome != tt.wantOutcome || got.Execution != tt.wantExecution || got.Reason != tt.wantReason {
+				t.Errorf("got %v, want %v %v %v", got, tt.wantOutcome, tt.wantExecution, tt.wantReason)
 			}
 		})
 	}
@@ -100,17 +100,17 @@
 
 // TestDrain guards against a drain that cuts an open order.
 func TestDrain(t *testing.T) {
-	r := newRig(func(string) string { return faultNone })
-	c := r.submit("entry", ids(start, 1)[0])
-	r.deliver("entry", order.StopMsg{})
-	if r.vms["entry"].model.Drained() {
+	h := newHarness(func(string) string { return faultNone })
+	c := h.submit("entry", ids(start, 1)[0])
+	h.deliver("entry", order.StopMsg{})
+	if h.vms["entry"].model.Drained() {
 		t.Error("got drained with an open order, want not drained")
 	}
-	r.runUntil(start + clock.Second)
+	h.runUntil(start + clock.Second)
 	if got := c.answers[0].Outcome; got != order.OutcomeDone {
 		t.Errorf("got %v, want done", got)
 	}
-	if !r.vms["entry"].model.Drained() {
+	if !h.vms["entry"].model.Drained() {
 		t.Error("got not drained, want drained")
 	}
 }
@@ -118,122 +118,122 @@
 // TestSegmentsAreDropped guards against segments that stay for ever and against
 // a claim that is dropped while its id is still accepted.
 func TestSegmentsAreDropped(t *testing.T) {
-	r := newRig(func(string) string { return faultNone })
+	h := newHarness(func(string) string { return faultNone })
 	gap := clock.Second
 	submit := func(hours clock.Millis) []string {
-		r.runUntil(start + hours*clock.Hour)
-		all := ids(r.now, 12)
-		for _, id := range all {
-			r.submit("entry", id)
-			r.runUntil(r.now + gap)
+		h.runUntil(start + hours*clock.Hour)
+		orderIDs := ids(h.now, 12)
+		for _, id := range orderIDs {
+			h.submit("entry", id)
+			h.runUntil(h.now + gap)
 		}
-		return all
+		return orderIDs
 	}
 	submit(0)
-	first := len(r.entries)
-	if first < 3 {
-		t.Fatalf("got %d records, want sealed segments", first)
+	sealedRecords := len(h.entries)
+	if sealedRecords < 3 {
+		t.Fatalf("got %d records, want sealed segments", sealedRecords)
 	}
 	kept := submit(12)
 	gap = 20
 	submit(25)
-	r.runUntil(r.now + clock.Second)
-	for i := 4; i < len(r.writes); i++ {
-		if got := r.writes[i] - r.writes[i-4]; got < 300 {
+	h.runUntil(h.now + clock.Second)
+	for i := 4; i < len(h.writes); i++ {
+		if got := h.writes[i] - h.writes[i-4]; got < 300 {
 			t.Errorf("got 5 writes and deletes within %d ms, want at least 300 ms", got)
 		}
 	}
-	r.boot("owner")
+	h.restart("owner")
 	for _, id := range kept {
-		c := r.submit("other", id)
-		r.runUntil(r.now + clock.Second)
+		c := h.submit("other", id)
+		h.runUntil(h.now + clock.Second)
 		if got := c.answers[0]; got.Outcome != order.OutcomeAlreadySubmitted || got.Execution != attempt.Executed {
 			t.Errorf("got %v, want already_submitted, ran yes", got)
 		}
 	}
-	if got, want := len(r.entries), 3*first-2; got >= want {
+	if got, want := len(h.entries), 3*sealedRecords-2; got >= want {
 		t.Errorf("got %d records after 25 h, want fewer than %d", got, want)
 	}
-	checkSafety(t, r)
+	checkSafety(t, h)
 }
 
-// TestFloor guards against a second run when the clocks of two owners differ
+// TestLowWatermark guards against a second run when the clocks of two owners differ
 // by more than SegmentDropMargin: one drops a segment, the other still accepts its ids.
-func TestFloor(t *testing.T) {
-	r := newRig(func(string) string { return faultNone })
-	all := ids(start, 12)
-	submit := func(vm, id string) *rigCall {
-		c := r.submit(vm, id)
-		r.runUntil(r.now + clock.Second)
+func TestLowWatermark(t *testing.T) {
+	h := newHarness(func(string) string { return faultNone })
+	orderIDs := ids(start, 12)
+	submit := func(vm, id string) *testCall {
+		c := h.submit(vm, id)
+		h.runUntil(h.now + clock.Second)
 		return c
 	}
-	for _, id := range all {
+	for _, id := range orderIDs {
 		submit("entry", id)
 	}
 	const ahead = 25 * clock.Hour
-	r.vms["owner"].ahead, r.vms["entry"].ahead = ahead, ahead
-	submit("entry", ids(r.now+ahead, 1)[0]) // its write drops every segment
-	r.boot("owner")
-	for _, id := range all {
+	h.vms["owner"].clockAhead, h.vms["entry"].clockAhead = ahead, ahead
+	submit("entry", ids(h.now+ahead, 1)[0]) // its write drops every segment
+	h.restart("owner")
+	for _, id := range orderIDs {
 		c := submit("other", id)
-		if got := c.answers[0]; got.Execution == attempt.NotExecuted || r.runs[id] != 1 {
-			t.Errorf("got %v and %d runs of %s, want no claim and 1 run", got, r.runs[id], id)
+		if got := c.answers[0]; got.Execution == attempt.NotExecuted || h.runs[id] != 1 {
+			t.Errorf("got %v and %d runs of %s, want no claim and 1 run", got, h.runs[id], id)
 		}
 	}
-	checkSafety(t, r)
+	checkSafety(t, h)
 }
 
-// TestUnreadable guards against a damaged record that is overwritten, or that
+// TestCorruptHead guards against a damaged record that is overwritten, or that
 // nobody hears of.
-func TestUnreadable(t *testing.T) {
-	r := newRig(func(string) string { return faultNone })
+func TestCorruptHead(t *testing.T) {
+	h := newHarness(func(string) string { return faultNone })
 	e := store.Entry{Key: order.HeadKey(0), Value: []byte{0x7a, 0x00}, Revision: 1}
-	r.entries[e.Key], r.revision = e, 1
-	c := r.submit("entry", ids(start, 1)[0])
-	r.runUntil(start + clock.Minute)
+	h.entries[e.Key], h.revision = e, 1
+	c := h.submit("entry", ids(start, 1)[0])
+	h.runUntil(start + clock.Minute)
 	if got := c.answers[0]; got.Outcome != order.OutcomeRefused || got.Execution != attempt.NotExecuted {
 		t.Errorf("got %v, want refused, ran no", got)
 	}
-	if got := r.entries[e.Key].Revision; got != e.Revision {
+	if got := h.entries[e.Key].Revision; got != e.Revision {
 		t.Errorf("got revision %d, want the record unchanged", got)
 	}
 	want := timeline.Event{Kind: timeline.StoreFailed, Detail: "cannot decode " + e.Key}
-	if !slices.Contains(r.storeEvents, want.Detail) {
-		t.Errorf("got events %v, want %v", r.storeEvents, want)
+	if !slices.Contains(h.storeEvents, want.Detail) {
+		t.Errorf("got events %v, want %v", h.storeEvents, want)
 	}
 }
 
-// TestDeadHolder guards against a claim that is written for a holder that is
+// TestClaimOfStoppedVM guards against a claim that is written for a holder that is
 // gone, which blocks its id although nothing was sent.
-func TestDeadHolder(t *testing.T) {
+func TestClaimOfStoppedVM(t *testing.T) {
 	tests := []struct {
-		name  string
-		learn func(r *rig, id string)
-		runs  int
+		name        string
+		notifyOwner func(h *harness, id string)
+		wantRuns    int
 	}{
-		{"not told", func(*rig, string) {}, 0},
-		{"left the view", func(r *rig, _ string) { r.deliver("owner", order.LiveVMsMsg{VMs: []string{"owner"}}) }, 1},
-		{"new incarnation asks", func(r *rig, id string) {
-			r.boot("entry")
-			r.submit("entry", id)
+		{"not told", func(*harness, string) {}, 0},
+		{"left the view", func(h *harness, _ string) { h.deliver("owner", order.LiveVMsMsg{VMs: []string{"owner"}}) }, 1},
+		{"new incarnation asks", func(h *harness, id string) {
+			h.restart("entry")
+			h.submit("entry", id)
 		}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRig(func(string) string { return faultNone })
-			all := ids(start, 3)
-			r.submit("entry", all[0])
-			r.runUntil(start + 20)
-			r.submit("entry", all[1]) // waits for the next write
-			r.runUntil(start + 30)
-			r.vms["entry"].dead = true
-			tt.learn(r, all[2])
-			r.runUntil(start + 3*clock.Second)
-			r.submit("other", all[1])
-			r.runUntil(start + clock.Minute)
-			checkSafety(t, r)
-			if got := r.runs[all[1]]; got != tt.runs {
-				t.Errorf("got %d runs, want %d", got, tt.runs)
+			h := newHarness(func(string) string { return faultNone })
+			orderIDs := ids(start, 3)
+			h.submit("entry", orderIDs[0])
+			h.runUntil(start + 20)
+			h.submit("entry", orderIDs[1]) // waits for the next write
+			h.runUntil(start + 30)
+			h.vms["entry"].killed = true
+			tt.notifyOwner(h, orderIDs[2])
+			h.runUntil(start + 3*clock.Second)
+			h.submit("other", orderIDs[1])
+			h.runUntil(start + clock.Minute)
+			checkSafety(t, h)
+			if got := h.runs[orderIDs[1]]; got != tt.wantRuns {
+				t.Errorf("got %d runs, want %d", got, tt.wantRuns)
 			}
 		})
 	}
--- a/order/notcarrier_test.go
+++ b/order/notcarrier_test.go
@@ -28,7 +28,7 @@
 	)
 	var sent []attempt.Request
 	var answers []order.Answer
-	feed := func(msg order.Msg) {
+	update := func(msg order.Msg) {
 		for queue := []order.Msg{msg}; len(queue) > 0; queue = queue[1:] {
 			for _, cmd := range m.Update(now, queue[0]) {
 				switch c := cmd.(type) {
@@ -46,13 +46,13 @@
 			}
 		}
 	}
-	feed(order.LiveVMsMsg{VMs: []string{"vm-1"}})
-	feed(order.SubmitMsg{CallID: 1, ID: fmt.Sprintf("%d-a", now), Service: "orders", Group: "d00", Deadline: now + 1000})
+	update(order.LiveVMsMsg{VMs: []string{"vm-1"}})
+	update(order.SubmitMsg{CallID: 1, ID: fmt.Sprintf("%d-a", now), Service: "orders", Group: "d00", Deadline: now + 1000})
 	for i := range 2 {
 		if len(sent) != i+1 {
 			t.Fatalf("got %d attempts, want %d; answers %v", len(sent), i+1, answers)
 		}
-		feed(order.AttemptReplyMsg{Reply: attempt.Reply{ID: sent[i].ID, Upstream: sent[i].Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted}})
+		update(order.AttemptReplyMsg{Reply: attempt.Reply{ID: sent[i].ID, Upstream: sent[i].Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted}})
 	}
 	if len(answers) != 1 || answers[0].Outcome != order.OutcomeRefused || answers[0].Execution != attempt.NotExecuted {
 		t.Errorf("got %v, want one refusal that was not run", answers)
--- a/order/options.go
+++ b/order/options.go
@@ -21,44 +21,44 @@
 type Picker func(now clock.Millis, service, group string, exclude []upstream.ID) (upstream.ID, bool)
 
 type config struct {
-	self          string
-	incarnation   uint64
-	picker        Picker
-	attemptID     func() attempt.ID
-	writeInterval clock.Millis
-	batchLimit    int
-	headBytes     int
-	doneDelay     clock.Millis
-	doneMarks     bool
-	askInterval   clock.Millis
-	openLimit     int
-	releaseLimit  int
-	queueLimit    int
+	vm                 string
+	incarnation        uint64
+	picker             Picker
+	attemptID          func() attempt.ID
+	writeInterval      clock.Millis
+	maxBatch           int
+	sealThreshold      int
+	doneMarkDelay      clock.Millis
+	doneMarks          bool
+	claimRetryInterval clock.Millis
+	maxOpenOrders      int
+	maxReleases        int
+	maxQueue           int
 }
 
 // Option configures a Model.
 type Option func(*config)
 
-func defaults() config {
+func defaultConfig() config {
 	return config{
 		picker: func(clock.Millis, string, string, []upstream.ID) (upstream.ID, bool) { return "", false },
 		// 16 partitions at one write each 100 ms are 160 writes/s, within the store's several hundred.
 		writeInterval: 100,
-		headBytes:     64 << 10,
+		sealThreshold: 64 << 10,
 		// An idle partition writes a done mark alone at most every 5 s: 3.2 writes/s in total.
-		doneDelay: 5 * clock.Second,
-		doneMarks: true,
+		doneMarkDelay: 5 * clock.Second,
+		doneMarks:     true,
 		// Three times the wait for a batch and its write, so that a healthy owner is rarely asked twice.
-		askInterval:  300,
-		openLimit:    16384,
-		releaseLimit: 16384,
-		queueLimit:   4096,
+		claimRetryInterval: 300,
+		maxOpenOrders:      16384,
+		maxReleases:        16384,
+		maxQueue:           4096,
 	}
 }
 
 // WithSelf names the VM and its incarnation, which must be new at each start.
 func WithSelf(vm string, incarnation uint64) Option {
-	return func(c *config) { c.self, c.incarnation = vm, incarnation }
+	return func(c *config) { c.vm, c.incarnation = vm, incarnation }
 }
 
 // WithPicker sets the choice of upstreams.
@@ -71,22 +71,24 @@
 func WithWriteInterval(d clock.Millis) Option { return func(c *config) { c.writeInterval = d } }
 
 // WithMaxBatch bounds the operations in one write; 0 means no bound.
-func WithMaxBatch(n int) Option { return func(c *config) { c.batchLimit = n } }
+func WithMaxBatch(n int) Option { return func(c *config) { c.maxBatch = n } }
 
 // WithSealThreshold sets the size at which the head is sealed into a segment.
-func WithSealThreshold(n int) Option { return func(c *config) { c.headBytes = n } }
+func WithSealThreshold(n int) Option { return func(c *config) { c.sealThreshold = n } }
 
 // WithDoneMarks says whether claims of finished orders are marked done.
 func WithDoneMarks(on bool) Option { return func(c *config) { c.doneMarks = on } }
 
 // WithDoneDelay sets how long a done mark waits for a claim to share a write with.
-func WithDoneDelay(d clock.Millis) Option { return func(c *config) { c.doneDelay = d } }
+func WithDoneDelay(d clock.Millis) Option { return func(c *config) { c.doneMarkDelay = d } }
 
 // WithClaimRetryInterval sets the time after which a claim is asked for again.
-func WithClaimRetryInterval(d clock.Millis) Option { return func(c *config) { c.askInterval = d } }
+func WithClaimRetryInterval(d clock.Millis) Option {
+	return func(c *config) { c.claimRetryInterval = d }
+}
 
 // WithMaxOpenOrders bounds the open orders.
-func WithMaxOpenOrders(n int) Option { return func(c *config) { c.openLimit = n } }
+func WithMaxOpenOrders(n int) Option { return func(c *config) { c.maxOpenOrders = n } }
 
 // WithMaxReleases bounds the remembered releases; above it the oldest is dropped and its claim stays.
-func WithMaxReleases(n int) Option { return func(c *config) { c.releaseLimit = n } }
+func WithMaxReleases(n int) Option { return func(c *config) { c.maxReleases = n } }
--- a/order/owner.go
+++ b/order/owner.go
@@ -9,28 +9,28 @@
 
 // enqueue queues an operation for the next batch of its partition.
 func (m *Model) enqueue(now clock.Millis, msg ClaimRequestMsg) {
-	p := &m.parts[msg.ID.Partition()]
+	p := &m.partitions[msg.ID.Partition()]
 	key := opKey{msg.Op, msg.Token}
 	if msg.Op == OpClaim {
 		p.dropClaims(func(t Token) bool { return t.VM == msg.Token.VM && t.Incarnation < msg.Token.Incarnation })
 	}
-	if p.queued[key] != nil || msg.Op == OpClaim && p.queued[opKey{OpRelease, msg.Token}] != nil {
+	if p.pending[key] != nil || msg.Op == OpClaim && p.pending[opKey{OpRelease, msg.Token}] != nil {
 		return
 	}
-	if msg.Op == OpClaim && !msg.WaitForStore && now < p.retryAt || len(p.queued) >= m.cfg.queueLimit {
-		m.result(now, msg, ResultUnavailable)
+	if msg.Op == OpClaim && !msg.WaitForStore && now < p.retryAt || len(p.pending) >= m.cfg.maxQueue {
+		m.respond(now, msg, ResultUnavailable)
 		return
 	}
-	op := &operation{msg: msg, token: msg.Token.Hash(), due: now, expires: now + markKeepMs}
+	op := &operation{msg: msg, token: msg.Token.Hash(), due: now, expiresAt: now + queueTimeoutMs}
 	switch msg.Op {
 	case OpClaim:
-		op.expires = now + msg.Timeout
+		op.expiresAt = now + msg.Timeout
 	case OpMarkDone:
-		op.due = now + m.cfg.doneDelay
+		op.due = now + m.cfg.doneMarkDelay
 	case OpRelease:
 		p.drop(opKey{OpClaim, msg.Token})
 	}
-	p.queued[key] = op
+	p.pending[key] = op
 	p.queue = append(p.queue, op)
 	m.advance(now, p)
 }
@@ -40,9 +40,9 @@
 // stays queued; a holder that lives after all asks again.
 func (p *partition) dropClaims(gone func(Token) bool) {
 	p.queue = slices.DeleteFunc(p.queue, func(op *operation) bool {
-		drop := op.msg.Op == OpClaim && !op.unsure && gone(op.msg.Token)
+		drop := op.msg.Op == OpClaim && !op.maybeWritten && gone(op.msg.Token)
 		if drop {
-			delete(p.queued, opKey{OpClaim, op.msg.Token})
+			delete(p.pending, opKey{OpClaim, op.msg.Token})
 		}
 		return drop
 	})
@@ -50,35 +50,35 @@
 
 // drop removes a queued operation. An operation of the batch in flight stays.
 func (p *partition) drop(key opKey) {
-	op := p.queued[key]
+	op := p.pending[key]
 	if i := slices.Index(p.queue, op); op != nil && i >= 0 {
 		p.queue = slices.Delete(p.queue, i, i+1)
-		delete(p.queued, key)
+		delete(p.pending, key)
 	}
 }
 
-// result reports on an operation, except for done marks, which nobody waits for.
-func (m *Model) result(now clock.Millis, msg ClaimRequestMsg, r ClaimResult) {
+// respond reports on an operation, except for done marks, which nobody waits for.
+func (m *Model) respond(now clock.Millis, msg ClaimRequestMsg, r ClaimResult) {
 	if msg.Op == OpMarkDone {
 		return
 	}
-	answer := ClaimResponseMsg{Token: msg.Token, Result: r}
-	if msg.From == m.cfg.self {
-		m.claimed(now, answer)
+	response := ClaimResponseMsg{Token: msg.Token, Result: r}
+	if msg.From == m.cfg.vm {
+		m.handleClaimResponse(now, response)
 		return
 	}
-	m.emit(PeerCmd{To: msg.From, Msg: answer})
+	m.emit(PeerCmd{To: msg.From, Msg: response})
 }
 
 func (m *Model) complete(now clock.Millis, p *partition, op *operation, r ClaimResult) {
-	delete(p.queued, opKey{op.msg.Op, op.msg.Token})
-	m.result(now, op.msg, r)
+	delete(p.pending, opKey{op.msg.Op, op.msg.Token})
+	m.respond(now, op.msg, r)
 }
 
 // advance starts the next store call of an idle partition, or waits for its time.
 func (m *Model) advance(now clock.Millis, p *partition) {
 	if p.phase != phaseIdle {
-		m.checkCall(now, p)
+		m.checkCallTimeout(now, p)
 		return
 	}
 	p.expire(now)
@@ -86,29 +86,29 @@
 	if !ok {
 		return
 	}
-	if at := max(due, p.nextWrite, p.retryAt); now < at {
-		m.wakePartition(p, at)
+	if at := max(due, p.nextWriteAt, p.retryAt); now < at {
+		m.setPartitionTimer(p, at)
 		return
 	}
 	switch {
 	case !p.loaded:
 		m.readHead(now, p)
-	case len(p.head.Claims)*encodedClaimBytes >= m.cfg.headBytes && !p.freshValid():
+	case len(p.head.Claims)*encodedClaimSize >= m.cfg.sealThreshold && !p.unlistedIsCurrent():
 		m.seal(now, p)
 	default:
 		m.writeBatch(now, p)
 	}
 }
 
-// checkCall treats a store call that was never reported as unknown.
-func (m *Model) checkCall(now clock.Millis, p *partition) {
-	if now < p.callAt+storeCallMs {
-		m.wakePartition(p, p.callAt+storeCallMs)
+// checkCallTimeout treats a store call that was never reported as unknown.
+func (m *Model) checkCallTimeout(now clock.Millis, p *partition) {
+	if now < p.callStartedAt+storeCallTimeoutMs {
+		m.setPartitionTimer(p, p.callStartedAt+storeCallTimeoutMs)
 		return
 	}
-	for tag, c := range m.calls {
-		if c.partition == p.n {
-			delete(m.calls, tag)
+	for tag, c := range m.storeCalls {
+		if c.partition == p.index {
+			delete(m.storeCalls, tag)
 		}
 	}
 	m.finishCall(now, p, store.Reply{Kind: store.KindUnknown})
@@ -117,9 +117,9 @@
 // expire drops operations that nobody waits for any more.
 func (p *partition) expire(now clock.Millis) {
 	p.queue = slices.DeleteFunc(p.queue, func(op *operation) bool {
-		gone := now >= op.expires
+		gone := now >= op.expiresAt
 		if gone {
-			delete(p.queued, opKey{op.msg.Op, op.msg.Token})
+			delete(p.pending, opKey{op.msg.Op, op.msg.Token})
 		}
 		return gone
 	})
@@ -137,22 +137,22 @@
 	return at, true
 }
 
-// fail backs off after a failed store call. Claims that may not wait are given
+// backOff backs off after a failed store call. Claims that may not wait are given
 // up, unless an earlier write may have written them.
-func (m *Model) fail(now clock.Millis, p *partition) {
-	p.backoff = min(max(2*p.backoff, backoffMs), backoffMaxMs)
+func (m *Model) backOff(now clock.Millis, p *partition) {
+	p.backoff = min(max(2*p.backoff, minBackoffMs), maxBackoffMs)
 	p.retryAt = now + p.backoff
 	queue := p.queue
 	p.queue = nil
-	var given []*operation
+	var rejected []*operation
 	for _, op := range queue {
-		if op.msg.Op == OpClaim && !op.msg.WaitForStore && !op.unsure {
-			given = append(given, op)
+		if op.msg.Op == OpClaim && !op.msg.WaitForStore && !op.maybeWritten {
+			rejected = append(rejected, op)
 			continue
 		}
 		p.queue = append(p.queue, op)
 	}
-	for _, op := range given {
+	for _, op := range rejected {
 		m.complete(now, p, op, ResultUnavailable)
 	}
 	m.advance(now, p)
--- a/order/timer.go
+++ b/order/timer.go
@@ -9,7 +9,7 @@
 type timerKind uint8
 
 const (
-	timerOrder timerKind = iota
+	timerSubmission timerKind = iota
 	timerRelease
 	timerPartition
 )
@@ -34,7 +34,7 @@
 	return last
 }
 
-func (m *Model) wakeAt(at clock.Millis, kind timerKind, key uint64) {
+func (m *Model) setTimer(at clock.Millis, kind timerKind, key uint64) {
 	heap.Push(&m.timers, timer{at: at, kind: kind, key: key})
 }
 
@@ -42,13 +42,13 @@
 	for len(m.timers) > 0 && m.timers[0].at <= now {
 		t := heap.Pop(&m.timers).(timer)
 		switch t.kind {
-		case timerOrder:
-			m.orderDue(now, t.key)
+		case timerSubmission:
+			m.checkSubmission(now, t.key)
 		case timerRelease:
-			m.releaseDue(now, t.key)
+			m.checkRelease(now, t.key)
 		case timerPartition:
-			p := &m.parts[t.key]
-			p.wake = 0
+			p := &m.partitions[t.key]
+			p.timerAt = 0
 			m.advance(now, p)
 		}
 	}
--- a/order/write.go
+++ b/order/write.go
@@ -12,25 +12,25 @@
 // writeBatch evaluates the queue against the cache and writes the result.
 func (m *Model) writeBatch(now clock.Millis, p *partition) {
 	n := len(p.queue)
-	if m.cfg.batchLimit > 0 {
-		n = min(n, m.cfg.batchLimit)
+	if m.cfg.maxBatch > 0 {
+		n = min(n, m.cfg.maxBatch)
 	}
 	b := newBatch()
-	b.fill(now, p, p.queue[:n])
-	if slices.Contains(b.results, ResultExists) && now > p.readAt+cacheAgeMs {
+	b.evaluate(now, p, p.queue[:n])
+	if slices.Contains(b.results, ResultExists) && now > p.currentAt+maxCacheAgeMs {
 		m.readHead(now, p)
 		return
 	}
 	p.queue = slices.Clone(p.queue[n:])
-	early, results := b.split(p)
-	needed := len(b.changes) > 0 || b.touch
-	if needed {
+	durable, results := b.splitDurable(p)
+	needsWrite := len(b.changes) > 0 || b.forceWrite
+	if needsWrite {
 		m.write(now, p, b)
 	}
-	for i, op := range early {
+	for i, op := range durable {
 		m.complete(now, p, op, results[i])
 	}
-	if !needed {
+	if !needsWrite {
 		m.confirm(now, p, b)
 		m.advance(now, p)
 	}
@@ -39,22 +39,22 @@
 func (m *Model) write(now clock.Millis, p *partition, b *batch) {
 	b.build(now, p)
 	p.batch = b
-	p.nextWrite = now + m.cfg.writeInterval
+	p.nextWriteAt = now + m.cfg.writeInterval
 	m.stats.Writes++
-	m.call(now, p, phaseWrite, store.Request{
-		Op: store.OpSwap, Key: HeadKey(p.n), Value: b.encoded, Expect: p.revision,
+	m.startCall(now, p, phaseWrite, store.Request{
+		Op: store.OpSwap, Key: HeadKey(p.index), Value: b.encoded, Expect: p.revision,
 	})
 }
 
-// written handles the result of a head write.
-func (m *Model) written(now clock.Millis, p *partition, r store.Reply) {
+// handleWritten handles the result of a head write.
+func (m *Model) handleWritten(now clock.Millis, p *partition, r store.Reply) {
 	b := p.batch
 	p.batch = nil
 	if r.Kind == store.KindOK {
 		p.commit(now, b, r.Entry.Revision)
-		m.batchEvent(p, b)
+		m.emitBatchEvent(p, b)
 		m.confirm(now, p, b)
-		m.collect(p)
+		m.readGarbage(p)
 		m.advance(now, p)
 		return
 	}
@@ -67,28 +67,28 @@
 	case store.KindUnknown:
 		// The head is read back; claims that took effect are found by their tokens.
 		for _, op := range b.ops {
-			op.unsure = true
+			op.maybeWritten = true
 		}
 		m.advance(now, p)
 	default:
-		m.fail(now, p)
+		m.backOff(now, p)
 	}
 }
 
 // commit makes a written head the cache.
 func (p *partition) commit(now clock.Millis, b *batch, revision uint64) {
-	if b.sealed != nil {
-		p.addSealed(b.sealed.ref.Number, p.head.Claims)
+	if b.sealedSegment != nil {
+		p.cacheSegment(b.sealedSegment.ref.Number, p.head.Claims)
 	}
-	p.fresh, p.sealSkip = nil, 0
-	for _, s := range b.expired {
+	p.unlisted, p.minSealNumber = nil, 0
+	for _, s := range b.expiredSegments {
 		p.garbage = append(p.garbage, s.Number)
 	}
 	p.setHead(b.head, revision)
-	p.readAt, p.retryAt, p.backoff = now, 0, 0
-	if len(b.expired) > 0 {
-		p.forgetDropped()
-		p.loaded = len(p.have) == len(p.head.Segments)
+	p.currentAt, p.retryAt, p.backoff = now, 0, 0
+	if len(b.expiredSegments) > 0 {
+		p.evictDropped()
+		p.loaded = len(p.cachedSegments) == len(p.head.Segments)
 	}
 }
 
@@ -97,13 +97,13 @@
 	for i, op := range b.ops {
 		if op.msg.Op == OpRelease {
 			m.stats.Releases++
-			m.event(timeline.Event{Kind: timeline.ClaimReleased, Detail: op.msg.Token.String(), Revision: p.revision})
+			m.emitEvent(timeline.Event{Kind: timeline.ClaimReleased, Detail: op.msg.Token.String(), Revision: p.revision})
 		}
 		m.complete(now, p, op, b.results[i])
 	}
 }
 
-func (m *Model) batchEvent(p *partition, b *batch) {
+func (m *Model) emitBatchEvent(p *partition, b *batch) {
 	claims := 0
 	for i, op := range b.ops {
 		if op.msg.Op == OpClaim && b.results[i] == ResultClaimed {
@@ -111,8 +111,8 @@
 		}
 	}
 	m.stats.ClaimsWritten += claims
-	m.event(timeline.Event{
+	m.emitEvent(timeline.Event{
 		Kind: timeline.ClaimWritten, Revision: p.revision,
-		Detail: "partition=" + strconv.Itoa(p.n) + " claims=" + strconv.Itoa(claims),
+		Detail: "partition=" + strconv.Itoa(p.index) + " claims=" + strconv.Itoa(claims),
 	})
 }
