--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -10,14 +10,14 @@
 
 // BenchmarkQuery measures one query that waits in the queue and then runs.
 func BenchmarkQuery(b *testing.B) {
-	g := admission.New(admission.WithService(svc, 1, 1), admission.WithPreset(policy(50, 25, 10)))
+	ctrl := admission.New(admission.WithService(testService, 1, 1), admission.WithPreset(testPreset(50, 25, 10)))
 	ids := [2]string{"a", "b"}
-	g.Update(1, arrive("b", rank.Urgent))
+	ctrl.Update(1, arrive("b", rank.Urgent))
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now := clock.Millis(i/100 + 1)
-		g.Update(now, arrive(ids[i%2], rank.Urgent))
-		g.Update(now, done(ids[(i+1)%2]))
-		g.NextWake()
+		ctrl.Update(now, arrive(ids[i%2], rank.Urgent))
+		ctrl.Update(now, finish(ids[(i+1)%2]))
+		ctrl.NextWake()
 	}
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -9,9 +9,9 @@
 	"lentillink.example/lentillink/rank"
 )
 
-const svc = "search"
+const testService = "search"
 
-func policy(urgent, ordinary, patient float64) preset.Preset {
+func testPreset(urgent, ordinary, patient float64) preset.Preset {
 	return preset.Preset{
 		Urgent:   preset.RankPolicy{DeadlineMs: 500, FloorPercent: urgent, QueueRequests: 3},
 		Ordinary: preset.RankPolicy{DeadlineMs: 1000, FloorPercent: ordinary, QueueRequests: 3},
@@ -20,10 +20,10 @@
 }
 
 func arrive(id string, r rank.Rank) admission.ArrivalMsg {
-	return admission.ArrivalMsg{ID: id, Rank: r, Service: svc, Cost: 1}
+	return admission.ArrivalMsg{ID: id, Rank: r, Service: testService, Cost: 1}
 }
 
-func done(id string) admission.DoneMsg { return admission.DoneMsg{ID: id, ElapsedMs: 10} }
+func finish(id string) admission.DoneMsg { return admission.DoneMsg{ID: id, ElapsedMs: 10} }
 
 type step struct {
 	at  clock.Millis
@@ -32,42 +32,42 @@
 
 // TestDecisions guards against a query that is admitted, held or refused wrongly.
 func TestDecisions(t *testing.T) {
-	full := []step{{1, arrive("a", rank.Patient)}, {1, arrive("b", rank.Patient)}}
-	bigger := policy(50, 25, 10)
-	bigger.Urgent.DeadlineMs = 20
+	fillLimit := []step{{1, arrive("a", rank.Patient)}, {1, arrive("b", rank.Patient)}}
+	shortDeadline := testPreset(50, 25, 10)
+	shortDeadline.Urgent.DeadlineMs = 20
 	tests := []struct {
 		name  string
 		steps []step
 		want  string // the decisions in order
 	}{
 		{"room", nil, "+a +b"},
-		{"urgent before patient", []step{{2, arrive("c", rank.Patient)}, {2, arrive("d", rank.Urgent)}, {9, done("a")}, {9, done("b")}}, "+a +b +d +c"},
+		{"urgent before patient", []step{{2, arrive("c", rank.Patient)}, {2, arrive("d", rank.Urgent)}, {9, finish("a")}, {9, finish("b")}}, "+a +b +d +c"},
 		{"duplicate", []step{{2, arrive("a", rank.Urgent)}}, "+a +b -a:duplicate_id"},
 		{"unknown service", []step{{2, admission.ArrivalMsg{ID: "x", Service: "none"}}}, "+a +b -x:unknown_service"},
-		{"draining", []step{{2, arrive("c", rank.Urgent)}, {2, admission.DrainMsg{}}, {3, arrive("d", rank.Urgent)}, {9, done("a")}}, "+a +b -d:draining +c"},
+		{"draining", []step{{2, arrive("c", rank.Urgent)}, {2, admission.DrainMsg{}}, {3, arrive("d", rank.Urgent)}, {9, finish("a")}}, "+a +b -d:draining +c"},
 		{"draining past the deadline", []step{{2, arrive("c", rank.Urgent)}, {2, admission.DrainMsg{}}, {502, admission.TickMsg{}}}, "+a +b -c:too_late"},
-		{"gone", []step{{2, arrive("c", rank.Urgent)}, {3, admission.CancelMsg{ID: "c"}}, {9, done("a")}, {600, admission.TickMsg{}}}, "+a +b"},
-		{"deadline passed at arrival", []step{{9, admission.ArrivalMsg{ID: "c", Service: svc, Deadline: 9}}}, "+a +b -c:too_late"},
-		{"less time than queries take", []step{{9, done("a")}, {9, admission.ArrivalMsg{ID: "c", Rank: rank.Patient, Service: svc, Deadline: 18}}}, "+a +b -c:too_late"},
+		{"gone", []step{{2, arrive("c", rank.Urgent)}, {3, admission.CancelMsg{ID: "c"}}, {9, finish("a")}, {600, admission.TickMsg{}}}, "+a +b"},
+		{"deadline passed at arrival", []step{{9, admission.ArrivalMsg{ID: "c", Service: testService, Deadline: 9}}}, "+a +b -c:too_late"},
+		{"less time than queries take", []step{{9, finish("a")}, {9, admission.ArrivalMsg{ID: "c", Rank: rank.Patient, Service: testService, Deadline: 18}}}, "+a +b -c:too_late"},
 		{"slow queries", []step{{9, admission.DoneMsg{ID: "a", ElapsedMs: 800}}, {9, arrive("c", rank.Patient)}, {10, admission.DoneMsg{ID: "c", ElapsedMs: 60_000}}, {10, admission.DoneMsg{ID: "b", ElapsedMs: 60_000}}, {20, arrive("d", rank.Patient)}}, "+a +b +c -d:too_late"},
 		{"slow queries, forgotten after a second", []step{{9, admission.DoneMsg{ID: "a", ElapsedMs: 60_000}}, {9, admission.DoneMsg{ID: "b", ElapsedMs: 60_000}}, {1010, arrive("c", rank.Patient)}}, "+a +b +c"},
-		{"shorter deadline under a new preset", []step{{2, arrive("c", rank.Urgent)}, {3, admission.PresetMsg{Preset: bigger}}, {30, done("a")}}, "+a +b -c:too_late"},
-		{"waited, with time for a slow query", []step{{2, arrive("c", rank.Urgent)}, {3, done("a")}, {4, arrive("d", rank.Urgent)}, {240, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c +d"},
-		{"waited, with time for a usual query only", []step{{2, arrive("c", rank.Urgent)}, {3, done("a")}, {4, arrive("d", rank.Urgent)}, {260, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c -d:too_late"},
+		{"shorter deadline under a new preset", []step{{2, arrive("c", rank.Urgent)}, {3, admission.PresetMsg{Preset: shortDeadline}}, {30, finish("a")}}, "+a +b -c:too_late"},
+		{"waited, with time for a slow query", []step{{2, arrive("c", rank.Urgent)}, {3, finish("a")}, {4, arrive("d", rank.Urgent)}, {240, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c +d"},
+		{"waited, with time for a usual query only", []step{{2, arrive("c", rank.Urgent)}, {3, finish("a")}, {4, arrive("d", rank.Urgent)}, {260, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c -d:too_late"},
 		{"full queue, newest patient", []step{
 			{2, arrive("c", rank.Patient)}, {2, arrive("d", rank.Patient)}, {2, arrive("e", rank.Patient)}, {2, arrive("f", rank.Patient)},
 		}, "+a +b -f:queue_full"},
 		{"full queue, oldest urgent", []step{
 			{2, arrive("c", rank.Urgent)}, {2, arrive("d", rank.Urgent)}, {2, arrive("e", rank.Urgent)}, {2, arrive("f", rank.Urgent)},
 		}, "+a +b -c:displaced"},
-		{"overloaded, newest urgent first", []step{{2, arrive("c", rank.Urgent)}, {290, arrive("d", rank.Urgent)}, {300, done("a")}, {301, done("b")}}, "+a +b +d +c"},
+		{"overloaded, newest urgent first", []step{{2, arrive("c", rank.Urgent)}, {290, arrive("d", rank.Urgent)}, {300, finish("a")}, {301, finish("b")}}, "+a +b +d +c"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := admission.New(admission.WithService(svc, 2, 2), admission.WithPreset(policy(50, 25, 10)))
+			ctrl := admission.New(admission.WithService(testService, 2, 2), admission.WithPreset(testPreset(50, 25, 10)))
 			got := ""
-			for _, s := range append(append([]step{}, full...), tt.steps...) {
-				for _, c := range g.Update(s.at, s.msg) {
+			for _, s := range append(append([]step{}, fillLimit...), tt.steps...) {
+				for _, c := range ctrl.Update(s.at, s.msg) {
 					got += decision(t, c)
 				}
 			}
@@ -92,15 +92,15 @@
 	}
 }
 
-// TestLending guards against unused capacity and against a floor that does
+// TestLendingAndFloors guards against unused capacity and against a floor that does
 // not come back to its rank.
-func TestLending(t *testing.T) {
-	p := policy(50, 30, 20)
+func TestLendingAndFloors(t *testing.T) {
+	p := testPreset(50, 30, 20)
 	p.Patient.QueueRequests, p.Ordinary.QueueRequests, p.Urgent.QueueRequests = 100, 100, 100
-	g := admission.New(admission.WithService(svc, 20, 20), admission.WithPreset(p))
+	ctrl := admission.New(admission.WithService(testService, 20, 20), admission.WithPreset(p))
 	ids := map[rank.Rank][]string{}
 	perform := func(now clock.Millis, m admission.Msg) {
-		for _, c := range g.Update(now, m) {
+		for _, c := range ctrl.Update(now, m) {
 			if a, ok := c.(admission.AdmitCmd); ok {
 				r := rank.Rank(a.ID[0] - '0')
 				ids[r] = append(ids[r], a.ID)
@@ -113,18 +113,18 @@
 		}
 	}
 	flood(rank.Patient)
-	if got := g.Running(svc, rank.Patient); got != 20 {
+	if got := ctrl.Running(testService, rank.Patient); got != 20 {
 		t.Fatalf("got %d patient alone, want the whole limit of 20", got)
 	}
 	flood(rank.Ordinary)
 	flood(rank.Urgent)
 	for i := range 20 {
 		id := ids[rank.Patient][i]
-		perform(clock.Millis(2+i), done(id))
+		perform(clock.Millis(2+i), finish(id))
 	}
 	want := rank.NewTable(10, 6, 4)
 	for _, r := range rank.All() {
-		if got := g.Running(svc, r); got != want.At(r) {
+		if got := ctrl.Running(testService, r); got != want.At(r) {
 			t.Errorf("got %d %s running, want %d", got, r, want.At(r))
 		}
 	}
--- a/admission/credit_test.go
+++ b/admission/credit_test.go
@@ -12,39 +12,39 @@
 // TestThroughputFloor guards against a rank whose queries run longer than
 // others and which so gets less than its floor of the throughput.
 func TestThroughputFloor(t *testing.T) {
-	p := policy(30, 30, 20)
+	p := testPreset(30, 30, 20)
 	p.Urgent.QueueRequests, p.Patient.QueueRequests = 100, 100
 	p.Urgent.DeadlineMs = 10_000
-	g := admission.New(admission.WithService(svc, 40, 40), admission.WithPreset(p))
-	took := rank.NewTable[clock.Millis](10, 10, 40)
+	ctrl := admission.New(admission.WithService(testService, 40, 40), admission.WithPreset(p))
+	durations := rank.NewTable[clock.Millis](10, 10, 40)
 	ends := make(map[clock.Millis][]string)
 	var now clock.Millis
 	var started rank.Table[int]
 	perform := func(m admission.Msg) {
-		for _, c := range g.Update(now, m) {
+		for _, c := range ctrl.Update(now, m) {
 			if a, ok := c.(admission.AdmitCmd); ok {
 				r := rank.Rank(a.ID[0] - '0')
 				*started.Ref(r)++
-				ends[now+took.At(r)] = append(ends[now+took.At(r)], a.ID)
+				ends[now+durations.At(r)] = append(ends[now+durations.At(r)], a.ID)
 			}
 		}
 	}
 	for seq := 0; now < 5000; now++ {
 		for _, id := range ends[now] {
-			perform(admission.DoneMsg{ID: id, ElapsedMs: took.At(rank.Rank(id[0] - '0'))})
+			perform(admission.DoneMsg{ID: id, ElapsedMs: durations.At(rank.Rank(id[0] - '0'))})
 		}
 		for _, r := range []rank.Rank{rank.Urgent, rank.Patient} {
-			for g.Queued(svc, r) < 50 {
+			for ctrl.Queued(testService, r) < 50 {
 				seq++
 				perform(arrive(strconv.Itoa(int(r))+"-"+strconv.Itoa(seq), r))
 			}
 		}
 	}
-	all := started.At(rank.Urgent) + started.At(rank.Patient)
-	if got := 100 * started.At(rank.Patient) / all; got < 18 {
+	total := started.At(rank.Urgent) + started.At(rank.Patient)
+	if got := 100 * started.At(rank.Patient) / total; got < 18 {
 		t.Errorf("patient got %d%% of the queries, want at least nine tenths of its floor of 20%%", got)
 	}
-	if got := 100 * started.At(rank.Urgent) / all; got < 70 {
+	if got := 100 * started.At(rank.Urgent) / total; got < 70 {
 		t.Errorf("urgent got %d%% of the queries, want the rest", got)
 	}
 }
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -8,22 +8,22 @@
 const (
 	decreaseFactor = 0.9
 
-	// overloadedShare is the share of completed queries with refused
+	// maxOverloadedRatio is the share of completed queries with refused
 	// sub-requests above which the limit falls. A single shed sub-request of a
 	// restarting upstream is no sign of overload.
-	overloadedShare = 0.1
+	maxOverloadedRatio = 0.1
 
 	// minSamples keeps a verdict from resting on one or two queries.
 	minSamples = 4
 
-	costWeight  = 0.05
-	serveWeight = 0.05
+	costWeight    = 0.05
+	serviceWeight = 0.05
 
-	// targetShare is the target wait as a share of the mean service time.
-	targetShare = 0.5
+	// targetServiceRatio is the target wait as a share of the mean service time.
+	targetServiceRatio = 0.5
 
-	// maxWaits bounds the weight of one query that waited long, in targets.
-	maxWaits = 4
+	// maxWaitTargets bounds the weight of one query that waited long, in targets.
+	maxWaitTargets = 4
 )
 
 // limit adapts the number of concurrent sub-requests of one service.
@@ -33,103 +33,103 @@
 // first in the least urgent rank that runs. Only queries admitted after the
 // last fall count, because older ones waited behind the load that the fall removed.
 type limit struct {
-	current     float64
-	most        float64
-	typicalCost float64
-	targetMs    clock.Millis // lowest target
-	serveMs     float64      // moving mean service time of sub-requests
-	intervalMs  clock.Millis
-
-	begin      clock.Millis // of the interval
-	lastFall   clock.Millis
-	full       bool // a query had to wait during the interval
-	peak       int  // highest running cost during the interval
-	samples    rank.Table[int]
-	waits      rank.Table[float64] // sum of the waits, each at most maxWaits targets
-	total      int
-	overloaded int
+	current       float64
+	maximum       float64
+	meanCost      float64
+	minTargetMs   clock.Millis // lowest target
+	meanServiceMs float64      // moving mean service time of sub-requests
+	intervalMs    clock.Millis
+
+	intervalStart clock.Millis // of the interval
+	lastDecrease  clock.Millis
+	saturated     bool // a query had to wait during the interval
+	peakRunning   int  // highest running cost during the interval
+	rankSamples   rank.Table[int]
+	rankWaits     rank.Table[float64] // sum of the waits, each at most maxWaits targets
+	completed     int
+	overloaded    int
 }
 
 func newLimit(sc serviceConfig, cfg config) limit {
 	return limit{
-		current: float64(max(sc.initial, 1)), most: float64(max(sc.max, sc.initial, 1)), typicalCost: 1,
-		targetMs: cfg.targetMs, intervalMs: cfg.intervalMs, lastFall: -1,
+		current: float64(max(sc.initial, 1)), maximum: float64(max(sc.maximum, sc.initial, 1)), meanCost: 1,
+		minTargetMs: cfg.targetWaitMs, intervalMs: cfg.intervalMs, lastDecrease: -1,
 	}
 }
 
-// target returns the wait above which the limit falls. With shorter waits than
+// targetWait returns the wait above which the limit falls. With shorter waits than
 // about half a service time the connections run idle now and then, because the
 // length of services varies.
-func (l *limit) target() float64 {
-	return max(float64(l.targetMs), targetShare*l.serveMs)
+func (l *limit) targetWait() float64 {
+	return max(float64(l.minTargetMs), targetServiceRatio*l.meanServiceMs)
 }
 
 func (l *limit) value() int { return int(l.current) }
 
-func (l *limit) markFull() { l.full = true }
+func (l *limit) markSaturated() { l.saturated = true }
 
-func (l *limit) started(running, cost int) {
-	l.peak = max(l.peak, running)
-	l.typicalCost += costWeight * (float64(cost) - l.typicalCost)
+func (l *limit) recordStart(running, cost int) {
+	l.peakRunning = max(l.peakRunning, running)
+	l.meanCost += costWeight * (float64(cost) - l.meanCost)
 }
 
-// observe records the end of q and reports whether the limit changed.
-func (l *limit) observe(now clock.Millis, q *query, m DoneMsg) bool {
+// recordEnd records the end of q and reports whether the limit changed.
+func (l *limit) recordEnd(now clock.Millis, q *query, m DoneMsg) bool {
 	if m.ServiceMs > 0 {
-		l.serveMs += serveWeight * (float64(m.ServiceMs) - l.serveMs)
+		l.meanServiceMs += serviceWeight * (float64(m.ServiceMs) - l.meanServiceMs)
 	}
-	if q.started > l.lastFall {
-		l.record(q.rank, m.QueueMs, m.Overloaded)
+	if q.startedAt > l.lastDecrease {
+		l.addSample(q.rank, m.QueueMs, m.Overloaded)
 	}
-	if now-l.begin < l.intervalMs || l.total < minSamples {
+	if now-l.intervalStart < l.intervalMs || l.completed < minSamples {
 		return false
 	}
-	before := l.value()
-	if l.tooHigh() {
-		l.current = max(min(l.current, float64(l.peak))*decreaseFactor, 1)
-		l.lastFall = now
-	} else if l.full && l.waitsLow() {
-		l.current = min(l.current+max(l.typicalCost, 1), l.most)
+	previous := l.value()
+	if l.shouldDecrease() {
+		l.current = max(min(l.current, float64(l.peakRunning))*decreaseFactor, 1)
+		l.lastDecrease = now
+	} else if l.saturated && l.waitsAreLow() {
+		l.current = min(l.current+max(l.meanCost, 1), l.maximum)
 	}
-	l.reset(now)
-	return l.value() != before
+	l.startInterval(now)
+	return l.value() != previous
 }
 
-func (l *limit) record(r rank.Rank, queueMs clock.Millis, overloaded bool) {
-	l.total++
-	*l.samples.Ref(r)++
-	*l.waits.Ref(r) += min(float64(queueMs), maxWaits*l.target())
+func (l *limit) addSample(r rank.Rank, queueMs clock.Millis, overloaded bool) {
+	l.completed++
+	*l.rankSamples.Ref(r)++
+	*l.rankWaits.Ref(r) += min(float64(queueMs), maxWaitTargets*l.targetWait())
 	if overloaded {
 		l.overloaded++
 	}
 }
 
-func (l *limit) tooHigh() bool {
-	if float64(l.overloaded) > overloadedShare*float64(l.total) {
+func (l *limit) shouldDecrease() bool {
+	if float64(l.overloaded) > maxOverloadedRatio*float64(l.completed) {
 		return true
 	}
-	return l.longestWait() > l.target()
+	return l.maxMeanWait() > l.targetWait()
 }
 
-// waitsLow reports whether the mean wait of every rank is at most half the
+// waitsAreLow reports whether the mean wait of every rank is at most half the
 // target. Between the half and the whole target the limit stays as it is.
-func (l *limit) waitsLow() bool { return 2*l.longestWait() <= l.target() }
+func (l *limit) waitsAreLow() bool { return 2*l.maxMeanWait() <= l.targetWait() }
 
-// longestWait returns the highest mean wait of the ranks.
-func (l *limit) longestWait() float64 {
+// maxMeanWait returns the highest mean wait of the ranks.
+func (l *limit) maxMeanWait() float64 {
 	longest := 0.0
 	for _, r := range rank.All() {
-		if n := l.samples.At(r); n >= minSamples {
-			longest = max(longest, l.waits.At(r)/float64(n))
+		if n := l.rankSamples.At(r); n >= minSamples {
+			longest = max(longest, l.rankWaits.At(r)/float64(n))
 		}
 	}
 	return longest
 }
 
-func (l *limit) reset(now clock.Millis) {
-	l.begin = now
-	l.full = false
-	l.peak = 0
-	l.samples, l.waits = rank.Table[int]{}, rank.Table[float64]{}
-	l.total, l.overloaded = 0, 0
+func (l *limit) startInterval(now clock.Millis) {
+	l.intervalStart = now
+	l.saturated = false
+	l.peakRunning = 0
+	l.rankSamples, l.rankWaits = rank.Table[int]{}, rank.Table[float64]{}
+	l.completed, l.overloaded = 0, 0
 }
--- a/admission/options.go
+++ b/admission/options.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// defaultTargetMs is the target for services of unknown or short service
+	// defaultTargetWaitMs is the target for services of unknown or short service
 	// time; a service of longer time gets a target in proportion.
-	defaultTargetMs   clock.Millis = 4
-	defaultIntervalMs clock.Millis = 100
+	defaultTargetWaitMs clock.Millis = 4
+	defaultIntervalMs   clock.Millis = 100
 )
 
 type config struct {
-	services   []serviceConfig
-	policy     preset.Preset
-	targetMs   clock.Millis
-	intervalMs clock.Millis
+	services     []serviceConfig
+	preset       preset.Preset
+	targetWaitMs clock.Millis
+	intervalMs   clock.Millis
 }
 
 type serviceConfig struct {
 	name    string
 	initial int
-	max     int
+	maximum int
 }
 
 // Option configures a Gate.
@@ -30,30 +30,30 @@
 
 // WithService adds a service whose limit starts at initial sub-requests and
 // never exceeds most.
-func WithService(name string, initial, most int) Option {
+func WithService(name string, initial, maximum int) Option {
 	return func(c *config) {
-		c.services = append(c.services, serviceConfig{name: name, initial: initial, max: most})
+		c.services = append(c.services, serviceConfig{name: name, initial: initial, maximum: maximum})
 	}
 }
 
 // WithPreset sets the preset that is in force at the start.
-func WithPreset(p preset.Preset) Option { return func(c *config) { c.policy = p } }
+func WithPreset(p preset.Preset) Option { return func(c *config) { c.preset = p } }
 
 // WithTargetWait sets the lowest mean queue wait at the carriers above which the limit falls.
-func WithTargetWait(ms clock.Millis) Option { return func(c *config) { c.targetMs = ms } }
+func WithTargetWait(ms clock.Millis) Option { return func(c *config) { c.targetWaitMs = ms } }
 
 // WithAdjustInterval sets the time over which waits are judged.
 func WithAdjustInterval(ms clock.Millis) Option { return func(c *config) { c.intervalMs = ms } }
 
 func newConfig(opts []Option) config {
-	c := config{policy: defaultPolicy(), targetMs: defaultTargetMs, intervalMs: defaultIntervalMs}
+	c := config{preset: defaultPreset(), targetWaitMs: defaultTargetWaitMs, intervalMs: defaultIntervalMs}
 	for _, opt := range opts {
 		opt(&c)
 	}
 	return c
 }
 
-func defaultPolicy() preset.Preset {
+func defaultPreset() preset.Preset {
 	return preset.Preset{
 		Name:     "default",
 		Urgent:   preset.RankPolicy{DeadlineMs: clock.Second, FloorPercent: 50, QueueRequests: 256},
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -18,19 +18,19 @@
 	spreadMs  = 3  // times lie evenly between serviceMs-spreadMs and serviceMs+spreadMs
 )
 
-// floodQuery is one query.
-type floodQuery struct {
-	id       string
-	rank     rank.Rank
-	deadline clock.Millis
-	admitted clock.Millis
-	left     int
-	waitedMs clock.Millis // of all sub-requests
+// simQuery is one query.
+type simQuery struct {
+	id         string
+	rank       rank.Rank
+	deadline   clock.Millis
+	admittedAt clock.Millis
+	remaining  int
+	waitedMs   clock.Millis // of all sub-requests
 }
 
 // job is one sub-request.
 type job struct {
-	query *floodQuery
+	query *simQuery
 	ends  clock.Millis
 }
 
@@ -47,26 +47,26 @@
 	return last
 }
 
-// flood drives one gate against a fake service in virtual time. The service
+// simulation drives one gate against a fake service in virtual time. The service
 // has a fixed number of workers and a first-in, first-out queue.
-type flood struct {
-	gate    *admission.Controller
-	cost    int
-	workers int
-	rng     *rand.Rand
-	now     clock.Millis
-	seq     int
-	offered rank.Table[float64] // queries per ms
-	open    map[string]*floodQuery
-	waiting []job
-	busy    jobHeap
-	good    rank.Table[int] // finished in time
-	refused rank.Table[int]
-	limits  int
-	samples int
+type simulation struct {
+	gate         *admission.Controller
+	cost         int
+	workers      int
+	rng          *rand.Rand
+	now          clock.Millis
+	seq          int
+	arrivalRate  rank.Table[float64] // queries per ms
+	undecided    map[string]*simQuery
+	waiting      []job
+	running      jobHeap
+	inTime       rank.Table[int] // finished in time
+	refused      rank.Table[int]
+	limitSum     int
+	limitSamples int
 }
 
-func floodPolicy() preset.Preset {
+func overloadPreset() preset.Preset {
 	return preset.Preset{
 		Urgent:   preset.RankPolicy{DeadlineMs: 500, FloorPercent: 40, QueueRequests: 500},
 		Ordinary: preset.RankPolicy{DeadlineMs: 2000, FloorPercent: 25, QueueRequests: 500},
@@ -74,126 +74,126 @@
 	}
 }
 
-func newFlood(seed uint64, initial, workers, cost int) *flood {
-	return &flood{
+func newSimulation(seed uint64, initial, workers, cost int) *simulation {
+	return &simulation{
 		cost: cost, workers: workers,
-		gate: admission.New(admission.WithService(svc, initial, 10_000), admission.WithPreset(floodPolicy())),
-		rng:  rand.New(rand.NewPCG(seed, 1)), open: map[string]*floodQuery{},
+		gate: admission.New(admission.WithService(testService, initial, 10_000), admission.WithPreset(overloadPreset())),
+		rng:  rand.New(rand.NewPCG(seed, 1)), undecided: map[string]*simQuery{},
 	}
 }
 
-func (f *flood) run(ms clock.Millis) {
-	for end := f.now + ms; f.now < end; f.now++ {
-		f.finish()
+func (s *simulation) run(ms clock.Millis) {
+	for end := s.now + ms; s.now < end; s.now++ {
+		s.finish()
 		for _, r := range rank.All() {
-			for range f.arrivals(f.offered.At(r)) {
-				f.arrive(r)
+			for range s.arrivals(s.arrivalRate.At(r)) {
+				s.arrive(r)
 			}
 		}
-		if at, ok := f.gate.NextWake(); ok && at <= f.now {
-			f.perform(admission.TickMsg{})
+		if at, ok := s.gate.NextWake(); ok && at <= s.now {
+			s.perform(admission.TickMsg{})
 		}
-		f.serve()
-		f.limits += f.gate.Limit(svc)
-		f.samples++
+		s.serve()
+		s.limitSum += s.gate.Limit(testService)
+		s.limitSamples++
 	}
 }
 
 // arrivals draws from a Poisson distribution with the given mean per ms.
-func (f *flood) arrivals(mean float64) int {
-	n, product := 0, f.rng.Float64()
+func (s *simulation) arrivals(mean float64) int {
+	n, product := 0, s.rng.Float64()
 	for product > math.Exp(-mean) {
 		n++
-		product *= f.rng.Float64()
+		product *= s.rng.Float64()
 	}
 	return n
 }
 
-func (f *flood) arrive(r rank.Rank) {
-	f.seq++
-	id := strconv.Itoa(f.seq)
-	f.open[id] = &floodQuery{id: id, rank: r, left: f.cost}
-	f.perform(admission.ArrivalMsg{ID: id, Rank: r, Service: svc, Cost: f.cost})
+func (s *simulation) arrive(r rank.Rank) {
+	s.seq++
+	id := strconv.Itoa(s.seq)
+	s.undecided[id] = &simQuery{id: id, rank: r, remaining: s.cost}
+	s.perform(admission.ArrivalMsg{ID: id, Rank: r, Service: testService, Cost: s.cost})
 }
 
-func (f *flood) perform(m admission.Msg) {
-	for _, c := range f.gate.Update(f.now, m) {
+func (s *simulation) perform(m admission.Msg) {
+	for _, c := range s.gate.Update(s.now, m) {
 		switch c := c.(type) {
 		case admission.AdmitCmd:
-			q := f.open[c.ID]
-			q.deadline, q.admitted = c.Deadline, f.now
-			for range f.cost {
-				f.waiting = append(f.waiting, job{query: q})
+			q := s.undecided[c.ID]
+			q.deadline, q.admittedAt = c.Deadline, s.now
+			for range s.cost {
+				s.waiting = append(s.waiting, job{query: q})
 			}
-			delete(f.open, c.ID)
+			delete(s.undecided, c.ID)
 		case admission.RefuseCmd:
-			*f.refused.Ref(f.open[c.ID].rank)++
-			delete(f.open, c.ID)
+			*s.refused.Ref(s.undecided[c.ID].rank)++
+			delete(s.undecided, c.ID)
 		}
 	}
 }
 
-func (f *flood) serve() {
-	for len(f.waiting) > 0 && len(f.busy) < f.workers {
-		j := f.waiting[0]
-		f.waiting = f.waiting[1:]
-		j.query.waitedMs += f.now - j.query.admitted
-		j.ends = f.now + serviceMs - spreadMs + clock.Millis(f.rng.IntN(2*spreadMs+1))
-		heap.Push(&f.busy, j)
+func (s *simulation) serve() {
+	for len(s.waiting) > 0 && len(s.running) < s.workers {
+		j := s.waiting[0]
+		s.waiting = s.waiting[1:]
+		j.query.waitedMs += s.now - j.query.admittedAt
+		j.ends = s.now + serviceMs - spreadMs + clock.Millis(s.rng.IntN(2*spreadMs+1))
+		heap.Push(&s.running, j)
 	}
 }
 
-func (f *flood) finish() {
-	for len(f.busy) > 0 && f.busy[0].ends <= f.now {
-		q := heap.Pop(&f.busy).(job).query
-		f.serve()
-		if q.left--; q.left > 0 {
+func (s *simulation) finish() {
+	for len(s.running) > 0 && s.running[0].ends <= s.now {
+		q := heap.Pop(&s.running).(job).query
+		s.serve()
+		if q.remaining--; q.remaining > 0 {
 			continue
 		}
-		if f.now <= q.deadline {
-			*f.good.Ref(q.rank)++
+		if s.now <= q.deadline {
+			*s.inTime.Ref(q.rank)++
 		}
-		f.perform(admission.DoneMsg{ID: q.id, QueueMs: q.waitedMs / clock.Millis(f.cost), ElapsedMs: f.now - q.admitted})
+		s.perform(admission.DoneMsg{ID: q.id, QueueMs: q.waitedMs / clock.Millis(s.cost), ElapsedMs: s.now - q.admittedAt})
 	}
 }
 
 // capacity returns the queries per ms that the service can do.
-func (f *flood) capacity() float64 { return float64(f.workers) / float64(f.cost) / serviceMs }
+func (s *simulation) capacity() float64 { return float64(s.workers) / float64(s.cost) / serviceMs }
 
-// heldCapacity returns the running cost that keeps all workers busy without a
+// idealLimit returns the running cost that keeps all workers busy without a
 // queue. A query holds its whole cost until its last sub-request ends, so this
 // exceeds the workers by the unloaded time of a query over that of a sub-request.
-func (f *flood) heldCapacity() float64 {
+func (s *simulation) idealLimit() float64 {
 	const values = 2*spreadMs + 1
 	queryMs := float64(serviceMs + spreadMs)
 	for k := 1; k < values; k++ {
-		queryMs -= math.Pow(float64(k)/values, float64(f.cost))
+		queryMs -= math.Pow(float64(k)/values, float64(s.cost))
 	}
-	return float64(f.workers) * queryMs / serviceMs
+	return float64(s.workers) * queryMs / serviceMs
 }
 
-// offer sets the arrivals of each rank as multiples of the capacity.
-func (f *flood) offer(urgent, ordinary, patient float64) {
-	c := f.capacity()
-	f.offered = rank.NewTable(urgent*c, ordinary*c, patient*c)
+// setLoad sets the arrivals of each rank as multiples of the capacity.
+func (s *simulation) setLoad(urgent, ordinary, patient float64) {
+	c := s.capacity()
+	s.arrivalRate = rank.NewTable(urgent*c, ordinary*c, patient*c)
 }
 
 // measure forgets what was counted so far, runs and returns goodput by rank as
 // a share of capacity, and the mean limit as a multiple of the real capacity.
-func (f *flood) measure(ms clock.Millis) (good rank.Table[float64], limit float64) {
-	f.good, f.refused = rank.Table[int]{}, rank.Table[int]{}
-	f.limits, f.samples = 0, 0
-	f.run(ms)
+func (s *simulation) measure(ms clock.Millis) (goodput rank.Table[float64], limit float64) {
+	s.inTime, s.refused = rank.Table[int]{}, rank.Table[int]{}
+	s.limitSum, s.limitSamples = 0, 0
+	s.run(ms)
 	for _, r := range rank.All() {
-		good.Set(r, float64(f.good.At(r))/float64(ms)/f.capacity())
+		goodput.Set(r, float64(s.inTime.At(r))/float64(ms)/s.capacity())
 	}
-	return good, float64(f.limits) / float64(f.samples) / f.heldCapacity()
+	return goodput, float64(s.limitSum) / float64(s.limitSamples) / s.idealLimit()
 }
 
-// TestFloods guards against a flood of one rank taking the service of the
+// TestOverload guards against a flood of one rank taking the service of the
 // others or of itself, from a limit that starts too low and one far too high.
 // With 20 sub-requests a query, the floors are no whole numbers of queries.
-func TestFloods(t *testing.T) {
+func TestOverload(t *testing.T) {
 	tests := []struct {
 		name                   string
 		initial, workers, cost int
@@ -206,41 +206,41 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 3; seed++ {
-				f := newFlood(seed, tt.initial, tt.workers, tt.cost)
-				f.checkPatientFlood(t)
-				f.checkUrgentFlood(t)
+				s := newSimulation(seed, tt.initial, tt.workers, tt.cost)
+				s.checkPatientOverload(t)
+				s.checkUrgentOverload(t)
 			}
 		})
 	}
 }
 
-func (f *flood) checkPatientFlood(t *testing.T) {
+func (s *simulation) checkPatientOverload(t *testing.T) {
 	t.Helper()
-	f.offer(0.2, 0.4, 5)
-	f.run(5000)
-	good, limit := f.measure(10_000)
-	t.Logf("patient flood: good %.3f limit %.2f refused %v", good, limit, f.refused)
-	if got := f.refused.At(rank.Urgent); got != 0 {
+	s.setLoad(0.2, 0.4, 5)
+	s.run(5000)
+	goodput, limit := s.measure(10_000)
+	t.Logf("patient flood: good %.3f limit %.2f refused %v", goodput, limit, s.refused)
+	if got := s.refused.At(rank.Urgent); got != 0 {
 		t.Errorf("patient flood: got %d urgent refused, want 0", got)
 	}
 	// Ordinary is offered more than its floor and urgent less than its own.
-	if got, want := good.At(rank.Ordinary), floodPolicy().Ordinary.FloorPercent/100; got < want {
+	if got, want := goodput.At(rank.Ordinary), overloadPreset().Ordinary.FloorPercent/100; got < want {
 		t.Errorf("patient flood: got ordinary %.3f of capacity, want at least %.3f", got, want)
 	}
 	checkLimit(t, limit)
 }
 
-func (f *flood) checkUrgentFlood(t *testing.T) {
+func (s *simulation) checkUrgentOverload(t *testing.T) {
 	t.Helper()
-	f.offer(5, 0.5, 0.5)
-	f.run(5000)
-	good, limit := f.measure(10_000)
-	t.Logf("urgent flood: good %.3f limit %.2f refused %v", good, limit, f.refused)
-	floors := floodPolicy()
+	s.setLoad(5, 0.5, 0.5)
+	s.run(5000)
+	goodput, limit := s.measure(10_000)
+	t.Logf("urgent flood: good %.3f limit %.2f refused %v", goodput, limit, s.refused)
+	floors := overloadPreset()
 	total := 0.0
 	for _, r := range rank.All() {
-		total += good.At(r)
-		if got, want := good.At(r), 0.9*floors.Policy(r).FloorPercent/100; got < want {
+		total += goodput.At(r)
+		if got, want := goodput.At(r), 0.9*floors.Policy(r).FloorPercent/100; got < want {
 			t.Errorf("urgent flood: got %s %.3f of capacity, want at least %.3f", r, got, want)
 		}
 	}
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -15,30 +15,30 @@
 // and against more running cost than the limit at the time of admission.
 func TestExactlyOneDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := admission.New(admission.WithService(svc, 6, 12), admission.WithPreset(policy(50, 25, 10)))
+		ctrl := admission.New(admission.WithService(testService, 6, 12), admission.WithPreset(testPreset(50, 25, 10)))
 		now := clock.Millis(1)
 		var running []string
-		decided, gone, arrived := map[string]int{}, map[string]bool{}, 0
+		decisions, cancelled, arrivals := map[string]int{}, map[string]bool{}, 0
 		perform := func(m admission.Msg) {
 			admitted := false
-			for _, c := range g.Update(now, m) {
+			for _, c := range ctrl.Update(now, m) {
 				switch c := c.(type) {
 				case admission.AdmitCmd:
-					decided[c.ID]++
+					decisions[c.ID]++
 					running = append(running, c.ID)
 					admitted = true
 				case admission.RefuseCmd:
-					decided[c.ID]++
+					decisions[c.ID]++
 				}
 			}
 			cost := 0
 			for _, r := range rank.All() {
-				cost += g.RunningCost(svc, r)
+				cost += ctrl.RunningCost(testService, r)
 			}
-			if admitted && cost > g.Limit(svc) && len(running) > 1 {
-				t.Fatalf("got cost %d of %d queries, want at most %d", cost, len(running), g.Limit(svc))
+			if admitted && cost > ctrl.Limit(testService) && len(running) > 1 {
+				t.Fatalf("got cost %d of %d queries, want at most %d", cost, len(running), ctrl.Limit(testService))
 			}
-			if at, ok := g.NextWake(); ok && at <= now {
+			if at, ok := ctrl.NextWake(); ok && at <= now {
 				t.Fatalf("got wake %d at %d, want a later one", at, now)
 			}
 		}
@@ -46,9 +46,9 @@
 			now += clock.Millis(rapid.IntRange(0, 40).Draw(t, "dt"))
 			switch rapid.IntRange(0, 7).Draw(t, "kind") {
 			case 0, 1, 2, 3:
-				arrived++
+				arrivals++
 				perform(admission.ArrivalMsg{
-					ID: strconv.Itoa(arrived), Service: svc,
+					ID: strconv.Itoa(arrivals), Service: testService,
 					Rank:     rank.Rank(rapid.IntRange(0, 2).Draw(t, "rank")),
 					Cost:     rapid.IntRange(1, 4).Draw(t, "cost"),
 					Deadline: now + clock.Millis(rapid.IntRange(0, 400).Draw(t, "budget")),
@@ -62,26 +62,26 @@
 					perform(admission.DoneMsg{ID: id, QueueMs: wait, ElapsedMs: 10 + wait})
 				}
 			case 6:
-				id := strconv.Itoa(rapid.IntRange(0, arrived).Draw(t, "gone"))
-				if decided[id] == 0 {
-					gone[id] = true
+				id := strconv.Itoa(rapid.IntRange(0, arrivals).Draw(t, "gone"))
+				if decisions[id] == 0 {
+					cancelled[id] = true
 				}
 				perform(admission.CancelMsg{ID: id})
 			case 7:
 				floor := float64(rapid.IntRange(0, 40).Draw(t, "floor"))
-				perform(admission.PresetMsg{Preset: policy(floor, 30, 10)})
+				perform(admission.PresetMsg{Preset: testPreset(floor, 30, 10)})
 			}
 		}
 		now += clock.Minute
 		perform(admission.TickMsg{})
-		for i := 1; i <= arrived; i++ {
+		for i := 1; i <= arrivals; i++ {
 			id := strconv.Itoa(i)
-			if got := decided[id]; got != 1 && (got != 0 || !gone[id]) {
-				t.Fatalf("query %s was decided %d times, gone %v", id, got, gone[id])
+			if got := decisions[id]; got != 1 && (got != 0 || !cancelled[id]) {
+				t.Fatalf("query %s was decided %d times, gone %v", id, got, cancelled[id])
 			}
 		}
 		for _, r := range rank.All() {
-			if got := g.Queued(svc, r); got != 0 {
+			if got := ctrl.Queued(testService, r); got != 0 {
 				t.Fatalf("got %d %s queued after all deadlines, want 0", got, r)
 			}
 		}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,36 +9,36 @@
 
 // query is one queued or running query.
 type query struct {
-	id       string
-	rank     rank.Rank
-	service  *service
-	cost     int
-	deadline clock.Millis // as asked for; 0 means the default of the policy
-	due      clock.Millis // effective deadline when it was queued
-	arrived  clock.Millis
-	started  clock.Millis
-	running  bool
+	id        string
+	rank      rank.Rank
+	service   *service
+	cost      int
+	deadline  clock.Millis // as asked for; 0 means the default of the policy
+	dueAt     clock.Millis // effective deadline when it was queued
+	arrivedAt clock.Millis
+	startedAt clock.Millis
+	running   bool
 
 	older, newer *query
-	index        int // in the deadline heap
+	heapIndex    int // in the deadline heap
 }
 
 // queue holds the waiting queries of one rank, linked by age and indexed by deadline.
 type queue struct {
 	oldest, newest *query
-	byDue          dueHeap
+	byDeadline     deadlineHeap
 }
 
-func (q *queue) len() int { return len(q.byDue) }
+func (q *queue) len() int { return len(q.byDeadline) }
 
-func (q *queue) earliest() *query { return q.byDue[0] }
+func (q *queue) earliest() *query { return q.byDeadline[0] }
 
-// peek returns the query to start next: the oldest, but the newest once the
+// next returns the query to start next: the oldest, but the newest once the
 // oldest has waited for half the time before it must start. Under overload the oldest queries would
 // finish too late, and serving them first would make all others late as well.
-func (q *queue) peek(now, reserve clock.Millis) *query {
+func (q *queue) next(now, reserve clock.Millis) *query {
 	o := q.oldest
-	if o.rank != rank.Patient && 2*(now-o.arrived) > o.due-reserve-o.arrived {
+	if o.rank != rank.Patient && 2*(now-o.arrivedAt) > o.dueAt-reserve-o.arrivedAt {
 		return q.newest
 	}
 	return o
@@ -52,7 +52,7 @@
 		q.oldest = x
 	}
 	q.newest = x
-	heap.Push(&q.byDue, x)
+	heap.Push(&q.byDeadline, x)
 }
 
 func (q *queue) remove(x *query) {
@@ -67,23 +67,23 @@
 		q.newest = x.older
 	}
 	x.older, x.newer = nil, nil
-	heap.Remove(&q.byDue, x.index)
+	heap.Remove(&q.byDeadline, x.heapIndex)
 }
 
-type dueHeap []*query
+type deadlineHeap []*query
 
-func (h dueHeap) Len() int           { return len(h) }
-func (h dueHeap) Less(i, j int) bool { return h[i].due < h[j].due }
-func (h dueHeap) Swap(i, j int) {
+func (h deadlineHeap) Len() int           { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *dueHeap) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	q := x.(*query)
-	q.index = len(*h)
+	q.heapIndex = len(*h)
 	*h = append(*h, q)
 }
-func (h *dueHeap) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
