--- a/order/accessors.go
+++ b/order/accessors.go
@@ -2,7 +2,7 @@
 
 import "lentillink.example/lentillink/clock"
 
-// Stats counts what a Model has done since its start.
+// Stats counts what a Model has done since it was created.
 type Stats struct {
 	Writes        int // head and segment writes and deletes that were issued
 	ClaimsWritten int // claims confirmed by a write
@@ -11,7 +11,7 @@
 	StoreFailures int
 }
 
-// NextWake returns when the Model next wants a TickMsg.
+// NextWake returns the time at which the Model needs its next TickMsg.
 func (m *Model) NextWake() (clock.Millis, bool) {
 	if len(m.timers) == 0 {
 		return 0, false
@@ -19,10 +19,12 @@
 	return m.timers[0].at, true
 }
 
-// OpenOrders returns the number of submissions that are not settled.
+// OpenOrders returns the number of submissions that are kept, including those
+// answered as unknown that still wait for a late reply.
 func (m *Model) OpenOrders() int { return len(m.submissions) }
 
-// PendingOperations returns the operations that wait for a write as owner.
+// PendingOperations returns the number of claim operations that this VM, as
+// owner, has queued or is writing.
 func (m *Model) PendingOperations() int {
 	n := 0
 	for i := range m.partitions {
@@ -31,7 +33,8 @@
 	return n
 }
 
-// PendingReleases returns the releases of this VM that no owner has written yet.
+// PendingReleases returns the number of releases that this VM requested and that
+// no owner has confirmed as written.
 func (m *Model) PendingReleases() int {
 	n := 0
 	for _, r := range m.releases {
@@ -53,9 +56,9 @@
 	return float64(m.stats.ClaimsWritten) / float64(m.stats.Writes)
 }
 
-// Drained reports whether the Model was stopped and nothing is left to finish.
-// Orders that were answered as unknown do not hold the drain up. Releases wait
-// for the store, so a runtime bounds the time that it waits for Drained.
+// Drained reports whether StopMsg was received and no work is left. Orders that
+// were answered as unknown do not delay the drain. Pending releases do, and they
+// depend on the store, so the runtime must bound its wait for Drained.
 func (m *Model) Drained() bool {
 	if !m.draining || m.PendingOperations() > 0 || m.PendingReleases() > 0 {
 		return false
--- a/order/answer.go
+++ b/order/answer.go
@@ -16,10 +16,10 @@
 	OutcomeUnknown          Outcome = "unknown"
 )
 
-// Reason explains an answer.
+// Reason explains an Outcome.
 type Reason string
 
-// The reasons of an answer.
+// The reasons in an Answer.
 const (
 	ReasonBadID            Reason = "bad_id"
 	ReasonTooOld           Reason = "too_old"
@@ -34,7 +34,7 @@
 	ReasonClaimExists      Reason = "claim_exists"
 )
 
-// Answer ends a submission.
+// Answer is the final response to a submission.
 type Answer struct {
 	CallID     uint64
 	ID         string
--- a/order/attempt.go
+++ b/order/attempt.go
@@ -6,19 +6,20 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// maxAttempts bounds the attempts under one claim; each must prove not run
-// before the next one starts.
+// maxAttempts bounds the attempts under one claim. The next attempt starts only
+// after the previous one was proven not to have executed.
 const maxAttempts = 2
 
-// replyGraceMs is how long after the deadline the reply of an attempt is still
-// awaited: the carrier reports a timeout at the deadline, one hop away.
+// replyGraceMs is how long after the deadline the Model waits for the reply of an
+// attempt: the carrier, one network hop away, reports a timeout at the deadline.
 const replyGraceMs clock.Millis = 50
 
-// lateReplyMs is how long an unknown attempt is remembered, so that a late
-// reply can still mark its claim done or release it.
+// lateReplyMs is how long an order that was answered as unknown is kept, so that
+// a late reply can still mark its claim done or release it.
 const lateReplyMs = 30 * clock.Second
 
-// startAttempt starts the next attempt of a claimed order, or gives the claim up.
+// startAttempt starts the next attempt of a claimed order, or refuses the order
+// if its deadline has passed or no upstream is available.
 func (m *Model) startAttempt(now clock.Millis, o *submission) {
 	if now >= o.msg.Deadline {
 		m.refuseAndRelease(now, o, ReasonDeadline)
@@ -45,8 +46,8 @@
 	}
 }
 
-// refuseAndRelease refuses a claimed order of which every attempt proved not run, and
-// releases its claim.
+// refuseAndRelease refuses a claimed order and releases its claim. It is called
+// only when every attempt was proven not to have executed.
 func (m *Model) refuseAndRelease(now clock.Millis, o *submission, reason Reason) {
 	m.remove(o)
 	m.trackRelease(now, o, true, true)
@@ -60,7 +61,8 @@
 	delete(m.attempts, o.currentAttempt)
 }
 
-// handleAttemptReply handles the end of an attempt. A second reply finds no attempt and is dropped.
+// handleAttemptReply handles the end of an attempt. A duplicate reply matches no
+// attempt and is dropped.
 func (m *Model) handleAttemptReply(now clock.Millis, r attempt.Reply) {
 	o := m.attempts[r.ID]
 	if o == nil {
@@ -104,7 +106,7 @@
 	}
 }
 
-// checkReplyTimeout answers an order whose reply did not come in time.
+// checkReplyTimeout answers an order as unknown if its reply is overdue.
 func (m *Model) checkReplyTimeout(now clock.Millis, o *submission) {
 	if now < o.msg.Deadline+replyGraceMs {
 		return
@@ -115,8 +117,9 @@
 	m.setTimer(o.removeAt, timerSubmission, o.token.Seq)
 }
 
-// provesNotExecuted accepts Ran only together with a status that can carry the
-// proof; a contradictory reply counts as uncertain.
+// provesNotExecuted reports whether r proves that the attempt was not executed.
+// NotExecuted counts only together with a status that allows it; a contradictory
+// reply counts as uncertain.
 func provesNotExecuted(r attempt.Reply) bool {
 	if r.Execution != attempt.NotExecuted {
 		return false
--- a/order/batch.go
+++ b/order/batch.go
@@ -6,13 +6,13 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// batch is one write of the head: the operations in it and the head that it writes.
+// batch is one write of a partition's head: the operations that it applies and the resulting head.
 type batch struct {
 	ops             []*operation
-	results         []ClaimResult // parallel to ops, reported once the write is known
+	results         []ClaimResult // parallel to ops, reported once the write is confirmed
 	changes         map[Hash]Claim
-	changeOrder     []Hash // keys of changes in order of arrival
-	forceWrite      bool   // write even without a change
+	changeOrder     []Hash // keys of changes in insertion order
+	forceWrite      bool   // write even if nothing changed
 	sealedSegment   *unlistedSegment
 	expiredSegments []SegmentRef
 	newestIssued    clock.Millis
@@ -42,9 +42,9 @@
 	b.results = append(b.results, r)
 }
 
-// release removes the claim if it was made under the same token. It always asks
-// for a write: the new revision makes every older write in flight conflict, so
-// a delayed claim under the token cannot take effect afterwards.
+// release removes the claim if it has the same token. It always forces a write:
+// the new revision makes every older write in flight fail with a conflict, so a
+// delayed write of a claim under this token cannot take effect afterwards.
 func (b *batch) release(p *partition, op *operation) {
 	b.forceWrite = true
 	b.add(op, ResultReleased)
@@ -64,7 +64,8 @@
 	}
 }
 
-// claim evaluates one claim. A claim under the same token is confirmed again.
+// claim evaluates one claim request. A repeated request with the same token is
+// confirmed again.
 func (b *batch) claim(p *partition, op *operation) {
 	c, ok := b.find(p, op.msg.ID)
 	switch {
@@ -80,7 +81,8 @@
 	}
 }
 
-// evaluate evaluates the operations against the cached head, releases first.
+// evaluate applies the operations to the cached head. Releases go first, so that
+// a claim under a released token is not written.
 func (b *batch) evaluate(now clock.Millis, p *partition, ops []*operation) {
 	released := make(map[Token]bool)
 	for _, op := range ops {
@@ -104,8 +106,8 @@
 	}
 }
 
-// build computes the head to write. A claim whose release would uncover an
-// older sealed one is kept as released.
+// build computes the head to write. A released claim stays in the head, marked as
+// released, if a sealed segment still holds an older record of it.
 func (b *batch) build(now clock.Millis, p *partition) {
 	b.head = Head{NextSegment: p.head.NextSegment, NewestIssued: max(b.newestIssued, p.head.NewestIssued), LowWatermark: p.head.LowWatermark}
 	for _, s := range p.head.Segments {
@@ -142,14 +144,15 @@
 	}
 }
 
-// inSegment reports whether a segment that the new head lists has a claim of id.
+// inSegment reports whether a segment listed by the new head contains a claim of id.
 func (b *batch) inSegment(p *partition, id Hash) bool {
 	_, sealed := p.segmentClaims[id]
 	_, inHead := p.headClaims[id]
 	return sealed || inHead && b.sealedSegment != nil
 }
 
-// resultIsDurable reports whether the result of an operation rests on the cache alone.
+// resultIsDurable reports whether the result follows from stored state alone and
+// does not depend on this write.
 func (b *batch) resultIsDurable(p *partition, op *operation, r ClaimResult) bool {
 	switch r {
 	case ResultExists, ResultExistsDone:
@@ -163,7 +166,8 @@
 	}
 }
 
-// splitDurable removes the operations whose result is durable already and returns them.
+// splitDurable removes the operations whose results are already durable from the
+// batch and returns them.
 func (b *batch) splitDurable(p *partition) (durable []*operation, results []ClaimResult) {
 	kept := 0
 	for i, op := range b.ops {
--- a/order/doc.go
+++ b/order/doc.go
@@ -1,13 +1,18 @@
-// Package order runs non-idempotent requests at most once.
+// Package order executes non-idempotent requests (orders) at most once.
 //
-// A Model is the entry side of the orders submitted to its VM and the owner of
-// claim partitions. An order is claimed in the store before it is sent, and
-// only the Model that holds the claim's token ever sends it.
+// A Model has two roles. It handles the orders that callers submit to its VM, and
+// it owns some of the partitions in which claims are stored. An order must be
+// claimed in the store before it is sent, and only the Model that holds the
+// claim's token sends it.
 //
-// Why a released claim is never run by its holder: a release names a token, and
-// the owner removes a claim only if its token is the same. A token names one
-// VM, incarnation and sequence number, and only that Model issues a release for
-// it, from abandon or settle. Both first take the order out of the claiming
-// state, and SendCmd is issued only in that state or after an attempt that
-// proved not run, before the release. No other path releases a claim.
+// Each partition is stored as a head record and sealed segments. The owner batches
+// claim operations into compare-and-swap writes of the head. When the head grows
+// too large, the owner seals its claims into an immutable segment.
+//
+// A released claim is never executed by its holder. The owner removes a claim only
+// if the release has the same token. A token contains one VM, incarnation and
+// sequence number, and only that Model issues releases for it, in abandon or
+// refuseAndRelease. Both first take the order out of stateClaiming. SendCmd is
+// issued only in that state, or before the release when the previous attempt was
+// proven not to have executed. No other code releases a claim.
 package order
--- a/order/error.go
+++ b/order/error.go
@@ -21,7 +21,7 @@
 	return "invalid"
 }
 
-// Error reports an invalid id or record.
+// Error reports an invalid order id or a corrupt record.
 type Error struct {
 	op   string
 	kind ErrorKind
--- a/order/fault_test.go
+++ b/order/fault_test.go
@@ -11,8 +11,8 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// steps are run for each fault; a fault hits the first time that the step is
-// reached after two orders went through.
+// The steps and faults that TestFaultAtEachStep combines. A fault is injected the
+// first time that its step is reached in the third order.
 var (
 	steps  = []string{stepClaim, stepRead, stepSeal, stepWrite, stepWriteListing, stepConfirm, stepSend, stepReply, stepRelease, stepConfirmRelease}
 	faults = []string{
@@ -21,8 +21,8 @@
 	}
 )
 
-// mayKeepClaim reports whether a fault can leave a claim that nobody may release:
-// its holder was killed, or its attempt or reply was lost.
+// mayKeepClaim reports whether a fault can leave a claim that no VM may release,
+// because its holder was killed or its attempt or reply was lost.
 func mayKeepClaim(step, fault string) bool {
 	if fault == faultKillEntry {
 		return true
@@ -30,9 +30,9 @@
 	return (step == stepSend || step == stepReply) && fault != faultNone && fault != faultDuplicated
 }
 
-// TestFaultAtEachStep guards against a second run, a false answer and a lost
-// order after one fault at any step. Orders are repeated through another VM.
-// The short budget ends before a killed owner is back.
+// TestFaultAtEachStep guards against a second execution, a wrong answer and a lost
+// order after one fault at any step. Every order is submitted again on another VM.
+// The short timeout ends before a killed owner has restarted.
 func TestFaultAtEachStep(t *testing.T) {
 	for _, step := range steps {
 		for _, fault := range faults {
@@ -51,7 +51,7 @@
 
 const shortTimeout clock.Millis = 300
 
-// injection is a fault at the first occurrence of a step after a wait from the submission.
+// injection is a fault at the first occurrence of step, at least a given time after the submission.
 type injection struct {
 	step, fault string
 	after       clock.Millis
@@ -60,17 +60,17 @@
 type scenario struct {
 	injections []injection
 	sheds      int
-	timeout    clock.Millis // of the order that meets the faults
+	timeout    clock.Millis // of the order with the faults
 	outage     preset.OutageRule
 	interval   clock.Millis // between two orders
 }
 
-// TestFaultSequences guards against faults that meet: each hit waits for the one before it.
+// TestFaultSequences guards against combinations of faults. Each injection waits for the previous one.
 func TestFaultSequences(t *testing.T) {
 	tests := []struct {
 		name    string
 		s       scenario
-		outcome order.Outcome // of the order that meets the faults
+		outcome order.Outcome // of the order with the faults
 	}{
 		{
 			"claim written after its release, confirmation lost",
@@ -106,7 +106,7 @@
 	}
 }
 
-// runFaults submits 8 orders, the third of which meets the faults, and returns its first call.
+// runFaults submits 8 orders, injects the faults into the third and returns its first call.
 func runFaults(t *testing.T, s scenario) (target *testCall) {
 	var remaining []injection
 	var targetAt clock.Millis
@@ -127,7 +127,7 @@
 				return
 			}
 			targetAt, remaining, h.sheds = h.now, s.injections, s.sheds
-			if s.injections[0].step == stepRead { // a restarted owner has to read
+			if s.injections[0].step == stepRead { // only a restarted owner reads the store
 				h.restart("owner")
 			}
 			target = h.submitWith("entry", id, s.timeout, s.outage)
@@ -157,8 +157,8 @@
 	return target
 }
 
-// TestRandomFaults guards against a second run and a false answer when faults
-// meet at any steps.
+// TestRandomFaults guards against a second execution and a wrong answer when random
+// faults combine at any steps.
 func TestRandomFaults(t *testing.T) {
 	names := []string{"entry", "other", "owner"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -169,7 +169,7 @@
 			}
 			next := draws[0]
 			draws = draws[1:]
-			if next >= len(faults) { // most steps pass, so that orders reach their later steps
+			if next >= len(faults) { // no fault at most steps, so that orders reach their later steps
 				return faultNone
 			}
 			return faults[next]
--- a/order/harness_store_test.go
+++ b/order/harness_store_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// conflict writes the record first, as another owner does. A head gets one more claim.
+// conflict first writes the record as another owner does. A head gets one more claim.
 func (h *harness) conflict(key string) {
 	e := h.entries[key]
 	head, err := order.DecodeHead(e.Value)
@@ -75,8 +75,8 @@
 	h.apply(h.now, store.Request{Op: store.OpSwap, Key: key, Value: e.Value, Expect: e.Revision}, &store.Reply{})
 }
 
-// checkWrittenHead checks a head that took effect against the releases confirmed before
-// its write was issued or while it was on its way.
+// checkWrittenHead fails if a head that took effect contains a claim whose release
+// was confirmed after its write was issued. Such a release must make the write conflict.
 func (h *harness) checkWrittenHead(issuedAt clock.Millis, value []byte) {
 	head, err := order.DecodeHead(value)
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// claims returns the claims in the store as a new owner reads them.
+// claims returns the claims in the store as an owner with an empty cache reads them.
 func (h *harness) claims() map[order.Hash]order.ClaimState {
 	out := make(map[order.Hash]order.ClaimState)
 	head, _ := order.DecodeHead(h.entries[order.HeadKey(0)].Value)
--- a/order/harness_test.go
+++ b/order/harness_test.go
@@ -27,7 +27,7 @@
 	stepConfirmRelease = "confirm release"
 )
 
-// The faults. A store fault at a step that is no store call is a lost message.
+// The faults. At a step that is not a store call, a store fault acts as a lost message.
 const (
 	faultNone               = ""
 	faultLost               = "lost"
@@ -52,9 +52,9 @@
 	start    clock.Millis = 1_700_000_000_000
 	deadline clock.Millis = 2000
 	delay    clock.Millis = 3000
-	// serviceMs keeps an attempt out while doubled messages arrive.
+	// serviceMs keeps an attempt outstanding while duplicate messages arrive.
 	serviceMs clock.Millis = 120
-	// lateWriteMs exceeds a short deadline, the reboot and one repeat of the release.
+	// lateWriteMs exceeds a short deadline, the restart and one retry of the release.
 	lateWriteMs clock.Millis = 2500
 )
 
@@ -81,20 +81,20 @@
 type testVM struct {
 	model       *order.Model
 	pausedUntil clock.Millis
-	clockAhead  clock.Millis // how far its clock is ahead
+	clockAhead  clock.Millis // lead of its clock over the simulated time
 	killed      bool
 }
 
 type testCall struct {
 	id       string
 	vm       *testVM
-	deadline clock.Millis // its deadline
+	deadline clock.Millis // on the clock of vm
 	runs     int
 	answers  []order.Answer
 }
 
-// harness runs entry VM "entry", owner "owner" and a second entry VM "other" over a
-// store, and asks fault what to do at each step.
+// harness simulates three VMs over one store: "entry" and "other" accept orders,
+// "owner" owns the partitions. It calls nextFault at each step for the fault to inject.
 type harness struct {
 	now          clock.Millis
 	seq          int
@@ -105,14 +105,14 @@
 	revision     uint64
 	calls        []*testCall
 	runs         map[string]int
-	sheds        int // attempts still to be shed
+	sheds        int // number of attempts still to be shed
 	nextFault    func(step string) string
 
-	storeEvents     []string                    // details of the events about the store
-	foreignClaims   []order.Hash                // claims that another owner wrote
-	releasedAt      map[order.Hash]clock.Millis // when a release of a token was first confirmed
-	lastWriteSealed map[*testVM]bool            // the last write was a segment
-	writes          []clock.Millis              // when a write or delete was issued
+	storeEvents     []string                    // details of StoreFailed events
+	foreignClaims   []order.Hash                // claims written by another owner
+	releasedAt      map[order.Hash]clock.Millis // when the release of a token was first confirmed
+	lastWriteSealed map[*testVM]bool            // whether the VM's last write was a segment
+	writes          []clock.Millis              // when each write or delete was issued
 	violations      []string
 }
 
@@ -189,8 +189,8 @@
 	return c
 }
 
-// applyFault applies the faults that are alike at every step and returns how often and
-// after which delay the message goes on.
+// applyFault applies the faults that are the same at every step. It returns how many
+// copies of the message are delivered, and after which delay.
 func (h *harness) applyFault(fault string) (copies int, after clock.Millis) {
 	switch fault {
 	case faultDuplicated:
@@ -267,8 +267,9 @@
 	})
 }
 
-// serve runs or sheds an attempt and replies. It reports whether the carrier
-// reports a timeout at the deadline; a carrier whose timer is late does not.
+// serve executes or sheds an attempt and replies. It returns whether the carrier
+// reports a timeout at the deadline; after faultReplyPastDeadline it does not,
+// because its timer is late.
 func (h *harness) serve(name string, vm *testVM, req attempt.Request) (timeout bool) {
 	reply := attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.OK, Execution: attempt.Executed}
 	if h.sheds > 0 {
--- a/order/head.go
+++ b/order/head.go
@@ -9,36 +9,37 @@
 // ClaimState is the state of a claim.
 type ClaimState uint8
 
-// The states of a claim. A released claim is kept only to override a claim in
-// an older sealed segment.
+// The states of a claim. A released claim is stored only to override a record of
+// the same claim in an older segment.
 const (
 	ClaimHeld ClaimState = iota + 1
 	ClaimDone
 	ClaimReleased
 )
 
-// Claim records that the holder of Token may run the order with the given ID.
+// Claim records that the holder of Token may send the order with the given ID.
 type Claim struct {
 	ID    Hash
 	Token Hash
 	State ClaimState
 }
 
-// SegmentRef names a sealed segment and the newest issue time in it.
+// SegmentRef identifies a sealed segment and gives the newest issue time of its claims.
 type SegmentRef struct {
 	Number       uint64
 	NewestIssued clock.Millis
 }
 
-// Head is the record of one partition. A sealed segment is a Head without Segments.
+// Head is the mutable record of one partition. A sealed segment has the same
+// format, without Segments.
 type Head struct {
 	Claims       []Claim
 	NewestIssued clock.Millis // newest issue time among Claims
-	NextSegment  uint64       // lowest number that a new segment may take
+	NextSegment  uint64       // lowest number for a new segment
 	Segments     []SegmentRef // oldest first
-	// LowWatermark is the newest issue time in any dropped segment. An id at or below
-	// it may have had a claim, so it is never claimed again, whatever the clock
-	// of the owner says. It never decreases.
+	// LowWatermark is the newest issue time in any dropped segment. An id issued at
+	// or before it may have been claimed there, so it is refused regardless of the
+	// owner's clock. LowWatermark never decreases.
 	LowWatermark clock.Millis
 }
 
@@ -53,7 +54,7 @@
 
 const (
 	claimSize        = 2*HashSize + 1
-	encodedClaimSize = claimSize + 2 // with tag and length
+	encodedClaimSize = claimSize + 2 // plus tag and length
 )
 
 // Encode returns the head in protobuf wire format.
@@ -82,8 +83,8 @@
 	return protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
 }
 
-// DecodeHead reads a head. A record that it does not fully understand is an
-// error, so that a damaged head is never overwritten with fewer claims.
+// DecodeHead decodes a head. It rejects any record with unknown or malformed
+// content, so that a damaged head is never overwritten with fewer claims.
 func DecodeHead(b []byte) (Head, error) {
 	var h Head
 	for len(b) > 0 {
--- a/order/head_test.go
+++ b/order/head_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// TestHeadRoundTrip guards against a field that the codec loses.
+// TestHeadRoundTrip guards against a field that is lost in encoding or decoding.
 func TestHeadRoundTrip(t *testing.T) {
 	want := sampleHead()
 	got, err := order.DecodeHead(want.Encode())
@@ -30,16 +30,16 @@
 	}
 }
 
-// FuzzDecodeHead guards against a crash on a damaged head, and against a head
-// that is accepted but changes when it is written again.
+// FuzzDecodeHead guards against a panic on a damaged head, and against a head that
+// is accepted but changes when it is encoded again.
 func FuzzDecodeHead(f *testing.F) {
 	valid := sampleHead().Encode()
 	f.Add(valid)
 	f.Add([]byte{})
-	f.Add(valid[:len(valid)-1])             // cut
-	f.Add(valid[:40])                       // cut inside a claim
+	f.Add(valid[:len(valid)-1])             // truncated
+	f.Add(valid[:40])                       // truncated inside a claim
 	f.Add(append([]byte{0x0a, 0x02}, 1, 2)) // short claim
-	f.Add([]byte{0x28, 0x01})               // time without a segment
+	f.Add([]byte{0x28, 0x01})               // issue time without a segment
 	f.Add([]byte{0x7a, 0x00})               // unknown field
 	f.Add(bytes.Repeat([]byte{0xff}, 16))   // overlong varint
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/order/id.go
+++ b/order/id.go
@@ -9,15 +9,15 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// NumPartitions is the number of partitions that ids are hashed to.
+// NumPartitions is the number of partitions over which order ids are hashed.
 const NumPartitions = 16
 
-// HashSize is the size of a Hash. 16 bytes keep the head small; callers choose
-// the ids, so the hash must resist deliberate collisions.
+// HashSize is the size of a Hash in bytes. 16 bytes keep the head small. Callers
+// choose the ids, so the hash must resist deliberate collisions.
 const HashSize = 16
 
 const (
-	maxMillisDigits = 15 // keeps the parsed time far from overflow
+	maxMillisDigits = 15 // keeps the parsed time far below overflow
 	maxRandomBytes  = 64
 )
 
@@ -30,10 +30,10 @@
 	return Hash(sum[:HashSize])
 }
 
-// Partition returns the partition of an id.
+// Partition returns the partition of the order id with hash h.
 func (h Hash) Partition() int { return int(binary.BigEndian.Uint16(h[:]) % NumPartitions) }
 
-// ParseID returns the issue time of an id of the form <unix ms>-<random>.
+// ParseID returns the issue time of an order id of the form <unix ms>-<random>.
 func ParseID(id string) (clock.Millis, error) {
 	ms, random, ok := strings.Cut(id, "-")
 	if !ok || !isMillis(ms) || !isRandom(random) {
--- a/order/load.go
+++ b/order/load.go
@@ -11,7 +11,7 @@
 	m.startCall(now, p, phaseReadHead, store.Request{Op: store.OpGet, Key: HeadKey(p.index)})
 }
 
-// handleStoreReply routes a store reply to the partition that waits for it.
+// handleStoreReply passes a store reply to the partition that made the call.
 func (m *Model) handleStoreReply(now clock.Millis, r store.Reply) {
 	call, ok := m.storeCalls[r.Tag]
 	if !ok {
@@ -59,8 +59,8 @@
 	m.readSegments(now, p)
 }
 
-// reportCorrupt reports a record that the store returned but that cannot be
-// decoded. Its partition refuses every claim until the record is restored.
+// reportCorrupt reports a stored record that cannot be decoded. The partition
+// refuses every claim until the record is restored.
 func (m *Model) reportCorrupt(key string, r store.Reply, err error) {
 	if r.Kind != store.KindOK || err == nil {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// evictDropped empties the segment cache if the head no longer lists a segment in it.
+// evictDropped clears the segment cache if it contains a segment that the head no longer lists.
 func (p *partition) evictDropped() {
 	listed := make(map[uint64]bool)
 	for _, s := range p.head.Segments {
@@ -110,7 +110,7 @@
 func (m *Model) handleSegmentRead(now clock.Millis, p *partition, r store.Reply) {
 	seg, err := DecodeHead(r.Entry.Value)
 	if r.Kind != store.KindOK || err != nil || r.Entry.Revision == 0 {
-		// A missing segment was dropped by another owner: the head is read again.
+		// A missing segment was dropped by another owner, so the head is read again.
 		m.reportCorrupt(SegmentKey(p.index, p.readingSegment), r, err)
 		m.backOff(now, p)
 		return
--- a/order/message.go
+++ b/order/message.go
@@ -15,8 +15,8 @@
 // Cmd is an action that the Model asks its runtime to perform.
 type Cmd interface{ orderCmd() }
 
-// SubmitMsg is an order from a caller. Call is returned in the Answer, because
-// the same id may be submitted more than once at the same time.
+// SubmitMsg is an order from a caller. CallID is returned in the Answer, because
+// the same order id may be submitted more than once at the same time.
 type SubmitMsg struct {
 	CallID   uint64
 	ID       string
@@ -28,32 +28,32 @@
 	Outage   preset.OutageRule
 }
 
-// Op is what a ClaimRequestMsg asks of the owner.
+// Op is the operation that a ClaimRequestMsg requests.
 type Op uint8
 
-// The operations on claims. A claim is idempotent per token.
+// The operations on claims. All are idempotent per token.
 const (
 	OpClaim Op = iota
 	OpRelease
 	OpMarkDone
 )
 
-// ClaimRequestMsg asks the owner of a partition for a change of one claim.
+// ClaimRequestMsg asks the owner of a partition to change one claim.
 type ClaimRequestMsg struct {
 	From         string
 	Op           Op
 	Token        Token
 	ID           Hash
 	IssuedAt     clock.Millis
-	Timeout      clock.Millis // remaining time, so that clocks need not agree
-	WaitForStore bool         // keep the claim queued while the store is down
+	Timeout      clock.Millis // relative, so that the clocks of the VMs need not agree
+	WaitForStore bool         // keep the claim queued while the store is unavailable
 }
 
-// ClaimResult is the owner's answer to a ClaimRequestMsg.
+// ClaimResult is the result of a ClaimRequestMsg.
 type ClaimResult uint8
 
-// The results of a claim or release. Unavailable means that this owner has not
-// written the claim and has dropped the request.
+// The results of a claim or release. ResultUnavailable means that this owner did
+// not write the claim and dropped the request.
 const (
 	ResultUnavailable ClaimResult = iota
 	ResultClaimed
@@ -63,7 +63,7 @@
 	ResultReleased
 )
 
-// ClaimResponseMsg answers a ClaimRequestMsg.
+// ClaimResponseMsg is the owner's response to a ClaimRequestMsg.
 type ClaimResponseMsg struct {
 	Token  Token
 	Result ClaimResult
@@ -78,10 +78,10 @@
 // LiveVMsMsg is the list of live VMs.
 type LiveVMsMsg struct{ VMs []string }
 
-// StopMsg starts the drain: new orders are refused, open ones are finished.
+// StopMsg starts the drain: new orders are refused, open ones are completed.
 type StopMsg struct{}
 
-// TickMsg lets the time pass.
+// TickMsg runs the timers that are due.
 type TickMsg struct{}
 
 func (SubmitMsg) orderMsg()        {}
@@ -99,7 +99,7 @@
 	Token   Token
 }
 
-// StoreCmd asks for one call of the store.
+// StoreCmd requests one store call.
 type StoreCmd struct{ Request store.Request }
 
 // PeerCmd sends Msg, a ClaimRequestMsg or ClaimResponseMsg, to another VM.
@@ -111,7 +111,7 @@
 // AnswerCmd answers the caller.
 type AnswerCmd struct{ Answer Answer }
 
-// EventCmd records an event on the time line.
+// EventCmd records an event on the timeline.
 type EventCmd struct{ Event timeline.Event }
 
 func (SendCmd) orderCmd()   {}
--- a/order/model.go
+++ b/order/model.go
@@ -11,15 +11,15 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// Model decides on orders. It is not safe for concurrent use.
+// Model is the state machine for orders. It is not safe for concurrent use.
 type Model struct {
 	cfg           config
 	liveVMs       []string
-	candidates    [NumPartitions][]string // live VMs by rendezvous weight, owner first
+	candidates    [NumPartitions][]string // live VMs by descending rendezvous weight, the owner first
 	submissions   map[uint64]*submission
 	attempts      map[attempt.ID]*submission
 	releases      map[uint64]*release
-	releasesByAge []uint64 // keys of releases by age
+	releasesByAge []uint64 // keys of releases, oldest first
 	partitions    [NumPartitions]partition
 	storeCalls    map[uint64]storeCall // outstanding store calls by tag
 	timers        timerHeap
@@ -30,8 +30,8 @@
 	stats         Stats
 }
 
-// New returns a Model without open orders that owns every partition until it
-// hears of other VMs.
+// New returns a Model without open orders. It owns every partition until a
+// LiveVMsMsg lists other VMs.
 func New(opts ...Option) *Model {
 	m := &Model{
 		cfg:         defaultConfig(),
@@ -61,8 +61,9 @@
 	}
 }
 
-// Update handles one message. Timers that are due run first, so that a VM that
-// wakes from a pause refuses what is past its deadline before it reads answers.
+// Update handles one message. It first runs the timers that are due, so that a VM
+// that resumes after a pause refuses orders past their deadline before it
+// processes responses.
 func (m *Model) Update(now clock.Millis, msg Msg) []Cmd {
 	m.cmds = nil
 	m.runTimers(now)
@@ -86,7 +87,8 @@
 	return m.cmds
 }
 
-// drain starts the drain. Queued done marks no longer wait for a claim to share a write with.
+// drain stops accepting orders. Queued done marks become due at once instead of
+// waiting to share a write with a claim.
 func (m *Model) drain(now clock.Millis) {
 	m.draining = true
 	m.cfg.doneMarkDelay = 0
@@ -103,8 +105,8 @@
 
 func (m *Model) emitEvent(e timeline.Event) { m.emit(EventCmd{Event: e}) }
 
-// setLiveVMs takes over a new list of live VMs. Open claims whose owner changed are
-// asked for again at once, under the same token.
+// setLiveVMs replaces the list of live VMs. Open claims whose owner changed are
+// requested again at once, with the same token.
 func (m *Model) setLiveVMs(now clock.Millis, live []string) {
 	previous := m.candidates
 	m.liveVMs = slices.Clone(live)
@@ -130,8 +132,8 @@
 	}
 }
 
-// maxCandidates is how many VMs are kept per partition. A claim asks each twice,
-// 300 ms apart, so that more are not reached within the longest usual deadline.
+// maxCandidates is the number of VMs kept per partition. A claim request tries each
+// twice, 300 ms apart, so the longest usual deadline ends before more are reached.
 const maxCandidates = 8
 
 // weightedVM is a VM with its rendezvous weight for one partition.
@@ -140,13 +142,13 @@
 	weight uint64
 }
 
-// compareWeights sorts higher weights first.
+// compareWeights orders higher weights first, and equal weights by VM name.
 func compareWeights(a, b weightedVM) int {
 	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.vm, b.vm))
 }
 
-// rankCandidates finds the first live VMs of each partition by rendezvous hashing. A
-// VM that knows of no live VM owns every partition itself.
+// rankCandidates selects the candidate owners of each partition by rendezvous
+// hashing. Without a list of live VMs, this VM owns every partition.
 func (m *Model) rankCandidates() {
 	live := m.liveVMs
 	if len(live) == 0 {
--- a/order/model_test.go
+++ b/order/model_test.go
@@ -12,7 +12,7 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// ids returns n ids of partition 0 that were issued at the given time.
+// ids returns n order ids with the given issue time that hash to partition 0.
 func ids(issued clock.Millis, n int) []string {
 	var out []string
 	for i := 0; len(out) < n; i++ {
@@ -24,7 +24,7 @@
 	return out
 }
 
-// checkSafety reports an order that ran twice and an answer that is not true.
+// checkSafety fails if an order ran twice, or if an answer is missing, duplicated or wrong.
 func checkSafety(t interface{ Errorf(string, ...any) }, h *harness) {
 	for id, runs := range h.runs {
 		if runs > 1 {
@@ -46,7 +46,7 @@
 	}
 }
 
-// checkClaims reports a claim that vanished although its order ran or its holder did not release it.
+// checkClaims fails if a claim is missing although its order ran or its holder did not release it.
 func checkClaims(t interface{ Errorf(string, ...any) }, h *harness) {
 	claims := h.claims()
 	for _, id := range h.foreignClaims {
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestRefusals guards against a refusal that claims too much or too little.
+// TestRefusals guards against a refusal with a wrong reason or execution state.
 func TestRefusals(t *testing.T) {
 	const day = 24 * clock.Hour
 	tests := []struct {
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestDrain guards against a drain that cuts an open order.
+// TestDrain guards against a drain that aborts an open order.
 func TestDrain(t *testing.T) {
 	h := newHarness(func(string) string { return faultNone })
 	c := h.submit("entry", ids(start, 1)[0])
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestSegmentsAreDropped guards against segments that stay for ever and against
-// a claim that is dropped while its id is still accepted.
+// TestSegmentsAreDropped guards against segments that are never deleted, against a
+// claim that is dropped while its id is still accepted, and against too many writes.
 func TestSegmentsAreDropped(t *testing.T) {
 	h := newHarness(func(string) string { return faultNone })
 	gap := clock.Second
@@ -157,8 +157,9 @@
 	checkSafety(t, h)
 }
 
-// TestLowWatermark guards against a second run when the clocks of two owners differ
-// by more than SegmentDropMargin: one drops a segment, the other still accepts its ids.
+// TestLowWatermark guards against a second execution when the clocks of two owners
+// differ by more than SegmentDropMargin: one drops a segment while the other still
+// accepts its ids.
 func TestLowWatermark(t *testing.T) {
 	h := newHarness(func(string) string { return faultNone })
 	orderIDs := ids(start, 12)
@@ -172,7 +173,7 @@
 	}
 	const ahead = 25 * clock.Hour
 	h.vms["owner"].clockAhead, h.vms["entry"].clockAhead = ahead, ahead
-	submit("entry", ids(h.now+ahead, 1)[0]) // its write drops every segment
+	submit("entry", ids(h.now+ahead, 1)[0]) // this write drops every segment
 	h.restart("owner")
 	for _, id := range orderIDs {
 		c := submit("other", id)
@@ -183,8 +184,7 @@
 	checkSafety(t, h)
 }
 
-// TestCorruptHead guards against a damaged record that is overwritten, or that
-// nobody hears of.
+// TestCorruptHead guards against a damaged record that is overwritten or not reported.
 func TestCorruptHead(t *testing.T) {
 	h := newHarness(func(string) string { return faultNone })
 	e := store.Entry{Key: order.HeadKey(0), Value: []byte{0x7a, 0x00}, Revision: 1}
@@ -203,8 +203,8 @@
 	}
 }
 
-// TestClaimOfStoppedVM guards against a claim that is written for a holder that is
-// gone, which blocks its id although nothing was sent.
+// TestClaimOfStoppedVM guards against a claim that is written for a VM that has
+// stopped or restarted. Such a claim blocks its id although nothing was sent.
 func TestClaimOfStoppedVM(t *testing.T) {
 	tests := []struct {
 		name        string
--- a/order/notcarrier_test.go
+++ b/order/notcarrier_test.go
@@ -11,8 +11,8 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// Guards against an order that ends unknown, with its claim kept, although the
-// VMs that it was forwarded to proved that they carry no connection for it.
+// Guards against an order that ends as unknown, with its claim kept, although the
+// VMs to which it was forwarded proved that they carry no connection for it.
 func TestOrderIsSentAgainWhenNoCarrierTookIt(t *testing.T) {
 	const now = clock.Millis(1_700_000_000_000)
 	seq := uint64(0)
--- a/order/owner.go
+++ b/order/owner.go
@@ -7,7 +7,7 @@
 	"lentillink.example/lentillink/store"
 )
 
-// enqueue queues an operation for the next batch of its partition.
+// enqueue adds an operation to the queue of its partition.
 func (m *Model) enqueue(now clock.Millis, msg ClaimRequestMsg) {
 	p := &m.partitions[msg.ID.Partition()]
 	key := opKey{msg.Op, msg.Token}
@@ -35,9 +35,9 @@
 	m.advance(now, p)
 }
 
-// dropClaims removes queued claims of holders that are gone, so that no claim is
-// written that nobody can send or release. A claim that may be in the store
-// stays queued; a holder that lives after all asks again.
+// dropClaims removes queued claims whose holder is gone, so that no claim is
+// written that cannot be used or released any more. A claim that may already be in
+// the store stays queued. A holder that is alive after all retries.
 func (p *partition) dropClaims(gone func(Token) bool) {
 	p.queue = slices.DeleteFunc(p.queue, func(op *operation) bool {
 		drop := op.msg.Op == OpClaim && !op.maybeWritten && gone(op.msg.Token)
@@ -48,7 +48,7 @@
 	})
 }
 
-// drop removes a queued operation. An operation of the batch in flight stays.
+// drop removes a queued operation, unless it is part of the batch in flight.
 func (p *partition) drop(key opKey) {
 	op := p.pending[key]
 	if i := slices.Index(p.queue, op); op != nil && i >= 0 {
@@ -57,7 +57,7 @@
 	}
 }
 
-// respond reports on an operation, except for done marks, which nobody waits for.
+// respond sends the result of an operation to its sender. Done marks get no response.
 func (m *Model) respond(now clock.Millis, msg ClaimRequestMsg, r ClaimResult) {
 	if msg.Op == OpMarkDone {
 		return
@@ -75,7 +75,7 @@
 	m.respond(now, op.msg, r)
 }
 
-// advance starts the next store call of an idle partition, or waits for its time.
+// advance starts the next store call of an idle partition, or sets a timer for it.
 func (m *Model) advance(now clock.Millis, p *partition) {
 	if p.phase != phaseIdle {
 		m.checkCallTimeout(now, p)
@@ -100,7 +100,7 @@
 	}
 }
 
-// checkCallTimeout treats a store call that was never reported as unknown.
+// checkCallTimeout handles a store call without a reply as one with an unknown result.
 func (m *Model) checkCallTimeout(now clock.Millis, p *partition) {
 	if now < p.callStartedAt+storeCallTimeoutMs {
 		m.setPartitionTimer(p, p.callStartedAt+storeCallTimeoutMs)
@@ -114,7 +114,7 @@
 	m.finishCall(now, p, store.Reply{Kind: store.KindUnknown})
 }
 
-// expire drops operations that nobody waits for any more.
+// expire drops operations whose sender has stopped waiting.
 func (p *partition) expire(now clock.Millis) {
 	p.queue = slices.DeleteFunc(p.queue, func(op *operation) bool {
 		gone := now >= op.expiresAt
@@ -125,7 +125,7 @@
 	})
 }
 
-// due returns when the queue needs a store call.
+// due returns the earliest time at which a queued operation needs a store call.
 func (p *partition) due() (clock.Millis, bool) {
 	if len(p.queue) == 0 {
 		return 0, false
@@ -137,8 +137,8 @@
 	return at, true
 }
 
-// backOff backs off after a failed store call. Claims that may not wait are given
-// up, unless an earlier write may have written them.
+// backOff delays the next store call after a failure. Claims that must not wait for
+// the store are answered as unavailable, unless an earlier write may have written them.
 func (m *Model) backOff(now clock.Millis, p *partition) {
 	p.backoff = min(max(2*p.backoff, minBackoffMs), maxBackoffMs)
 	p.retryAt = now + p.backoff
--- a/order/partition.go
+++ b/order/partition.go
@@ -17,44 +17,44 @@
 	phaseWrite
 )
 
-// partition is what this VM knows of one partition as its owner. The head and
-// segments are a cache of the store; the compare-and-swap on revision validates it.
+// partition is the owner's state of one partition. The head and the segments are
+// cached from the store; the compare-and-swap on revision detects a stale cache.
 type partition struct {
 	index          int
 	phase          phase
-	callStartedAt  clock.Millis // when the outstanding store call started
+	callStartedAt  clock.Millis // start of the outstanding store call
 	loaded         bool
 	head           Head
 	revision       uint64
-	currentAt      clock.Millis // when the cache was last known to be current
+	currentAt      clock.Millis // last time at which the cache was known to be current
 	headClaims     map[Hash]Claim
-	segmentClaims  map[Hash]Claim  // all segments, newer ones override older ones
-	cachedSegments map[uint64]bool // segments merged into sealed
+	segmentClaims  map[Hash]Claim  // of all cached segments, newer ones override older ones
+	cachedSegments map[uint64]bool // segments merged into segmentClaims
 	readingSegment uint64          // segment being read
 	sealingSegment uint64          // segment being written
-	minSealNumber  uint64          // lowest number worth trying after a conflict
+	minSealNumber  uint64          // lowest number to try after a conflict
 	unlisted       *unlistedSegment
 	queue          []*operation
-	pending        map[opKey]*operation // queue and batch
+	pending        map[opKey]*operation // operations in queue and batch
 	batch          *batch
-	garbage        []uint64 // segments that no head can list any more
+	garbage        []uint64 // numbers of segments to delete
 	nextWriteAt    clock.Millis
 	retryAt        clock.Millis
 	backoff        clock.Millis
-	timerAt        clock.Millis // earliest timer set, 0 for none
+	timerAt        clock.Millis // earliest timer set, 0 if none
 }
 
-// unlistedSegment is a sealed copy of the claims of the head at revision. The next
-// head lists it; if the head changes first, it is never listed.
+// unlistedSegment is a sealed copy of the head's claims at the given revision. The
+// next head lists it. If the head changes first, the segment is never listed.
 type unlistedSegment struct {
 	ref      SegmentRef
 	revision uint64
 }
 
-// storeCall says what an outstanding store call is for.
+// storeCall describes an outstanding store call.
 type storeCall struct {
 	partition         int
-	garbageCollection bool // deletes an unlisted segment; the partition does not wait for it
+	garbageCollection bool // the call reads or deletes a garbage segment; the partition does not wait for it
 }
 
 type opKey struct {
@@ -66,21 +66,21 @@
 type operation struct {
 	msg          ClaimRequestMsg
 	token        Hash
-	due          clock.Millis // when it asks for a write of its own
+	due          clock.Millis // time from which it needs a write, also without other operations
 	expiresAt    clock.Millis
-	maybeWritten bool // part of a write with an unknown result
+	maybeWritten bool // part of a write whose result is unknown
 }
 
 const (
 	minBackoffMs clock.Millis = 100
 	maxBackoffMs              = 2 * clock.Second
-	// A runtime reports every store call; a call without report for so long counts as unknown.
+	// The runtime replies to every store call. A call without a reply after this time has an unknown result.
 	storeCallTimeoutMs = 10 * clock.Second
-	// An existing claim is reported from a cache of at most this age, so that a
-	// VM that no longer owns the partition does not report a released claim for long.
+	// ResultExists is reported only from a cache of at most this age. Otherwise a VM
+	// that no longer owns the partition could keep reporting a claim that was released.
 	maxCacheAgeMs = 2 * clock.Second
-	// Releases and done marks leave the queue after this time; the entry side
-	// asks for a release again.
+	// Releases and done marks leave the queue after this time. The VM that requested a
+	// release retries it.
 	queueTimeoutMs = 60 * clock.Second
 )
 
@@ -100,7 +100,7 @@
 // SegmentKey returns the store key of a sealed segment of partition n.
 func SegmentKey(n int, number uint64) string { return fmt.Sprintf("orders/%02d/segment/%d", n, number) }
 
-// find returns the claim of id as of the cache. A released claim does not count.
+// find returns the claim of id in the cached head or segments. A released claim counts as absent.
 func (p *partition) find(id Hash) (Claim, bool) {
 	c, ok := p.headClaims[id]
 	if !ok {
--- a/order/release.go
+++ b/order/release.go
@@ -6,8 +6,8 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// release remembers a token under which nothing was run and nothing will be
-// sent. While pending, the release is asked for until an owner has written it.
+// release is the release of a token under which no attempt was executed and no more
+// will be sent. While pending, it is retried until an owner confirms the write.
 type release struct {
 	token    Token
 	id       string
@@ -16,29 +16,29 @@
 	pending  bool
 	retryAt  clock.Millis
 	backoff  clock.Millis
-	dropAt   clock.Millis // while not pending
+	dropAt   clock.Millis // used while not pending
 	tries    int
-	repeat   bool // to be asked for once more at the end of the quarantine
+	repeat   bool // send once more at the end of the quarantine
 }
 
 const (
 	minReleaseBackoffMs clock.Millis = 500
 	maxReleaseBackoffMs              = 30 * clock.Second
-	// A delayed or doubled claim request can still be written after the token
-	// was given up. Its confirmation is answered by another release; since the
+	// A delayed or duplicate claim request can still be written after its token was
+	// released. The confirmation of that write triggers another release. Since the
 	// confirmation can be lost too, one more release follows after this time.
 	quarantineMs = 15 * clock.Second
 )
 
 // trackRelease keeps the token of a closed submission. A pending release is kept
-// until it is written or its id is past Window, and releaseLimit bounds the
-// memory: above it the oldest is dropped and its claim stays, which blocks that
-// id but never runs it twice.
-func (m *Model) trackRelease(now clock.Millis, o *submission, pending, again bool) {
+// until it is confirmed or its order id is older than MaxIDAge. maxReleases bounds
+// the memory: above it the oldest release is dropped and its claim stays, so that
+// order id stays refused but is never executed twice.
+func (m *Model) trackRelease(now clock.Millis, o *submission, pending, repeat bool) {
 	seq := o.token.Seq
 	r := &release{
 		token: o.token, id: o.msg.ID, hash: o.hash, issuedAt: o.issuedAt,
-		pending: pending, repeat: again, backoff: minReleaseBackoffMs, dropAt: now + quarantineMs,
+		pending: pending, repeat: repeat, backoff: minReleaseBackoffMs, dropAt: now + quarantineMs,
 	}
 	m.releases[seq] = r
 	m.releasesByAge = append(m.releasesByAge, seq)
@@ -92,8 +92,9 @@
 	}
 }
 
-// handleLateResponse handles an answer for a token that is no longer claiming. A token
-// under which an attempt was sent has no release unless that attempt proved not run.
+// handleLateResponse handles a response for a token that is no longer in
+// stateClaiming. A token under which an attempt was sent has no release unless that
+// attempt was proven not to have executed.
 func (m *Model) handleLateResponse(now clock.Millis, msg ClaimResponseMsg) {
 	r := m.releases[msg.Token.Seq]
 	if r == nil {
@@ -109,7 +110,8 @@
 	}
 }
 
-// restartRelease asks for a release again after an earlier one was written or not needed.
+// restartRelease makes a release pending again, after an earlier one was written or
+// was not needed.
 func (m *Model) restartRelease(now clock.Millis, r *release) {
 	r.pending, r.backoff, r.tries = true, minReleaseBackoffMs, 0
 	m.sendRelease(now, r)
--- a/order/seal.go
+++ b/order/seal.go
@@ -5,15 +5,15 @@
 	"lentillink.example/lentillink/store"
 )
 
-// unlistedIsCurrent reports whether the sealed copy is of the cached head. After a
-// crash or a change of the head the copy stays unlisted, and the head still has
-// every claim.
+// unlistedIsCurrent reports whether the unlisted segment is a copy of the cached
+// head. After a crash or a change of the head the segment stays unlisted, and the
+// head still contains every claim.
 func (p *partition) unlistedIsCurrent() bool {
 	return p.unlisted != nil && p.unlisted.revision == p.revision
 }
 
-// seal writes the claims of the cached head to a new segment. It takes the
-// place of one head write, which then lists the segment and starts afresh.
+// seal writes the claims of the cached head to a new segment. It takes the place of
+// one head write. The next head write lists the segment and starts with no claims.
 func (m *Model) seal(now clock.Millis, p *partition) {
 	if p.unlisted != nil {
 		p.garbage = append(p.garbage, p.unlisted.ref.Number)
@@ -29,8 +29,8 @@
 	})
 }
 
-// handleSealed handles the result of a segment write. A number that is taken, or may
-// be, is skipped: its segment may differ from this head.
+// handleSealed handles the result of a segment write. A number that is or may be
+// taken is skipped, because that segment may differ from this head.
 func (m *Model) handleSealed(now clock.Millis, p *partition, r store.Reply) {
 	if r.Kind == store.KindOK {
 		p.unlisted = &unlistedSegment{ref: SegmentRef{Number: p.sealingSegment, NewestIssued: p.head.NewestIssued}, revision: p.revision}
@@ -40,7 +40,7 @@
 	if r.Kind == store.KindConflict || r.Kind == store.KindUnknown {
 		p.minSealNumber = p.sealingSegment + 1
 		p.garbage = append(p.garbage, p.sealingSegment)
-		// The number may be taken because another owner sealed: the head tells.
+		// Another owner may have taken the number, so the head is read again.
 		p.loaded = false
 	}
 	if r.Kind == store.KindConflict || r.Kind == store.KindUnknown {
@@ -50,9 +50,9 @@
 	m.backOff(now, p)
 }
 
-// readGarbage deletes one segment that no head can list any more: its number is
-// below Next and the current head does not list it, so a head that lists it
-// would need an older revision. Deleting is best effort.
+// readGarbage starts the deletion of one segment that no head can list any more:
+// its number is below NextSegment and the current head does not list it, so a head
+// that lists it would need an older revision. Deletion is best effort.
 func (m *Model) readGarbage(p *partition) {
 	listed := make(map[uint64]bool)
 	for _, s := range p.head.Segments {
@@ -76,8 +76,8 @@
 	}
 }
 
-// deleteGarbage deletes the segment that was read for its revision. The delete
-// takes the place of one write, so that it counts towards the bound on writes.
+// deleteGarbage deletes the segment that readGarbage read to get its revision. The
+// delete takes the place of one write, so that it counts towards the write rate limit.
 func (m *Model) deleteGarbage(now clock.Millis, p *partition, r store.Reply) {
 	if r.Op == store.OpGet && r.Kind == store.KindOK && r.Entry.Revision != 0 {
 		p.nextWriteAt = max(p.nextWriteAt, now) + m.cfg.writeInterval
--- a/order/submission.go
+++ b/order/submission.go
@@ -11,31 +11,32 @@
 type submissionState uint8
 
 const (
-	stateClaiming submissionState = iota // nothing sent
+	stateClaiming submissionState = iota // no attempt sent
 	stateSent                            // one attempt is outstanding
-	stateAnswered                        // answered as unknown, a late reply may still settle the claim
+	stateAnswered                        // answered as unknown; a late reply may still release the claim or mark it done
 )
 
-// submission is one open order of this VM.
+// submission is an open order that a caller submitted to this VM.
 type submission struct {
 	msg            SubmitMsg
 	token          Token
 	hash           Hash
 	issuedAt       clock.Millis
 	state          submissionState
-	tries          int  // times asked in a row without an answer
-	retried        bool // asked more than once in all, so another owner may still hold the claim
+	tries          int  // consecutive claim requests without a response
+	retried        bool // the claim was requested more than once, so another owner may still have it queued
 	retryAt        clock.Millis
 	removeAt       clock.Millis
 	triedUpstreams []upstream.ID
 	currentAttempt attempt.ID
 }
 
-// triesPerOwner is how often one owner is asked in vain before the next VM in
-// rendezvous order is asked. Any VM may write a claim; the owner only batches.
+// triesPerOwner is the number of unanswered requests to one owner before the next
+// VM in rendezvous order is tried. Any VM may write a claim; ownership only
+// serves batching.
 const triesPerOwner = 2
 
-// retryAfterMs is the wait proposed with a refusal; it covers one release.
+// retryAfterMs is the retry delay suggested with a refusal. It covers one release.
 const retryAfterMs clock.Millis = 500
 
 func (m *Model) submit(now clock.Millis, msg SubmitMsg) {
@@ -54,7 +55,7 @@
 	m.sendClaim(now, o)
 }
 
-// validate returns the issue time of the id, or why the order is refused.
+// validate returns the issue time of the order id, or the reason for a refusal.
 func (m *Model) validate(now clock.Millis, msg SubmitMsg) (clock.Millis, Reason, attempt.Execution) {
 	issuedAt, err := ParseID(msg.ID)
 	switch {
@@ -83,7 +84,8 @@
 	}
 }
 
-// sendClaim sends the claim to its owner. The token stays the same, so asking again is harmless.
+// sendClaim requests the claim from its owner. The token stays the same, so repeated
+// requests are harmless.
 func (m *Model) sendClaim(now clock.Millis, o *submission) {
 	vms := m.candidates[o.hash.Partition()]
 	to := vms[o.tries/triesPerOwner%len(vms)]
@@ -106,7 +108,7 @@
 	m.emit(PeerCmd{To: to, Msg: msg})
 }
 
-// handleClaimResponse handles an owner's answer.
+// handleClaimResponse handles an owner's response.
 func (m *Model) handleClaimResponse(now clock.Millis, msg ClaimResponseMsg) {
 	if msg.Token.VM != m.cfg.vm || msg.Token.Incarnation != m.cfg.incarnation {
 		return
@@ -138,12 +140,12 @@
 	m.abandon(now, o, Answer{Outcome: OutcomeAlreadySubmitted, Execution: execution, Reason: ReasonClaimExists}, o.retried)
 }
 
-// abandon ends a submission that never sent an attempt. Once it has left the
-// open table nothing is sent under its token. mayExist says that a claim under
-// the token may be in the store.
+// abandon ends a submission that never sent an attempt. Once it is removed from
+// m.submissions nothing is sent under its token. claimMayExist says whether the
+// store may contain a claim under the token.
 func (m *Model) abandon(now clock.Millis, o *submission, a Answer, claimMayExist bool) {
 	delete(m.submissions, o.token.Seq)
-	// After already_submitted the id has a claim already, so another release is not worth a write.
+	// After already_submitted the id is claimed under another token, so a second release is not worth a write.
 	m.trackRelease(now, o, claimMayExist, claimMayExist || a.Outcome == OutcomeRefused)
 	m.finish(o, a)
 }
@@ -158,7 +160,7 @@
 
 func (m *Model) answer(a Answer) { m.emit(AnswerCmd{Answer: a}) }
 
-// checkSubmission looks at one submission whose deadline or next question is due.
+// checkSubmission handles a submission whose deadline, retry or removal may be due.
 func (m *Model) checkSubmission(now clock.Millis, seq uint64) {
 	o := m.submissions[seq]
 	switch {
--- a/order/timer.go
+++ b/order/timer.go
@@ -14,7 +14,7 @@
 	timerPartition
 )
 
-// timer is a hint to look at one item; the item itself says what is due.
+// timer triggers a check of one item. The item's state decides whether anything is due.
 type timer struct {
 	at   clock.Millis
 	kind timerKind
--- a/order/write.go
+++ b/order/write.go
@@ -9,7 +9,9 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// writeBatch evaluates the queue against the cache and writes the result.
+// writeBatch evaluates the queue against the cache and writes the result. If an
+// existing claim was found in a cache older than maxCacheAgeMs, it reads the head
+// again instead.
 func (m *Model) writeBatch(now clock.Millis, p *partition) {
 	n := len(p.queue)
 	if m.cfg.maxBatch > 0 {
@@ -65,7 +67,7 @@
 		m.stats.Conflicts++
 		m.advance(now, p)
 	case store.KindUnknown:
-		// The head is read back; claims that took effect are found by their tokens.
+		// The head is read again. Claims that took effect are recognised by their tokens.
 		for _, op := range b.ops {
 			op.maybeWritten = true
 		}
@@ -75,7 +77,7 @@
 	}
 }
 
-// commit makes a written head the cache.
+// commit updates the cache to the head that was written.
 func (p *partition) commit(now clock.Millis, b *batch, revision uint64) {
 	if b.sealedSegment != nil {
 		p.cacheSegment(b.sealedSegment.ref.Number, p.head.Claims)
@@ -92,7 +94,7 @@
 	}
 }
 
-// confirm reports the results of a batch whose write is known to have taken effect.
+// confirm reports the results of a batch whose write took effect or was not needed.
 func (m *Model) confirm(now clock.Millis, p *partition, b *batch) {
 	for i, op := range b.ops {
 		if op.msg.Op == OpRelease {
