--- a/order/owner.go
+++ b/order/owner.go
@@ -38,9 +38,9 @@
 // dropClaims removes queued claims whose holder is gone, so that no claim is
 // written that cannot be used or released any more. A claim that may already be in
 // the store stays queued. A holder that is alive after all retries.
-func (p *partition) dropClaims(gone func(Token) bool) {
+func (p *partition) dropClaims(holderGone func(Token) bool) {
 	p.queue = slices.DeleteFunc(p.queue, func(op *operation) bool {
-		drop := op.msg.Op == OpClaim && !op.maybeWritten && gone(op.msg.Token)
+		drop := op.msg.Op == OpClaim && !op.maybeWritten && holderGone(op.msg.Token)
 		if drop {
 			delete(p.pending, opKey{OpClaim, op.msg.Token})
 		}
@@ -117,11 +117,11 @@
 // expire drops operations whose sender has stopped waiting.
 func (p *partition) expire(now clock.Millis) {
 	p.queue = slices.DeleteFunc(p.queue, func(op *operation) bool {
-		gone := now >= op.expiresAt
-		if gone {
+		expired := now >= op.expiresAt
+		if expired {
 			delete(p.pending, opKey{op.msg.Op, op.msg.Token})
 		}
-		return gone
+		return expired
 	})
 }
 
