--- a/order/fault_test.go
+++ b/order/fault_test.go
@@ -38,7 +38,7 @@
 		for _, fault := range faults {
 			for _, sheds := range []int{0, 2} {
 				for _, timeout := range []clock.Millis{deadline, shortTimeout} {
-					t.Run(fmt.Sprintf("%s/%s/sheds=%d/budget=%d", step, fault, sheds, timeout), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%s/%s/sheds=%d/timeout=%d", step, fault, sheds, timeout), func(t *testing.T) {
 						runFaults(t, scenario{
 							injections: []injection{{step, fault, 0}}, sheds: sheds, timeout: timeout, outage: preset.OutageWait, interval: 400,
 						})
@@ -81,7 +81,7 @@
 			order.OutcomeRefused,
 		},
 		{
-			"claim written, then store down",
+			"claim written, then store unavailable",
 			scenario{
 				injections: []injection{{stepWrite, faultUnknownApplied, 0}, {stepRead, faultUnavailable, 0}},
 				timeout:    deadline, outage: preset.OutageRefuse, interval: 400,
@@ -89,7 +89,7 @@
 			order.OutcomeDone,
 		},
 		{
-			"claim write later than the release, no other write between",
+			"claim written after its release, no write in between",
 			scenario{
 				injections: []injection{{stepWrite, faultKillOwnerLateWrite, 0}}, timeout: shortTimeout, outage: preset.OutageWait, interval: 4000,
 			},
@@ -143,7 +143,7 @@
 	checkClaims(t, h)
 	step, fault := s.injections[0].step, s.injections[0].fault
 	if release := step == stepRelease || step == stepConfirmRelease; len(remaining) > 0 && (!release || s.sheds > 0) {
-		t.Errorf("got no %s step, want the fault injected", remaining[0].step)
+		t.Errorf("step %s was not reached, want the fault injected there", remaining[0].step)
 	}
 	neverRan := 0
 	for _, id := range orderIDs {
@@ -179,7 +179,7 @@
 		for range rapid.IntRange(4, 20).Draw(t, "submissions") {
 			id := rapid.SampledFrom(orderIDs).Draw(t, "id")
 			vm := rapid.SampledFrom(names).Draw(t, "vm")
-			timeout := rapid.SampledFrom([]clock.Millis{deadline, shortTimeout}).Draw(t, "budget")
+			timeout := rapid.SampledFrom([]clock.Millis{deadline, shortTimeout}).Draw(t, "timeout")
 			outage := rapid.SampledFrom([]preset.OutageRule{preset.OutageWait, preset.OutageRefuse}).Draw(t, "outage")
 			wait := clock.Millis(rapid.IntRange(0, 8000).Draw(t, "wait"))
 			h.schedule(wait, func() {
@@ -188,10 +188,10 @@
 				}
 			})
 		}
-		for range rapid.IntRange(0, 6).Draw(t, "views") {
-			vm := rapid.SampledFrom(names).Draw(t, "viewer")
+		for range rapid.IntRange(0, 6).Draw(t, "VM lists") {
+			vm := rapid.SampledFrom(names).Draw(t, "receiver")
 			live := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 3, rapid.ID[string]).Draw(t, "live")
-			h.schedule(clock.Millis(rapid.IntRange(0, 8000).Draw(t, "view at")), func() { h.deliver(vm, order.LiveVMsMsg{VMs: live}) })
+			h.schedule(clock.Millis(rapid.IntRange(0, 8000).Draw(t, "VM list at")), func() { h.deliver(vm, order.LiveVMsMsg{VMs: live}) })
 		}
 		h.runUntil(start + 2*clock.Minute)
 		checkSafety(t, h)
--- a/order/harness_store_test.go
+++ b/order/harness_store_test.go
@@ -84,7 +84,7 @@
 	}
 	for _, c := range head.Claims {
 		if at := h.releasedAt[c.Token]; c.State == order.ClaimHeld && at > issuedAt {
-			h.violations = append(h.violations, "a release was confirmed before an older write of its claim")
+			h.violations = append(h.violations, "a release was confirmed although an older write of its claim took effect later")
 		}
 	}
 }
--- a/order/harness_test.go
+++ b/order/harness_test.go
@@ -19,7 +19,7 @@
 	stepRead           = "read"
 	stepSeal           = "seal"
 	stepWrite          = "write"
-	stepWriteListing   = "write that lists a segment"
+	stepWriteListing   = "write listing a segment"
 	stepConfirm        = "confirm"
 	stepSend           = "send"
 	stepReply          = "reply"
@@ -34,18 +34,18 @@
 	faultDuplicated         = "doubled"
 	faultDelayed            = "delayed"
 	faultUnavailable        = "unavailable"
-	faultUnknownApplied     = "unknown after effect"
-	faultUnknownNotApplied  = "unknown without effect"
-	faultUnknownAppliedLate = "unknown before effect"
+	faultUnknownApplied     = "unknown result, write applied before"
+	faultUnknownNotApplied  = "unknown result, write not applied"
+	faultUnknownAppliedLate = "unknown result, write applied after"
 	faultConflict           = "conflict"
 	faultKillEntry          = "entry killed"
 	faultKillOwner          = "owner killed"
 	faultPauseEntry         = "entry paused"
 	faultPauseOwner         = "owner paused"
-	faultKillOwnerLateWrite = "owner killed, write late"
-	faultShedWithoutProof   = "shed without ran: no"
-	faultFailedWithProof    = "failed with ran: no"
-	faultReplyPastDeadline  = "reply past the deadline"
+	faultKillOwnerLateWrite = "owner killed, write applied late"
+	faultShedWithoutProof   = "shed without proof"
+	faultFailedWithProof    = "failed, contradictory proof"
+	faultReplyPastDeadline  = "reply after the deadline"
 )
 
 const (
@@ -253,7 +253,7 @@
 
 func (h *harness) send(name string, vm *testVM, req attempt.Request) {
 	if h.now+vm.clockAhead >= req.Deadline {
-		h.violations = append(h.violations, "sent after the deadline")
+		h.violations = append(h.violations, "an attempt was sent after its deadline")
 	}
 	copies, after := h.applyFault(h.nextFault(stepSend))
 	timeout := true
--- a/order/model_test.go
+++ b/order/model_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	for _, b := range h.violations {
-		t.Errorf("got %s", b)
+		t.Errorf("invariant violated: %s", b)
 	}
 	for i, c := range h.calls {
 		if len(c.answers) > 1 || len(c.answers) == 0 && !c.vm.killed {
@@ -40,7 +40,7 @@
 		}
 		for _, a := range c.answers {
 			if a.Execution == attempt.NotExecuted && c.runs > 0 || a.Execution == attempt.Executed && h.runs[c.id] == 0 {
-				t.Errorf("call %d: got %v, but it ran %d times", i, a, c.runs)
+				t.Errorf("call %d: got %v, but the call executed it %d times", i, a, c.runs)
 			}
 		}
 	}
@@ -76,9 +76,9 @@
 		{"no random part", "1700000000000-", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
 		{"leading zero", "01700000000000-a", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
 		{"signed", "+1700000000000-a", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
-		{"space", "1700000000000-a b", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
+		{"space in random part", "1700000000000-a b", false, order.ReasonBadID, attempt.NotExecuted, order.OutcomeRefused},
 		{"too old", fmt.Sprintf("%d-a", start-day-1), false, order.ReasonTooOld, attempt.ExecutionUnknown, order.OutcomeRefused},
-		{"oldest", fmt.Sprintf("%d-a", start-day+1000), false, "", attempt.Executed, order.OutcomeDone},
+		{"almost too old", fmt.Sprintf("%d-a", start-day+1000), false, "", attempt.Executed, order.OutcomeDone},
 		{"too new", fmt.Sprintf("%d-a", start+5*clock.Minute+1), false, order.ReasonTooNew, attempt.ExecutionUnknown, order.OutcomeRefused},
 		{"draining", fmt.Sprintf("%d-a", start), true, order.ReasonDraining, attempt.NotExecuted, order.OutcomeRefused},
 	}
@@ -104,14 +104,14 @@
 	c := h.submit("entry", ids(start, 1)[0])
 	h.deliver("entry", order.StopMsg{})
 	if h.vms["entry"].model.Drained() {
-		t.Error("got drained with an open order, want not drained")
+		t.Error("got drained with an open order, want Drained to be false")
 	}
 	h.runUntil(start + clock.Second)
 	if got := c.answers[0].Outcome; got != order.OutcomeDone {
 		t.Errorf("got %v, want done", got)
 	}
 	if !h.vms["entry"].model.Drained() {
-		t.Error("got not drained, want drained")
+		t.Error("got not drained after all orders ended, want Drained to be true")
 	}
 }
 
@@ -148,7 +148,7 @@
 		c := h.submit("other", id)
 		h.runUntil(h.now + clock.Second)
 		if got := c.answers[0]; got.Outcome != order.OutcomeAlreadySubmitted || got.Execution != attempt.Executed {
-			t.Errorf("got %v, want already_submitted, ran yes", got)
+			t.Errorf("got %v, want already_submitted, executed", got)
 		}
 	}
 	if got, want := len(h.entries), 3*sealedRecords-2; got >= want {
@@ -192,7 +192,7 @@
 	c := h.submit("entry", ids(start, 1)[0])
 	h.runUntil(start + clock.Minute)
 	if got := c.answers[0]; got.Outcome != order.OutcomeRefused || got.Execution != attempt.NotExecuted {
-		t.Errorf("got %v, want refused, ran no", got)
+		t.Errorf("got %v, want refused, not executed", got)
 	}
 	if got := h.entries[e.Key].Revision; got != e.Revision {
 		t.Errorf("got revision %d, want the record unchanged", got)
@@ -211,9 +211,9 @@
 		notifyOwner func(h *harness, id string)
 		wantRuns    int
 	}{
-		{"not told", func(*harness, string) {}, 0},
-		{"left the view", func(h *harness, _ string) { h.deliver("owner", order.LiveVMsMsg{VMs: []string{"owner"}}) }, 1},
-		{"new incarnation asks", func(h *harness, id string) {
+		{"owner not informed", func(*harness, string) {}, 0},
+		{"VM left the list", func(h *harness, _ string) { h.deliver("owner", order.LiveVMsMsg{VMs: []string{"owner"}}) }, 1},
+		{"new incarnation submits", func(h *harness, id string) {
 			h.restart("entry")
 			h.submit("entry", id)
 		}, 1},
--- a/order/notcarrier_test.go
+++ b/order/notcarrier_test.go
@@ -55,6 +55,6 @@
 		update(order.AttemptReplyMsg{Reply: attempt.Reply{ID: sent[i].ID, Upstream: sent[i].Upstream, Status: attempt.NotCarrier, Execution: attempt.NotExecuted}})
 	}
 	if len(answers) != 1 || answers[0].Outcome != order.OutcomeRefused || answers[0].Execution != attempt.NotExecuted {
-		t.Errorf("got %v, want one refusal that was not run", answers)
+		t.Errorf("got %v, want one refusal, not executed", answers)
 	}
 }
