--- a/admission/accessors.go
+++ b/admission/accessors.go
@@ -5,7 +5,7 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// Limit returns the limit of a service in sub-requests.
+// Limit returns the current limit of a service, in concurrent sub-requests.
 func (c *Controller) Limit(service string) int {
 	if s := c.services[service]; s != nil {
 		return s.limit.value()
@@ -13,7 +13,7 @@
 	return 0
 }
 
-// RunningCost returns the number of sub-requests of running queries of a rank.
+// RunningCost returns the number of sub-requests of a rank's running queries.
 func (c *Controller) RunningCost(service string, r rank.Rank) int {
 	if s := c.services[service]; s != nil {
 		return s.rankRunningCost.At(r)
@@ -21,7 +21,7 @@
 	return 0
 }
 
-// Running returns the number of running queries of a rank.
+// Running returns the number of a rank's running queries.
 func (c *Controller) Running(service string, r rank.Rank) int {
 	if s := c.services[service]; s != nil {
 		return s.rankRunning.At(r)
@@ -29,7 +29,7 @@
 	return 0
 }
 
-// Queued returns the number of waiting queries of a rank.
+// Queued returns the number of a rank's queued queries.
 func (c *Controller) Queued(service string, r rank.Rank) int {
 	if s := c.services[service]; s != nil {
 		return s.queues.Ref(r).len()
@@ -37,7 +37,7 @@
 	return 0
 }
 
-// QueuedTotal returns the number of waiting queries of all ranks.
+// QueuedTotal returns the number of queued queries of all ranks.
 func (c *Controller) QueuedTotal(service string) int {
 	n := 0
 	for _, r := range rank.All() {
@@ -64,8 +64,8 @@
 // Idle reports whether nothing is queued or running.
 func (c *Controller) Idle() bool { return len(c.queries) == 0 }
 
-// NextWake returns when the gate wants a TickMsg. It takes time in the number
-// of services.
+// NextWake returns the time at which the Controller needs its next TickMsg. Its
+// running time is linear in the number of services.
 func (c *Controller) NextWake() (clock.Millis, bool) {
 	var wake clock.Millis
 	found := false
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -8,7 +8,7 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// BenchmarkQuery measures one query that waits in the queue and then runs.
+// BenchmarkQuery measures one query that is queued and then runs.
 func BenchmarkQuery(b *testing.B) {
 	ctrl := admission.New(admission.WithService(testService, 1, 1), admission.WithPreset(testPreset(50, 25, 10)))
 	ids := [2]string{"a", "b"}
--- a/admission/command.go
+++ b/admission/command.go
@@ -5,17 +5,17 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// Cmd is an output of a Gate.
+// Cmd is an output of a Controller.
 type Cmd interface{ admissionCmd() }
 
-// AdmitCmd starts a query. Deadline is the effective one under the policy.
+// AdmitCmd starts a query. Deadline is the query's own, limited by the preset.
 type AdmitCmd struct {
 	ID       string
 	Deadline clock.Millis
 	WaitedMs clock.Millis
 }
 
-// RefuseCmd refuses a query that was not run.
+// RefuseCmd refuses a query that was not started.
 type RefuseCmd struct {
 	ID           string
 	Reason       Reason
@@ -29,14 +29,14 @@
 func (RefuseCmd) admissionCmd() {}
 func (EventCmd) admissionCmd()  {}
 
-// Reason says why a query was refused.
+// Reason is the cause of a refusal.
 type Reason uint8
 
 // The reasons of a refusal.
 const (
 	ReasonQueueFull      Reason = iota // the queue of the rank is full
-	ReasonDisplaced                    // a newer query took its place in a full queue
-	ReasonTooLate                      // it can no longer finish by its deadline
+	ReasonDisplaced                    // evicted from a full queue in favour of a newer query
+	ReasonTooLate                      // the query can no longer finish by its deadline
 	ReasonDraining                     // the VM is stopping
 	ReasonUnknownService               // the service is not configured
 	ReasonDuplicateID                  // a query with this ID is queued or running
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -9,20 +9,21 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// Controller admits, queues or refuses queries. It is a pure state machine.
+// Controller admits, queues or refuses queries. It is a pure state machine and not
+// safe for concurrent use.
 type Controller struct {
 	cfg         config
 	preset      preset.Preset
 	draining    bool
-	now         clock.Millis // of the last Update
+	now         clock.Millis // time of the last Update
 	services    map[string]*service
-	serviceList []*service // fixed order, so that runs repeat
+	serviceList []*service // in configured order, so that runs are reproducible
 	queries     map[string]*query
 	freeQueries []*query
 	refused     [reasonCount]int
 }
 
-// New returns a gate.
+// New returns a Controller without queries.
 func New(opts ...Option) *Controller {
 	cfg := newConfig(opts)
 	c := &Controller{cfg: cfg, preset: cfg.preset, services: make(map[string]*service), queries: make(map[string]*query)}
@@ -34,7 +35,7 @@
 	return c
 }
 
-// Update applies msg at now and returns the commands that follow from it.
+// Update applies msg at the time now and returns the resulting commands.
 func (c *Controller) Update(now clock.Millis, msg Msg) []Cmd {
 	c.now = now
 	var cmds []Cmd
@@ -87,8 +88,8 @@
 	queue := s.queues.Ref(q.rank)
 	if queue.len() >= max(policy.QueueRequests, 1) {
 		oldest := queue.oldest
-		// Patient work keeps its place, because its deadline is long. In the other
-		// ranks the oldest query is the one least likely to finish.
+		// Queued patient queries are not evicted, because their deadlines are long. In the
+		// other ranks the oldest query is the one least likely to finish.
 		if q.rank == rank.Patient || q.cost > oldest.cost {
 			c.freeQueries = append(c.freeQueries, q)
 			return c.refuse(now, s, q.id, q.rank, ReasonQueueFull, cmds)
@@ -101,7 +102,7 @@
 	return append(cmds, EventCmd{Event: timeline.Event{Kind: timeline.Queued, Request: q.id, Rank: q.rank.String()}})
 }
 
-// refuseQueued refuses a queued query.
+// refuseQueued removes a query from its queue and refuses it.
 func (c *Controller) refuseQueued(now clock.Millis, q *query, reason Reason, cmds []Cmd) []Cmd {
 	s, id, r := q.service, q.id, q.rank
 	s.queues.Ref(r).remove(q)
@@ -117,7 +118,7 @@
 	}
 	c.refused[reason]++
 	event := timeline.Event{Kind: timeline.Refused, Request: id, Rank: r.String(), Detail: reason.String()}
-	// The event comes first: after the refusal the core has forgotten the caller's id.
+	// The event must precede the refusal: on RefuseCmd the core drops the caller's id.
 	return append(cmds, EventCmd{Event: event}, RefuseCmd{ID: id, Reason: reason, RetryAfterMs: retryAfterMs})
 }
 
@@ -188,8 +189,9 @@
 	}
 }
 
-// refuseLate refuses queued queries that can no longer finish. A start can bring
-// a late one to the front, because the reserve depends on the query.
+// refuseLate refuses queued queries that can no longer finish. It runs before each
+// start: a start can bring such a query to the front, because the required time
+// depends on the query.
 func (c *Controller) refuseLate(now clock.Millis, s *service, cmds []Cmd) []Cmd {
 	for _, r := range rank.All() {
 		queue := s.queues.Ref(r)
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -30,7 +30,7 @@
 	msg admission.Msg
 }
 
-// TestDecisions guards against a query that is admitted, held or refused wrongly.
+// TestDecisions guards against a query that is wrongly admitted, queued or refused.
 func TestDecisions(t *testing.T) {
 	fillLimit := []step{{1, arrive("a", rank.Patient)}, {1, arrive("b", rank.Patient)}}
 	shortDeadline := testPreset(50, 25, 10)
@@ -38,7 +38,7 @@
 	tests := []struct {
 		name  string
 		steps []step
-		want  string // the decisions in order
+		want  string // decisions in order: +id admitted, -id:reason refused
 	}{
 		{"room", nil, "+a +b"},
 		{"urgent before patient", []step{{2, arrive("c", rank.Patient)}, {2, arrive("d", rank.Urgent)}, {9, finish("a")}, {9, finish("b")}}, "+a +b +d +c"},
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestLendingAndFloors guards against unused capacity and against a floor that does
-// not come back to its rank.
+// TestLendingAndFloors guards against unused capacity, and against a rank that does
+// not regain its floor after its capacity was lent to other ranks.
 func TestLendingAndFloors(t *testing.T) {
 	p := testPreset(50, 30, 20)
 	p.Patient.QueueRequests, p.Ordinary.QueueRequests, p.Urgent.QueueRequests = 100, 100, 100
--- a/admission/credit_test.go
+++ b/admission/credit_test.go
@@ -9,8 +9,8 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// TestThroughputFloor guards against a rank whose queries run longer than
-// others and which so gets less than its floor of the throughput.
+// TestThroughputFloor guards against a rank that gets less than its floor of the
+// throughput because its queries run longer than those of other ranks.
 func TestThroughputFloor(t *testing.T) {
 	p := testPreset(30, 30, 20)
 	p.Urgent.QueueRequests, p.Patient.QueueRequests = 100, 100
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -8,44 +8,45 @@
 const (
 	decreaseFactor = 0.9
 
-	// maxOverloadedRatio is the share of completed queries with refused
-	// sub-requests above which the limit falls. A single shed sub-request of a
-	// restarting upstream is no sign of overload.
+	// maxOverloadedRatio is the ratio of completed queries with refused sub-requests
+	// above which the limit decreases. A single sub-request shed by a restarting
+	// upstream is not a sign of overload.
 	maxOverloadedRatio = 0.1
 
-	// minSamples keeps a verdict from resting on one or two queries.
+	// minSamples keeps a decision from depending on one or two queries.
 	minSamples = 4
 
 	costWeight    = 0.05
 	serviceWeight = 0.05
 
-	// targetServiceRatio is the target wait as a share of the mean service time.
+	// targetServiceRatio is the target wait as a ratio of the mean service time.
 	targetServiceRatio = 0.5
 
-	// maxWaitTargets bounds the weight of one query that waited long, in targets.
+	// maxWaitTargets caps the wait of one query, in targets, to limit the weight of outliers.
 	maxWaitTargets = 4
 )
 
 // limit adapts the number of concurrent sub-requests of one service.
 //
-// A verdict covers an interval. The limit falls if the mean wait of some
-// rank was above the target: carriers serve ranks in order, so the wait shows
-// first in the least urgent rank that runs. Only queries admitted after the
-// last fall count, because older ones waited behind the load that the fall removed.
+// It is adjusted once per interval, with a multiplicative decrease and an additive
+// increase. It decreases if the mean wait of some rank exceeds the target: carriers
+// serve ranks in order of priority, so queueing shows first in the least urgent
+// rank with running queries. Only queries admitted after the last decrease count,
+// because older ones waited behind the load that the decrease removed.
 type limit struct {
 	current       float64
 	maximum       float64
 	meanCost      float64
-	minTargetMs   clock.Millis // lowest target
-	meanServiceMs float64      // moving mean service time of sub-requests
+	minTargetMs   clock.Millis // lower bound of the target wait
+	meanServiceMs float64      // moving average of the service time of sub-requests
 	intervalMs    clock.Millis
 
-	intervalStart clock.Millis // of the interval
+	intervalStart clock.Millis
 	lastDecrease  clock.Millis
 	saturated     bool // a query had to wait during the interval
 	peakRunning   int  // highest running cost during the interval
 	rankSamples   rank.Table[int]
-	rankWaits     rank.Table[float64] // sum of the waits, each at most maxWaits targets
+	rankWaits     rank.Table[float64] // sum of the waits, each at most maxWaitTargets targets
 	completed     int
 	overloaded    int
 }
@@ -57,9 +58,9 @@
 	}
 }
 
-// targetWait returns the wait above which the limit falls. With shorter waits than
-// about half a service time the connections run idle now and then, because the
-// length of services varies.
+// targetWait returns the mean wait above which the limit decreases. With a target
+// below about half a service time, connections are idle at times, because service
+// times vary.
 func (l *limit) targetWait() float64 {
 	return max(float64(l.minTargetMs), targetServiceRatio*l.meanServiceMs)
 }
@@ -112,10 +113,10 @@
 }
 
 // waitsAreLow reports whether the mean wait of every rank is at most half the
-// target. Between the half and the whole target the limit stays as it is.
+// target. Between half the target and the target the limit does not change.
 func (l *limit) waitsAreLow() bool { return 2*l.maxMeanWait() <= l.targetWait() }
 
-// maxMeanWait returns the highest mean wait of the ranks.
+// maxMeanWait returns the highest mean wait among the ranks with enough samples.
 func (l *limit) maxMeanWait() float64 {
 	longest := 0.0
 	for _, r := range rank.All() {
--- a/admission/message.go
+++ b/admission/message.go
@@ -6,11 +6,11 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// Msg is an input of a Gate.
+// Msg is an input of a Controller.
 type Msg interface{ admissionMsg() }
 
-// ArrivalMsg asks for a decision. ID must not be in use by a queued or running
-// query. A Deadline of 0 means the default of the policy.
+// ArrivalMsg requests a decision on a query. A query whose ID is already queued or
+// running is refused. A Deadline of 0 means the default of the preset.
 type ArrivalMsg struct {
 	ID       string
 	Rank     rank.Rank
@@ -19,27 +19,27 @@
 	Deadline clock.Millis
 }
 
-// DoneMsg reports the end of an admitted query. Every admitted query needs
-// one, also if its caller has gone.
+// DoneMsg reports the end of an admitted query. It is required for every admitted
+// query, also after its caller disconnected.
 type DoneMsg struct {
 	ID         string
 	QueueMs    clock.Millis // mean queue wait of its sub-requests at the carriers
-	ServiceMs  clock.Millis // mean time of its sub-requests without that wait; 0 if not known
+	ServiceMs  clock.Millis // mean time of its sub-requests without that wait; 0 if unknown
 	ElapsedMs  clock.Millis // time since admission
-	Overloaded bool         // some sub-request was shed or dropped under load
+	Overloaded bool         // a sub-request was shed or dropped because of overload
 }
 
-// PresetMsg puts a preset in force.
+// PresetMsg replaces the preset in force.
 type PresetMsg struct{ Preset preset.Preset }
 
-// CancelMsg removes a queued query whose caller has gone. It has no effect on
-// a running query.
+// CancelMsg removes a queued query whose caller disconnected. It has no effect on a
+// running query.
 type CancelMsg struct{ ID string }
 
-// DrainMsg makes the gate refuse new arrivals.
+// DrainMsg makes the Controller refuse new queries.
 type DrainMsg struct{}
 
-// TickMsg lets time pass.
+// TickMsg refuses queued queries that are late and starts those that fit.
 type TickMsg struct{}
 
 func (ArrivalMsg) admissionMsg() {}
--- a/admission/options.go
+++ b/admission/options.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// defaultTargetWaitMs is the target for services of unknown or short service
-	// time; a service of longer time gets a target in proportion.
+	// defaultTargetWaitMs is the target for services with an unknown or short service
+	// time. Longer service times get a proportional target.
 	defaultTargetWaitMs clock.Millis = 4
 	defaultIntervalMs   clock.Millis = 100
 )
@@ -25,24 +25,25 @@
 	maximum int
 }
 
-// Option configures a Gate.
+// Option configures a Controller.
 type Option func(*config)
 
-// WithService adds a service whose limit starts at initial sub-requests and
-// never exceeds most.
+// WithService adds a service whose limit starts at initial sub-requests and never
+// exceeds maximum.
 func WithService(name string, initial, maximum int) Option {
 	return func(c *config) {
 		c.services = append(c.services, serviceConfig{name: name, initial: initial, maximum: maximum})
 	}
 }
 
-// WithPreset sets the preset that is in force at the start.
+// WithPreset sets the initial preset.
 func WithPreset(p preset.Preset) Option { return func(c *config) { c.preset = p } }
 
-// WithTargetWait sets the lowest mean queue wait at the carriers above which the limit falls.
+// WithTargetWait sets the lower bound of the target, the mean queue wait at the
+// carriers above which the limit decreases.
 func WithTargetWait(ms clock.Millis) Option { return func(c *config) { c.targetWaitMs = ms } }
 
-// WithAdjustInterval sets the time over which waits are judged.
+// WithAdjustInterval sets the minimum time between two adjustments of the limit.
 func WithAdjustInterval(ms clock.Millis) Option { return func(c *config) { c.intervalMs = ms } }
 
 func newConfig(opts []Option) config {
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -15,17 +15,16 @@
 
 const (
 	serviceMs = 10 // mean time of one sub-request
-	spreadMs  = 3  // times lie evenly between serviceMs-spreadMs and serviceMs+spreadMs
+	spreadMs  = 3  // times are uniform between serviceMs-spreadMs and serviceMs+spreadMs
 )
 
-// simQuery is one query.
 type simQuery struct {
 	id         string
 	rank       rank.Rank
 	deadline   clock.Millis
 	admittedAt clock.Millis
 	remaining  int
-	waitedMs   clock.Millis // of all sub-requests
+	waitedMs   clock.Millis // sum over all sub-requests
 }
 
 // job is one sub-request.
@@ -47,8 +46,8 @@
 	return last
 }
 
-// simulation drives one gate against a fake service in virtual time. The service
-// has a fixed number of workers and a first-in, first-out queue.
+// simulation runs one Controller against a simulated service in virtual time. The
+// service has a fixed number of workers and a FIFO queue.
 type simulation struct {
 	gate         *admission.Controller
 	cost         int
@@ -60,7 +59,7 @@
 	undecided    map[string]*simQuery
 	waiting      []job
 	running      jobHeap
-	inTime       rank.Table[int] // finished in time
+	inTime       rank.Table[int] // completed by their deadline
 	refused      rank.Table[int]
 	limitSum     int
 	limitSamples int
@@ -157,12 +156,13 @@
 	}
 }
 
-// capacity returns the queries per ms that the service can do.
+// capacity returns the maximum throughput of the service in queries per ms.
 func (s *simulation) capacity() float64 { return float64(s.workers) / float64(s.cost) / serviceMs }
 
-// idealLimit returns the running cost that keeps all workers busy without a
-// queue. A query holds its whole cost until its last sub-request ends, so this
-// exceeds the workers by the unloaded time of a query over that of a sub-request.
+// idealLimit returns the running cost that keeps all workers busy without a queue.
+// A query holds its whole cost until its last sub-request ends, so the ideal limit
+// exceeds the number of workers by the ratio of the unloaded time of a query to
+// that of a sub-request.
 func (s *simulation) idealLimit() float64 {
 	const values = 2*spreadMs + 1
 	queryMs := float64(serviceMs + spreadMs)
@@ -172,14 +172,14 @@
 	return float64(s.workers) * queryMs / serviceMs
 }
 
-// setLoad sets the arrivals of each rank as multiples of the capacity.
+// setLoad sets the arrival rate of each rank as a multiple of the capacity.
 func (s *simulation) setLoad(urgent, ordinary, patient float64) {
 	c := s.capacity()
 	s.arrivalRate = rank.NewTable(urgent*c, ordinary*c, patient*c)
 }
 
-// measure forgets what was counted so far, runs and returns goodput by rank as
-// a share of capacity, and the mean limit as a multiple of the real capacity.
+// measure resets the counters, runs, and returns the goodput by rank as a share of
+// capacity, and the mean limit as a multiple of the ideal limit.
 func (s *simulation) measure(ms clock.Millis) (goodput rank.Table[float64], limit float64) {
 	s.inTime, s.refused = rank.Table[int]{}, rank.Table[int]{}
 	s.limitSum, s.limitSamples = 0, 0
@@ -190,9 +190,9 @@
 	return goodput, float64(s.limitSum) / float64(s.limitSamples) / s.idealLimit()
 }
 
-// TestOverload guards against a flood of one rank taking the service of the
-// others or of itself, from a limit that starts too low and one far too high.
-// With 20 sub-requests a query, the floors are no whole numbers of queries.
+// TestOverload guards against an overload by one rank that starves the others or
+// itself, with an initial limit that is too low and one that is far too high. With
+// a fan-out of 20 sub-requests, the floors are not whole numbers of queries.
 func TestOverload(t *testing.T) {
 	tests := []struct {
 		name                   string
@@ -223,7 +223,7 @@
 	if got := s.refused.At(rank.Urgent); got != 0 {
 		t.Errorf("patient flood: got %d urgent refused, want 0", got)
 	}
-	// Ordinary is offered more than its floor and urgent less than its own.
+	// The ordinary load exceeds its floor; the urgent load is below its own.
 	if got, want := goodput.At(rank.Ordinary), overloadPreset().Ordinary.FloorPercent/100; got < want {
 		t.Errorf("patient flood: got ordinary %.3f of capacity, want at least %.3f", got, want)
 	}
@@ -250,8 +250,8 @@
 	checkLimit(t, limit)
 }
 
-// checkLimit allows for the concurrency that fills the target wait: 4 ms beside 10 ms
-// of service.
+// checkLimit allows for the concurrency that the target wait adds: 4 ms on top of
+// 10 ms of service time.
 func checkLimit(t *testing.T, limit float64) {
 	t.Helper()
 	if limit < 0.9 || limit > 1.5 {
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -11,8 +11,8 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// TestExactlyOneDecision guards against queries without a decision, with two,
-// and against more running cost than the limit at the time of admission.
+// TestExactlyOneDecision guards against queries with no decision or with two, and
+// against a running cost above the limit at the time of admission.
 func TestExactlyOneDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctrl := admission.New(admission.WithService(testService, 6, 12), admission.WithPreset(testPreset(50, 25, 10)))
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -13,17 +13,17 @@
 	rank      rank.Rank
 	service   *service
 	cost      int
-	deadline  clock.Millis // as asked for; 0 means the default of the policy
-	dueAt     clock.Millis // effective deadline when it was queued
+	deadline  clock.Millis // as requested; 0 means the default of the preset
+	dueAt     clock.Millis // effective deadline at the time of queueing
 	arrivedAt clock.Millis
 	startedAt clock.Millis
 	running   bool
 
 	older, newer *query
-	heapIndex    int // in the deadline heap
+	heapIndex    int // position in queue.byDeadline
 }
 
-// queue holds the waiting queries of one rank, linked by age and indexed by deadline.
+// queue holds the queued queries of one rank, linked by age and indexed by deadline.
 type queue struct {
 	oldest, newest *query
 	byDeadline     deadlineHeap
@@ -33,9 +33,10 @@
 
 func (q *queue) earliest() *query { return q.byDeadline[0] }
 
-// next returns the query to start next: the oldest, but the newest once the
-// oldest has waited for half the time before it must start. Under overload the oldest queries would
-// finish too late, and serving them first would make all others late as well.
+// next returns the query to start next. That is the oldest, or the newest once the
+// oldest has waited for half the time before it must start. Under overload the
+// oldest queries would finish too late, and starting them first would make all the
+// others late as well. The patient rank always starts the oldest.
 func (q *queue) next(now, reserve clock.Millis) *query {
 	o := q.oldest
 	if o.rank != rank.Patient && 2*(now-o.arrivedAt) > o.dueAt-reserve-o.arrivedAt {
--- a/admission/service.go
+++ b/admission/service.go
@@ -8,55 +8,56 @@
 )
 
 const (
-	// finishQuantile: a query with less time left than the median completion
-	// time is more likely to waste capacity than to finish.
+	// medianQuantile is the quantile of the completion times that a query must have
+	// left: with less time than the median it more likely wastes capacity than
+	// finishes.
 	medianQuantile = 0.5
 
-	// A query that had to wait starts only while it has this many times the
-	// tail quantile of the completion times left: under overload the slowest of
-	// its sub-requests waits far longer than usual. It never needs more than
-	// half of its whole time, so that short deadlines are served as well.
+	// A queued query starts only while its remaining time is at least tailFactor times
+	// the tail quantile of the completion times: under overload the slowest of its
+	// sub-requests waits far longer than usual. The requirement is capped at half of
+	// the query's whole time, so that short deadlines are served as well.
 	tailQuantile = 0.95
 	tailFactor   = 2
 
-	// maxCreditQueries bounds the admissions that a rank can save up, in queries.
+	// maxCreditQueries bounds the credit of a rank, in queries of mean cost.
 	maxCreditQueries = 2
 
 	defaultRetryMs clock.Millis = 1000
 	minRetryMs     clock.Millis = 50
 	maxRetryMs     clock.Millis = 60 * clock.Second
 
-	// maxBalanceMs bounds how long one query that overshoots its floor keeps the rank back.
+	// maxBalanceMs bounds how long a rank is held back after one query that exceeded its floor.
 	maxBalanceMs = 200
 
 	gapWeight = 0.1
 )
 
-// service holds the shared limit and the queues of one service.
+// service holds the limit, which the ranks share, and the queues of one service.
 type service struct {
 	name            string
 	limit           limit
-	runningCost     int             // running cost
-	rankRunningCost rank.Table[int] // running cost by rank
-	rankRunning     rank.Table[int] // running queries by rank
+	runningCost     int // over all ranks
+	rankRunningCost rank.Table[int]
+	rankRunning     rank.Table[int] // number of running queries
 	queues          rank.Table[queue]
 	medianTime      rank.Table[quantile.Window]
 	tailTime        rank.Table[quantile.Window]
 	completions     rank.Table[completionGap]
 	refused         rank.Table[[reasonCount]int]
 
-	// floorBalance integrates floor minus running cost over time. It lets a rank whose
-	// floor is not a whole number of queries hold that floor on average.
+	// floorBalance is the integral over time of the floor minus the running cost. With
+	// it a rank whose floor is not a whole number of queries holds its floor on average.
 	floorBalance rank.Table[float64]
 	balancedAt   clock.Millis
 
-	// credit is the cost that a waiting rank may start before the others. It
-	// earns its floor's share of all started cost, which gives it that share of
-	// the throughput even if its queries run longer than those of other ranks.
+	// credit is the cost that a rank with queued queries may start before the others.
+	// It grows by the rank's floor share of all started cost, so the rank gets that
+	// share of the throughput even if its queries run longer than those of other ranks.
 	credit rank.Table[float64]
 }
 
-// completionGap measures the time between completions of one rank.
+// completionGap is a moving average of the time between completions of one rank.
 type completionGap struct {
 	meanMs float64
 	lastAt clock.Millis
@@ -79,7 +80,8 @@
 	s.limit.recordStart(s.runningCost, q.cost)
 }
 
-// updateCredit credits the waiting ranks for the start of q.
+// updateCredit adds credit to the ranks with queued queries for the start of q, and
+// charges its cost to the rank of q.
 func (s *service) updateCredit(q *query, p preset.Preset) {
 	for _, r := range rank.All() {
 		if s.queues.Ref(r).len() == 0 && r != q.rank {
@@ -105,7 +107,7 @@
 	d.lastAt = now
 }
 
-// updateBalances brings the balances up to now.
+// updateBalances integrates the floor balances up to now.
 func (s *service) updateBalances(now clock.Millis, p preset.Preset) {
 	elapsed := float64(now - s.balancedAt)
 	if elapsed <= 0 {
@@ -129,9 +131,9 @@
 	return float64(s.limit.value()) * p.Policy(r).FloorPercent / 100
 }
 
-// nextRank returns the rank to serve next, or -1 if nothing is queued. A rank
-// below its floor goes first, then one with credit; then capacity is lent, most
-// urgent first.
+// nextRank returns the rank to serve next, or -1 if nothing is queued. A rank below
+// its floor goes first, then one with enough credit. The remaining capacity is lent
+// in order of urgency.
 func (s *service) nextRank(p preset.Preset) int {
 	first, credited := -1, -1
 	for _, r := range rank.All() {
@@ -164,18 +166,18 @@
 	return running < floor && s.floorBalance.At(r) >= 0
 }
 
-// fits reports whether q fits under the limit. A query larger than the whole
-// limit runs alone.
+// fits reports whether q fits under the limit. A query larger than the whole limit
+// runs alone.
 func (s *service) fits(q *query) bool {
 	return s.runningCost == 0 || s.runningCost+q.cost <= s.limit.value()
 }
 
-// tooLate reports whether the waiting query q can no longer finish by its deadline.
+// tooLate reports whether the queued query q can no longer finish by its deadline.
 func (s *service) tooLate(now clock.Millis, q *query) bool {
 	return now >= q.dueAt || now+s.requiredTime(now, q, q.dueAt) > q.dueAt
 }
 
-// requiredTime returns the time that a waiting query needs to run whole.
+// requiredTime returns the time that a queued query needs to complete.
 func (s *service) requiredTime(now clock.Millis, q *query, due clock.Millis) clock.Millis {
 	need := min(tailFactor*s.tailTime.Ref(q.rank).Estimate(now), (due-q.arrivedAt)/2)
 	return max(need, s.medianTime.Ref(q.rank).Estimate(now))
@@ -186,7 +188,7 @@
 	return now < deadline && now+s.medianTime.Ref(q.rank).Estimate(now) <= deadline
 }
 
-// retryAfter estimates when the queue of r has drained.
+// retryAfter estimates the time until the queue of r is empty, as a retry delay.
 func (s *service) retryAfter(now clock.Millis, r rank.Rank) clock.Millis {
 	d := s.completions.At(r)
 	if d.lastAt == 0 {
@@ -198,7 +200,7 @@
 	return min(max(wait, minRetryMs), maxRetryMs)
 }
 
-// effectiveDeadline caps the deadline of q by the policy.
+// effectiveDeadline limits the deadline of q by the policy of its rank.
 func effectiveDeadline(q *query, policy preset.RankPolicy) clock.Millis {
 	bound := q.arrivedAt + policy.DeadlineMs
 	if q.deadline == 0 {
