--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -40,24 +40,24 @@
 		steps []step
 		want  string // decisions in order: +id admitted, -id:reason refused
 	}{
-		{"room", nil, "+a +b"},
+		{"capacity left", nil, "+a +b"},
 		{"urgent before patient", []step{{2, arrive("c", rank.Patient)}, {2, arrive("d", rank.Urgent)}, {9, finish("a")}, {9, finish("b")}}, "+a +b +d +c"},
-		{"duplicate", []step{{2, arrive("a", rank.Urgent)}}, "+a +b -a:duplicate_id"},
+		{"duplicate id", []step{{2, arrive("a", rank.Urgent)}}, "+a +b -a:duplicate_id"},
 		{"unknown service", []step{{2, admission.ArrivalMsg{ID: "x", Service: "none"}}}, "+a +b -x:unknown_service"},
 		{"draining", []step{{2, arrive("c", rank.Urgent)}, {2, admission.DrainMsg{}}, {3, arrive("d", rank.Urgent)}, {9, finish("a")}}, "+a +b -d:draining +c"},
 		{"draining past the deadline", []step{{2, arrive("c", rank.Urgent)}, {2, admission.DrainMsg{}}, {502, admission.TickMsg{}}}, "+a +b -c:too_late"},
-		{"gone", []step{{2, arrive("c", rank.Urgent)}, {3, admission.CancelMsg{ID: "c"}}, {9, finish("a")}, {600, admission.TickMsg{}}}, "+a +b"},
+		{"cancelled while queued", []step{{2, arrive("c", rank.Urgent)}, {3, admission.CancelMsg{ID: "c"}}, {9, finish("a")}, {600, admission.TickMsg{}}}, "+a +b"},
 		{"deadline passed at arrival", []step{{9, admission.ArrivalMsg{ID: "c", Service: testService, Deadline: 9}}}, "+a +b -c:too_late"},
-		{"less time than queries take", []step{{9, finish("a")}, {9, admission.ArrivalMsg{ID: "c", Rank: rank.Patient, Service: testService, Deadline: 18}}}, "+a +b -c:too_late"},
-		{"slow queries", []step{{9, admission.DoneMsg{ID: "a", ElapsedMs: 800}}, {9, arrive("c", rank.Patient)}, {10, admission.DoneMsg{ID: "c", ElapsedMs: 60_000}}, {10, admission.DoneMsg{ID: "b", ElapsedMs: 60_000}}, {20, arrive("d", rank.Patient)}}, "+a +b +c -d:too_late"},
-		{"slow queries, forgotten after a second", []step{{9, admission.DoneMsg{ID: "a", ElapsedMs: 60_000}}, {9, admission.DoneMsg{ID: "b", ElapsedMs: 60_000}}, {1010, arrive("c", rank.Patient)}}, "+a +b +c"},
+		{"deadline shorter than the median time", []step{{9, finish("a")}, {9, admission.ArrivalMsg{ID: "c", Rank: rank.Patient, Service: testService, Deadline: 18}}}, "+a +b -c:too_late"},
+		{"deadline shorter than slow queries", []step{{9, admission.DoneMsg{ID: "a", ElapsedMs: 800}}, {9, arrive("c", rank.Patient)}, {10, admission.DoneMsg{ID: "c", ElapsedMs: 60_000}}, {10, admission.DoneMsg{ID: "b", ElapsedMs: 60_000}}, {20, arrive("d", rank.Patient)}}, "+a +b +c -d:too_late"},
+		{"slow queries, expired from the window after a second", []step{{9, admission.DoneMsg{ID: "a", ElapsedMs: 60_000}}, {9, admission.DoneMsg{ID: "b", ElapsedMs: 60_000}}, {1010, arrive("c", rank.Patient)}}, "+a +b +c"},
 		{"shorter deadline under a new preset", []step{{2, arrive("c", rank.Urgent)}, {3, admission.PresetMsg{Preset: shortDeadline}}, {30, finish("a")}}, "+a +b -c:too_late"},
-		{"waited, with time for a slow query", []step{{2, arrive("c", rank.Urgent)}, {3, finish("a")}, {4, arrive("d", rank.Urgent)}, {240, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c +d"},
-		{"waited, with time for a usual query only", []step{{2, arrive("c", rank.Urgent)}, {3, finish("a")}, {4, arrive("d", rank.Urgent)}, {260, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c -d:too_late"},
-		{"full queue, newest patient", []step{
+		{"queued, with time for a slow query", []step{{2, arrive("c", rank.Urgent)}, {3, finish("a")}, {4, arrive("d", rank.Urgent)}, {240, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c +d"},
+		{"queued, with time for a median query only", []step{{2, arrive("c", rank.Urgent)}, {3, finish("a")}, {4, arrive("d", rank.Urgent)}, {260, admission.DoneMsg{ID: "c", ElapsedMs: 150}}}, "+a +b +c -d:too_late"},
+		{"full queue, newest patient query refused", []step{
 			{2, arrive("c", rank.Patient)}, {2, arrive("d", rank.Patient)}, {2, arrive("e", rank.Patient)}, {2, arrive("f", rank.Patient)},
 		}, "+a +b -f:queue_full"},
-		{"full queue, oldest urgent", []step{
+		{"full queue, oldest urgent query evicted", []step{
 			{2, arrive("c", rank.Urgent)}, {2, arrive("d", rank.Urgent)}, {2, arrive("e", rank.Urgent)}, {2, arrive("f", rank.Urgent)},
 		}, "+a +b -c:displaced"},
 		{"overloaded, newest urgent first", []step{{2, arrive("c", rank.Urgent)}, {290, arrive("d", rank.Urgent)}, {300, finish("a")}, {301, finish("b")}}, "+a +b +d +c"},
@@ -84,7 +84,7 @@
 		return " +" + c.ID
 	case admission.RefuseCmd:
 		if c.RetryAfterMs <= 0 {
-			t.Errorf("got retry after %d for %s, want positive", c.RetryAfterMs, c.ID)
+			t.Errorf("got retry delay of %d ms for %s, want more than 0", c.RetryAfterMs, c.ID)
 		}
 		return " -" + c.ID + ":" + c.Reason.String()
 	default:
@@ -114,7 +114,7 @@
 	}
 	flood(rank.Patient)
 	if got := ctrl.Running(testService, rank.Patient); got != 20 {
-		t.Fatalf("got %d patient alone, want the whole limit of 20", got)
+		t.Fatalf("got %d patient queries running alone, want the whole limit of 20", got)
 	}
 	flood(rank.Ordinary)
 	flood(rank.Urgent)
@@ -125,7 +125,7 @@
 	want := rank.NewTable(10, 6, 4)
 	for _, r := range rank.All() {
 		if got := ctrl.Running(testService, r); got != want.At(r) {
-			t.Errorf("got %d %s running, want %d", got, r, want.At(r))
+			t.Errorf("got %d %s queries running, want %d", got, r, want.At(r))
 		}
 	}
 }
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -219,13 +219,13 @@
 	s.setLoad(0.2, 0.4, 5)
 	s.run(5000)
 	goodput, limit := s.measure(10_000)
-	t.Logf("patient flood: good %.3f limit %.2f refused %v", goodput, limit, s.refused)
+	t.Logf("patient overload: goodput %.3f limit %.2f refused %v", goodput, limit, s.refused)
 	if got := s.refused.At(rank.Urgent); got != 0 {
-		t.Errorf("patient flood: got %d urgent refused, want 0", got)
+		t.Errorf("patient overload: got %d urgent queries refused, want 0", got)
 	}
 	// The ordinary load exceeds its floor; the urgent load is below its own.
 	if got, want := goodput.At(rank.Ordinary), overloadPreset().Ordinary.FloorPercent/100; got < want {
-		t.Errorf("patient flood: got ordinary %.3f of capacity, want at least %.3f", got, want)
+		t.Errorf("patient overload: got ordinary goodput of %.3f of capacity, want at least %.3f", got, want)
 	}
 	checkLimit(t, limit)
 }
@@ -235,17 +235,17 @@
 	s.setLoad(5, 0.5, 0.5)
 	s.run(5000)
 	goodput, limit := s.measure(10_000)
-	t.Logf("urgent flood: good %.3f limit %.2f refused %v", goodput, limit, s.refused)
+	t.Logf("urgent overload: goodput %.3f limit %.2f refused %v", goodput, limit, s.refused)
 	floors := overloadPreset()
 	total := 0.0
 	for _, r := range rank.All() {
 		total += goodput.At(r)
 		if got, want := goodput.At(r), 0.9*floors.Policy(r).FloorPercent/100; got < want {
-			t.Errorf("urgent flood: got %s %.3f of capacity, want at least %.3f", r, got, want)
+			t.Errorf("urgent overload: got %s goodput of %.3f of capacity, want at least %.3f", r, got, want)
 		}
 	}
 	if total < 0.9 {
-		t.Errorf("urgent flood: got goodput %.3f of capacity, want at least 0.9", total)
+		t.Errorf("urgent overload: got goodput %.3f of capacity, want at least 0.9", total)
 	}
 	checkLimit(t, limit)
 }
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -36,14 +36,14 @@
 				cost += ctrl.RunningCost(testService, r)
 			}
 			if admitted && cost > ctrl.Limit(testService) && len(running) > 1 {
-				t.Fatalf("got cost %d of %d queries, want at most %d", cost, len(running), ctrl.Limit(testService))
+				t.Fatalf("got running cost %d of %d queries, want at most %d", cost, len(running), ctrl.Limit(testService))
 			}
 			if at, ok := ctrl.NextWake(); ok && at <= now {
-				t.Fatalf("got wake %d at %d, want a later one", at, now)
+				t.Fatalf("got next wake at %d at time %d, want a later one", at, now)
 			}
 		}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			now += clock.Millis(rapid.IntRange(0, 40).Draw(t, "dt"))
+			now += clock.Millis(rapid.IntRange(0, 40).Draw(t, "elapsed"))
 			switch rapid.IntRange(0, 7).Draw(t, "kind") {
 			case 0, 1, 2, 3:
 				arrivals++
@@ -51,18 +51,18 @@
 					ID: strconv.Itoa(arrivals), Service: testService,
 					Rank:     rank.Rank(rapid.IntRange(0, 2).Draw(t, "rank")),
 					Cost:     rapid.IntRange(1, 4).Draw(t, "cost"),
-					Deadline: now + clock.Millis(rapid.IntRange(0, 400).Draw(t, "budget")),
+					Deadline: now + clock.Millis(rapid.IntRange(0, 400).Draw(t, "time left")),
 				})
 			case 4, 5:
 				if len(running) > 0 {
-					i := rapid.IntRange(0, len(running)-1).Draw(t, "which")
+					i := rapid.IntRange(0, len(running)-1).Draw(t, "finished")
 					id := running[i]
 					running = append(running[:i], running[i+1:]...)
 					wait := clock.Millis(rapid.IntRange(0, 20).Draw(t, "wait"))
 					perform(admission.DoneMsg{ID: id, QueueMs: wait, ElapsedMs: 10 + wait})
 				}
 			case 6:
-				id := strconv.Itoa(rapid.IntRange(0, arrivals).Draw(t, "gone"))
+				id := strconv.Itoa(rapid.IntRange(0, arrivals).Draw(t, "cancelled id"))
 				if decisions[id] == 0 {
 					cancelled[id] = true
 				}
@@ -77,12 +77,12 @@
 		for i := 1; i <= arrivals; i++ {
 			id := strconv.Itoa(i)
 			if got := decisions[id]; got != 1 && (got != 0 || !cancelled[id]) {
-				t.Fatalf("query %s was decided %d times, gone %v", id, got, cancelled[id])
+				t.Fatalf("query %s got %d decisions, cancelled %v; want 1, or 0 if cancelled", id, got, cancelled[id])
 			}
 		}
 		for _, r := range rank.All() {
 			if got := ctrl.Queued(testService, r); got != 0 {
-				t.Fatalf("got %d %s queued after all deadlines, want 0", got, r)
+				t.Fatalf("got %d %s queries queued after all deadlines, want 0", got, r)
 			}
 		}
 	})
