--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -36,9 +36,9 @@
 	shortDeadline := testPreset(50, 25, 10)
 	shortDeadline.Urgent.DeadlineMs = 20
 	tests := []struct {
-		name  string
-		steps []step
-		want  string // decisions in order: +id admitted, -id:reason refused
+		name          string
+		steps         []step
+		wantDecisions string // decisions in order: +id admitted, -id:reason refused
 	}{
 		{"capacity left", nil, "+a +b"},
 		{"urgent before patient", []step{{2, arrive("c", rank.Patient)}, {2, arrive("d", rank.Urgent)}, {9, finish("a")}, {9, finish("b")}}, "+a +b +d +c"},
@@ -71,8 +71,8 @@
 					got += decision(t, c)
 				}
 			}
-			if got != " "+tt.want {
-				t.Errorf("got %q, want %q", got, " "+tt.want)
+			if got != " "+tt.wantDecisions {
+				t.Errorf("got %q, want %q", got, " "+tt.wantDecisions)
 			}
 		})
 	}
@@ -107,17 +107,17 @@
 			}
 		}
 	}
-	flood := func(r rank.Rank) {
+	submitMany := func(r rank.Rank) {
 		for i := range 50 {
 			perform(1, arrive(string(rune('0'+r))+string(rune('A'+i)), r))
 		}
 	}
-	flood(rank.Patient)
+	submitMany(rank.Patient)
 	if got := ctrl.Running(testService, rank.Patient); got != 20 {
 		t.Fatalf("got %d patient queries running alone, want the whole limit of 20", got)
 	}
-	flood(rank.Ordinary)
-	flood(rank.Urgent)
+	submitMany(rank.Ordinary)
+	submitMany(rank.Urgent)
 	for i := range 20 {
 		id := ids[rank.Patient][i]
 		perform(clock.Millis(2+i), finish(id))
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -49,7 +49,7 @@
 // simulation runs one Controller against a simulated service in virtual time. The
 // service has a fixed number of workers and a FIFO queue.
 type simulation struct {
-	gate         *admission.Controller
+	controller   *admission.Controller
 	cost         int
 	workers      int
 	rng          *rand.Rand
@@ -76,8 +76,8 @@
 func newSimulation(seed uint64, initial, workers, cost int) *simulation {
 	return &simulation{
 		cost: cost, workers: workers,
-		gate: admission.New(admission.WithService(testService, initial, 10_000), admission.WithPreset(overloadPreset())),
-		rng:  rand.New(rand.NewPCG(seed, 1)), undecided: map[string]*simQuery{},
+		controller: admission.New(admission.WithService(testService, initial, 10_000), admission.WithPreset(overloadPreset())),
+		rng:        rand.New(rand.NewPCG(seed, 1)), undecided: map[string]*simQuery{},
 	}
 }
 
@@ -89,11 +89,11 @@
 				s.arrive(r)
 			}
 		}
-		if at, ok := s.gate.NextWake(); ok && at <= s.now {
+		if at, ok := s.controller.NextWake(); ok && at <= s.now {
 			s.perform(admission.TickMsg{})
 		}
 		s.serve()
-		s.limitSum += s.gate.Limit(testService)
+		s.limitSum += s.controller.Limit(testService)
 		s.limitSamples++
 	}
 }
@@ -116,7 +116,7 @@
 }
 
 func (s *simulation) perform(m admission.Msg) {
-	for _, c := range s.gate.Update(s.now, m) {
+	for _, c := range s.controller.Update(s.now, m) {
 		switch c := c.(type) {
 		case admission.AdmitCmd:
 			q := s.undecided[c.ID]
