--- a/relay/carrier.go
+++ b/relay/carrier.go
@@ -33,17 +33,17 @@
 
 // peerVM is what this VM knows of another one.
 type peerVM struct {
-	info       VM
-	open       map[uint64]*group // that it works on for this VM
-	hash       uint64            // rendezvous hash in its data centre
-	failures   int               // in a row
-	avoidUntil clock.Millis
-	lag        float64 // of its reports at the target, in milliseconds; 0 if not known
-	heardAt    clock.Millis
-	expected   map[string]expectation // by route
+	info          VM
+	delegations   map[uint64]*delegation // that it works on for this VM
+	hash          uint64                 // rendezvous hash in its data centre
+	failures      int                    // in a row
+	avoidUntil    clock.Millis
+	resultLagMs   float64 // of its reports at the target, in milliseconds; 0 if not known
+	lastMessageAt clock.Millis
+	estimates     map[string]estimate // by route
 }
 
-func (c *peerVM) failed(now clock.Millis) {
+func (c *peerVM) recordFailure(now clock.Millis) {
 	if now < c.avoidUntil {
 		return // requests that were open together fail together
 	}
@@ -51,13 +51,13 @@
 	c.avoidUntil = now + min(firstCarrierAvoidMs<<min(c.failures-1, 8), maxCarrierAvoidMs)
 }
 
-// sorted returns the open groups in a fixed order, so that runs repeat.
-func (c *peerVM) sorted() []*group {
-	out := make([]*group, 0, len(c.open))
-	for _, g := range c.open {
-		out = append(out, g)
+// sortedDelegations returns the open groups in a fixed order, so that runs repeat.
+func (c *peerVM) sortedDelegations() []*delegation {
+	out := make([]*delegation, 0, len(c.delegations))
+	for _, d := range c.delegations {
+		out = append(out, d)
 	}
-	slices.SortFunc(out, func(a, b *group) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(out, func(a, b *delegation) int { return cmp.Compare(a.id, b.id) })
 	return out
 }
 
@@ -65,13 +65,13 @@
 func (m *Model) setFleet(now clock.Millis, vms []VM) {
 	known := make(map[string]*peerVM, len(vms))
 	m.vmIDs = m.vmIDs[:0]
-	listed := false
+	inFleet := false
 	for _, v := range vms {
-		listed = listed || v.ID == m.cfg.self
+		inFleet = inFleet || v.ID == m.cfg.self
 		c := m.peers[v.ID]
 		if c == nil || c.info != v {
 			c = &peerVM{
-				info: v, open: make(map[uint64]*group), expected: make(map[string]expectation), hash: xxhash.Sum64String(v.DataCentre + "\x00" + v.ID),
+				info: v, delegations: make(map[uint64]*delegation), estimates: make(map[string]estimate), hash: xxhash.Sum64String(v.DataCentre + "\x00" + v.ID),
 			}
 		}
 		known[v.ID] = c
@@ -80,34 +80,34 @@
 	slices.Sort(m.vmIDs)
 	old := m.peers
 	m.peers = known
-	m.listed = listed
-	m.vms = max(len(vms), 1)
-	carrier := listed && m.isCarrier(now)
+	m.inFleet = inFleet
+	m.vmCount = max(len(vms), 1)
+	carrier := inFleet && m.isCarrier(now)
 	for _, id := range sortedKeys(m.upstreams) {
 		if u := m.upstreams[id]; u.usable() {
-			m.warm(u, carrier)
+			m.preconnect(u, carrier)
 		}
 	}
-	m.meetCarriers(now)
+	m.connectCarriers(now)
 	for _, id := range sortedKeys(old) {
 		if c := old[id]; known[id] != c {
-			for _, g := range c.sorted() {
+			for _, d := range c.sortedDelegations() {
 				// The VM left the list, or has another address: it may still answer,
 				// but nobody would know if it does not.
-				m.takeBack(now, g, true)
+				m.reclaim(now, d, true)
 			}
 		}
 	}
 }
 
-// warm opens a connection to an upstream before it is needed. Only carriers do
+// preconnect opens a connection to an upstream before it is needed. Only carriers do
 // so for shards: an upstream accepts fewer connections than there may be VMs.
-func (m *Model) warm(u *upstream, carrier bool) {
-	if u.service.carried {
+func (m *Model) preconnect(u *upstream, carrier bool) {
+	if u.service.isShard {
 		if !carrier {
 			return
 		}
-	} else if int(float64(u.service.maxConns)*(carrierConnections+otherConnections)) < m.vms {
+	} else if int(float64(u.service.maxConns)*(carrierConnectionShare+otherConnectionShare)) < m.vmCount {
 		return
 	}
 	m.emit(ConnectUpstreamCmd{Upstream: u.info.ID, Address: u.info.Address})
@@ -115,13 +115,13 @@
 
 // isCarrier reports whether this VM is among the carriers of its data centre.
 func (m *Model) isCarrier(now clock.Millis) bool {
-	near := 0
+	localShards := 0
 	for _, s := range m.services {
-		if s.carried && slices.Contains(m.centres(s), m.cfg.dataCentre) {
-			near++
+		if s.isShard && slices.Contains(m.dataCentres(s), m.cfg.dataCentre) {
+			localShards++
 		}
 	}
-	for _, c := range m.carriers(now, m.cfg.dataCentre, near) {
+	for _, c := range m.carriers(now, m.cfg.dataCentre, localShards) {
 		if c.info.ID == m.cfg.self {
 			return true
 		}
@@ -129,19 +129,19 @@
 	return false
 }
 
-// meetCarriers opens streams to the VMs that gather for this one, so that the
+// connectCarriers opens streams to the VMs that gather for this one, so that the
 // first request does not wait for them and a broken one tells of a loss.
-func (m *Model) meetCarriers(now clock.Millis) {
+func (m *Model) connectCarriers(now clock.Millis) {
 	shards := make(map[string]int)
 	for _, s := range m.services {
-		if !s.carried {
+		if !s.isShard {
 			continue
 		}
-		centres := m.centres(s)
-		if slices.Contains(centres, m.cfg.dataCentre) {
-			centres = []string{m.cfg.dataCentre}
+		dataCentres := m.dataCentres(s)
+		if slices.Contains(dataCentres, m.cfg.dataCentre) {
+			dataCentres = []string{m.cfg.dataCentre}
 		}
-		for _, dc := range centres {
+		for _, dc := range dataCentres {
 			shards[dc]++
 		}
 	}
@@ -163,69 +163,69 @@
 	return keys
 }
 
-// share is the parts of a request that one VM gathers; carrier is nil for this VM.
-type share struct {
-	carrier *peerVM
-	parts   []*part
+// assignment is the parts of a request that one VM gathers; carrier is nil for this VM.
+type assignment struct {
+	carrier     *peerVM
+	subrequests []*subrequest
 }
 
 // distribute divides the parts of a request among the carriers of data centres
 // that hold an upstream of their service. The carriers of a data centre are its
 // strongest VMs that are not avoided, ordered by rendezvous hash, so that all
 // VMs agree on them without a message.
-func (m *Model) distribute(now clock.Millis, r *request) []share {
-	if !m.listed || len(m.peers) < 2 {
-		return []share{{parts: r.parts}}
+func (m *Model) distribute(now clock.Millis, r *request) []assignment {
+	if !m.inFleet || len(m.peers) < 2 {
+		return []assignment{{subrequests: r.subrequests}}
 	}
-	m.carries = false
-	m.turn++
-	byCentre := make(map[string][]*part)
-	var here share
-	for _, p := range r.parts {
-		if dc, ok := m.centreOf(p.service); ok {
-			byCentre[dc] = append(byCentre[dc], p)
+	m.selfIsCarrier = false
+	m.rotation++
+	byDataCentre := make(map[string][]*subrequest)
+	var local assignment
+	for _, sub := range r.subrequests {
+		if dc, ok := m.carrierDataCentre(sub.service); ok {
+			byDataCentre[dc] = append(byDataCentre[dc], sub)
 			continue
 		}
-		here.parts = append(here.parts, p)
+		local.subrequests = append(local.subrequests, sub)
 	}
-	var shares []share
-	for _, dc := range sortedKeys(byCentre) {
-		for _, s := range m.divide(now, dc, byCentre[dc]) {
-			if s.carrier == nil {
-				here.parts = append(here.parts, s.parts...)
-			} else if len(s.parts) > 0 {
-				shares = append(shares, s)
+	var assignments []assignment
+	for _, dc := range sortedKeys(byDataCentre) {
+		for _, a := range m.divideInDataCentre(now, dc, byDataCentre[dc]) {
+			if a.carrier == nil {
+				local.subrequests = append(local.subrequests, a.subrequests...)
+			} else if len(a.subrequests) > 0 {
+				assignments = append(assignments, a)
 			}
 		}
 	}
-	return append(shares, here)
+	return append(assignments, local)
 }
 
-// divide divides parts among the carriers of one data centre.
-func (m *Model) divide(now clock.Millis, dc string, parts []*part) []share {
-	carriers := m.carriers(now, dc, len(parts))
+// divideInDataCentre divides parts among the carriers of one data centre.
+func (m *Model) divideInDataCentre(now clock.Millis, dc string, subrequests []*subrequest) []assignment {
+	carriers := m.carriers(now, dc, len(subrequests))
 	if len(carriers) == 0 {
-		return []share{{parts: parts}}
+		return []assignment{{subrequests: subrequests}}
 	}
-	shares := make([]share, len(carriers))
+	assignments := make([]assignment, len(carriers))
 	for i, c := range carriers {
-		shares[i].carrier = c
+		assignments[i].carrier = c
 		if c.info.ID == m.cfg.self {
-			shares[i].carrier = nil
-			m.carries = true
+			assignments[i].carrier = nil
+			m.selfIsCarrier = true
 		}
 	}
-	for _, p := range parts {
-		p.centre = dc
-		i := carrierOf(p.service, carriers)
-		shares[i].parts = append(shares[i].parts, p)
+	for _, sub := range subrequests {
+		sub.dataCentre = dc
+		i := carrierFor(sub.service, carriers)
+		assignments[i].subrequests = append(assignments[i].subrequests, sub)
 	}
-	return shares
+	return assignments
 }
 
-// carrierOf chooses the carrier of a shard by weighted rendezvous hashing: if the
+// carrierFor chooses the carrier of a shard by weighted rendezvous hashing: if the
 // carriers change, only the shards of those that changed move.
-func carrierOf(s *service, carriers []*peerVM) int {
+func carrierFor(s *service, carriers []*peerVM) int {
 	if len(carriers) == 1 {
 		return 0
 	}
@@ -254,46 +254,46 @@
 // candidates returns the upstreams to which one request may go for a shard, in
 // an order on which all VMs agree: at most as many as may run it. A VM that
 // takes a part back from a lost carrier must not add another one.
-func (m *Model) candidates(p *part) []*upstream {
-	list := make([]*upstream, 0, len(p.service.upstreams))
-	for _, u := range p.service.upstreams {
+func (m *Model) candidates(sub *subrequest) []*upstream {
+	list := make([]*upstream, 0, len(sub.service.upstreams))
+	for _, u := range sub.service.upstreams {
 		if u.usable() {
 			list = append(list, u)
 		}
 	}
-	if p.centre == "" || len(list) <= max(p.req.route.MaxAttempts, 1) {
+	if sub.dataCentre == "" || len(list) <= max(sub.req.route.MaxAttempts, 1) {
 		return list
 	}
 	slices.SortFunc(list, func(a, b *upstream) int {
-		if near := a.info.DataCentre == p.centre; near != (b.info.DataCentre == p.centre) {
+		if near := a.info.DataCentre == sub.dataCentre; near != (b.info.DataCentre == sub.dataCentre) {
 			if near {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(mix(p.req.hash^a.hash), mix(p.req.hash^b.hash))
+		return cmp.Compare(mix(sub.req.hash^a.hash), mix(sub.req.hash^b.hash))
 	})
-	return list[:max(p.req.route.MaxAttempts, 1)]
+	return list[:max(sub.req.route.MaxAttempts, 1)]
 }
 
-// centreOf returns the data centre whose carrier gathers a shard: this one if
+// carrierDataCentre returns the data centre whose carrier gathers a shard: this one if
 // it holds an upstream of it, otherwise those that do in turns. All shards of a
 // request take the same turn, so that few messages cross data centres.
-func (m *Model) centreOf(s *service) (string, bool) {
-	centres := m.centres(s)
-	if len(centres) == 0 {
+func (m *Model) carrierDataCentre(s *service) (string, bool) {
+	dataCentres := m.dataCentres(s)
+	if len(dataCentres) == 0 {
 		return "", false
 	}
-	if slices.Contains(centres, m.cfg.dataCentre) {
+	if slices.Contains(dataCentres, m.cfg.dataCentre) {
 		return m.cfg.dataCentre, true
 	}
-	return centres[m.turn%len(centres)], true
+	return dataCentres[m.rotation%len(dataCentres)], true
 }
 
-// centres returns the data centres that hold upstreams of a service, sorted.
-func (m *Model) centres(s *service) []string {
-	if s.centres != nil {
-		return s.centres
+// dataCentres returns the data centres that hold upstreams of a service, sorted.
+func (m *Model) dataCentres(s *service) []string {
+	if s.dataCentres != nil {
+		return s.dataCentres
 	}
 	seen := make(map[string]bool)
 	for _, u := range s.upstreams {
@@ -301,8 +301,8 @@
 			seen[u.info.DataCentre] = true
 		}
 	}
-	s.centres = sortedKeys(seen)
-	return s.centres
+	s.dataCentres = sortedKeys(seen)
+	return s.dataCentres
 }
 
 // carriers returns the VMs of a data centre that gather n shards of a request:
--- a/relay/carrier_test.go
+++ b/relay/carrier_test.go
@@ -9,12 +9,12 @@
 	"lentillink.example/lentillink/route"
 )
 
-// usersBudget is the bound of extra attempts on the users' installations of today.
-var usersBudget = relay.BudgetMsg{Ratio: 0.2, Extra: 58, WindowMs: 10 * clock.Second}
+// productionBudget is the bound of extra attempts on the users' installations of today.
+var productionBudget = relay.BudgetMsg{Ratio: 0.2, Extra: 58, WindowMs: 10 * clock.Second}
 
-// carried returns a model of one of three VMs, whose route has two shards with
+// newShardedModel returns a model of one of three VMs, whose route has two shards with
 // an upstream in data centre a and one in b each.
-func carried(t *testing.T, self, dc string) *relay.Model {
+func newShardedModel(t *testing.T, self, dc string) *relay.Model {
 	t.Helper()
 	m := relay.New(relay.WithSelf(self, dc))
 	m.Update(1000, relay.TableMsg{Table: route.NewTable(route.Config{Version: 7, Routes: []route.Route{{
@@ -34,14 +34,14 @@
 	return m
 }
 
-func arrive(id uint64) relay.ArrivalMsg { return arriveWithin(id, 400) }
+func arrival(id uint64) relay.ArrivalMsg { return arrivalWithin(id, 400) }
 
-func arriveWithin(id uint64, left clock.Millis) relay.ArrivalMsg {
-	return relay.ArrivalMsg{ID: id, Name: fmt.Sprint("r", id), Host: "h", Path: "/x", RemainingMs: left}
+func arrivalWithin(id uint64, remaining clock.Millis) relay.ArrivalMsg {
+	return relay.ArrivalMsg{ID: id, Name: fmt.Sprint("r", id), Host: "h", Path: "/x", RemainingMs: remaining}
 }
 
-// kinds lists commands by type, events left out.
-func kinds(cmds []relay.Cmd) []string {
+// commandNames lists commands by type, events left out.
+func commandNames(cmds []relay.Cmd) []string {
 	var out []string
 	for _, c := range cmds {
 		switch c := c.(type) {
@@ -62,9 +62,9 @@
 	return out
 }
 
-func wantKinds(t *testing.T, cmds []relay.Cmd, want ...string) {
+func wantCommands(t *testing.T, cmds []relay.Cmd, want ...string) {
 	t.Helper()
-	if got := kinds(cmds); fmt.Sprint(got) != fmt.Sprint(want) {
+	if got := commandNames(cmds); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
@@ -72,10 +72,10 @@
 // TestCarrierChoice guards against sub-requests that cross data centres one by
 // one: a VM without upstreams near it hands over in turns, others stay near.
 func TestCarrierChoice(t *testing.T) {
-	wantKinds(t, carried(t, "va", "a").Update(2000, arrive(1)), "send s1a", "send s2a")
-	m := carried(t, "vc", "c")
-	first := kinds(m.Update(2000, arrive(1)))
-	second := kinds(m.Update(2000, arrive(2)))
+	wantCommands(t, newShardedModel(t, "va", "a").Update(2000, arrival(1)), "send s1a", "send s2a")
+	m := newShardedModel(t, "vc", "c")
+	first := commandNames(m.Update(2000, arrival(1)))
+	second := commandNames(m.Update(2000, arrival(2)))
 	if got, want := fmt.Sprint(first, second), "[hand va] [hand vb]"; got != want && got != "[hand vb] [hand va]" {
 		t.Errorf("got %s, want %s or the other way round", got, want)
 	}
@@ -86,90 +86,90 @@
 func TestCarrierLost(t *testing.T) {
 	tests := []struct {
 		name string
-		fail func(m *relay.Model, c string, group uint64) []relay.Cmd
+		fail func(m *relay.Model, c string, id uint64) []relay.Cmd
 		want []string
 	}{
-		{"connection breaks", func(m *relay.Model, c string, group uint64) []relay.Cmd {
+		{"connection breaks", func(m *relay.Model, c string, id uint64) []relay.Cmd {
 			return m.Update(2003, relay.PeerDisconnectedMsg{VM: c})
 		}, []string{"send", "send"}},
-		{"never left", func(m *relay.Model, c string, group uint64) []relay.Cmd {
-			return m.Update(2003, relay.DelegationNotSentMsg{To: c, ID: group})
+		{"never left", func(m *relay.Model, c string, id uint64) []relay.Cmd {
+			return m.Update(2003, relay.DelegationNotSentMsg{To: c, ID: id})
 		}, []string{"send", "send"}},
-		{"not confirmed in time", func(m *relay.Model, c string, group uint64) []relay.Cmd {
+		{"not confirmed in time", func(m *relay.Model, c string, id uint64) []relay.Cmd {
 			return m.Update(2020, relay.TickMsg{})
 		}, []string{"withdraw " + "x", "send", "send"}},
-		{"has an older configuration", func(m *relay.Model, c string, group uint64) []relay.Cmd {
-			return m.Update(2003, relay.DelegationResultMsg{From: c, Result: relay.DelegationResult{ID: group, Answer: relay.Answer{Outcome: relay.NotReady}}})
+		{"has an older configuration", func(m *relay.Model, c string, id uint64) []relay.Cmd {
+			return m.Update(2003, relay.DelegationResultMsg{From: c, Result: relay.DelegationResult{ID: id, Answer: relay.Answer{Outcome: relay.NotReady}}})
 		}, []string{"send", "send"}},
-		{"silent after the answer was due", func(m *relay.Model, c string, group uint64) []relay.Cmd {
-			m.Update(2002, relay.DelegationAckMsg{From: c, ID: group})
+		{"silent after the answer was due", func(m *relay.Model, c string, id uint64) []relay.Cmd {
+			m.Update(2002, relay.DelegationAckMsg{From: c, ID: id})
 			return m.Update(2100, relay.TickMsg{})
 		}, []string{"withdraw " + "x", "send", "send"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m := relayWithBudget(t)
-			hand := m.Update(2000, arrive(1))
-			cmd := hand[len(hand)-1].(relay.DelegateCmd)
+			m := newShardedModelWithBudget(t)
+			cmds := m.Update(2000, arrival(1))
+			cmd := cmds[len(cmds)-1].(relay.DelegateCmd)
 			got := tt.fail(m, cmd.To, cmd.Delegation.ID)
-			if len(kinds(got)) != len(tt.want) {
-				t.Fatalf("got %v, want %v", kinds(got), tt.want)
+			if len(commandNames(got)) != len(tt.want) {
+				t.Fatalf("got %v, want %v", commandNames(got), tt.want)
 			}
-			for i, k := range kinds(got) {
+			for i, k := range commandNames(got) {
 				if k[:4] != tt.want[i][:4] {
-					t.Errorf("got %v, want %v", kinds(got), tt.want)
+					t.Errorf("got %v, want %v", commandNames(got), tt.want)
 				}
 			}
 		})
 	}
 }
 
-func relayWithBudget(t *testing.T) *relay.Model {
-	m := carried(t, "vc", "c")
+func newShardedModelWithBudget(t *testing.T) *relay.Model {
+	m := newShardedModel(t, "vc", "c")
 	m.Update(1000, relay.BudgetMsg{Ratio: 0.2, Extra: 58, WindowMs: 10 * clock.Second})
 	return m
 }
 
-// TestCarrierConfirms guards against a carrier that works under an older
+// TestCarrierAcknowledges guards against a carrier that works under an older
 // configuration than the VM that asked, or while it stops.
-func TestCarrierConfirms(t *testing.T) {
-	handOver := func(version uint64) relay.ArrivalMsg {
+func TestCarrierAcknowledges(t *testing.T) {
+	delegation := func(version uint64) relay.ArrivalMsg {
 		return relay.ArrivalMsg{ID: 9, Host: "h", Path: "/x", Delegation: &relay.Delegation{
 			Version: version, Services: []string{"s1", "s2"}, RemainingMs: 390, TargetInMs: 38,
 		}}
 	}
-	wantKinds(t, carried(t, "va", "a").Update(2000, handOver(7)), "taken", "send s1a", "send s2a")
-	wantKinds(t, carried(t, "va", "a").Update(2000, handOver(8)), "answer not_ready")
-	m := carried(t, "va", "a")
+	wantCommands(t, newShardedModel(t, "va", "a").Update(2000, delegation(7)), "taken", "send s1a", "send s2a")
+	wantCommands(t, newShardedModel(t, "va", "a").Update(2000, delegation(8)), "answer not_ready")
+	m := newShardedModel(t, "va", "a")
 	m.Update(2000, relay.StopMsg{Deadline: 7000})
-	wantKinds(t, m.Update(2000, handOver(7)), "answer not_ready")
+	wantCommands(t, m.Update(2000, delegation(7)), "answer not_ready")
 }
 
-// TestCallerGoneAtCarrier guards against work that goes on at a carrier for a
+// TestCallerDisconnectedAtCarrier guards against work that goes on at a carrier for a
 // caller that has left.
-func TestCallerGoneAtCarrier(t *testing.T) {
-	m := carried(t, "vc", "c")
-	m.Update(2000, arrive(1))
-	if got := kinds(m.Update(2005, relay.CallerDisconnectedMsg{ID: 1})); len(got) != 1 || got[0][:8] != "withdraw" {
+func TestCallerDisconnectedAtCarrier(t *testing.T) {
+	m := newShardedModel(t, "vc", "c")
+	m.Update(2000, arrival(1))
+	if got := commandNames(m.Update(2005, relay.CallerDisconnectedMsg{ID: 1})); len(got) != 1 || got[0][:8] != "withdraw" {
 		t.Errorf("got %v, want one withdraw", got)
 	}
 }
 
-// TestCarrierParts guards against an answer that claims parts which a carrier
+// TestCarrierResults guards against an answer that claims parts which a carrier
 // did not get, or that comes without parts which it reported in time.
-func TestCarrierParts(t *testing.T) {
+func TestCarrierResults(t *testing.T) {
 	record := func(c byte) []byte { return []byte(fmt.Sprintf("%016d", c)) }
-	start := func() (*relay.Model, relay.DelegateCmd) {
-		m := carried(t, "vc", "c")
-		cmds := m.Update(2000, arrive(1))
+	delegated := func() (*relay.Model, relay.DelegateCmd) {
+		m := newShardedModel(t, "vc", "c")
+		cmds := m.Update(2000, arrival(1))
 		return m, cmds[len(cmds)-1].(relay.DelegateCmd)
 	}
-	back := func(h relay.DelegateCmd, more bool, receipts ...string) relay.DelegationResultMsg {
+	result := func(h relay.DelegateCmd, more bool, receipts ...string) relay.DelegationResultMsg {
 		return relay.DelegationResultMsg{From: h.To, Result: relay.DelegationResult{ID: h.Delegation.ID, Partial: more, Answer: relay.Answer{
 			Outcome: relay.Gathered, Receipts: receipts, Body: record(byte(len(receipts))),
 		}}}
 	}
-	last := func(cmds []relay.Cmd) relay.Answer {
+	answerOf := func(cmds []relay.Cmd) relay.Answer {
 		for _, c := range cmds {
 			if a, ok := c.(relay.AnswerCmd); ok {
 				return a.Answer
@@ -178,39 +178,39 @@
 		return relay.Answer{Outcome: relay.NoRoute}
 	}
 	t.Run("all parts", func(t *testing.T) {
-		m, h := start()
-		if got := last(m.Update(2010, back(h, false, "x", "y"))); got.Outcome != relay.Gathered || got.Missing != 0 || len(got.Receipts) != 2 {
+		m, h := delegated()
+		if got := answerOf(m.Update(2010, result(h, false, "x", "y"))); got.Outcome != relay.Gathered || got.Missing != 0 || len(got.Receipts) != 2 {
 			t.Errorf("got %+v, want both parts", got)
 		}
 	})
 	t.Run("final with a part missing", func(t *testing.T) {
-		m, h := start()
-		if got := last(m.Update(2010, back(h, false, "x"))); got.Outcome != relay.Gathered || got.Missing != 1 || len(got.Receipts) != 1 {
+		m, h := delegated()
+		if got := answerOf(m.Update(2010, result(h, false, "x"))); got.Outcome != relay.Gathered || got.Missing != 1 || len(got.Receipts) != 1 {
 			t.Errorf("got %+v, want one part and one missing", got)
 		}
 	})
 	t.Run("report at the target", func(t *testing.T) {
-		m, h := start()
-		if got := kinds(m.Update(2038, back(h, true, "x"))); len(got) != 0 {
+		m, h := delegated()
+		if got := commandNames(m.Update(2038, result(h, true, "x"))); len(got) != 0 {
 			t.Errorf("before the target: got %v, want no answer yet", got)
 		}
-		if got := last(m.Update(2041, relay.TickMsg{})); got.Outcome != relay.Gathered || got.Missing != 1 {
+		if got := answerOf(m.Update(2041, relay.TickMsg{})); got.Outcome != relay.Gathered || got.Missing != 1 {
 			t.Errorf("at the target: got %+v, want one part and one missing", got)
 		}
 	})
 	t.Run("report, then all", func(t *testing.T) {
-		m, h := start()
-		m.Update(2038, back(h, true, "x"))
-		if got := last(m.Update(2039, back(h, false, "x", "y"))); got.Missing != 0 || len(got.Receipts) != 2 {
+		m, h := delegated()
+		m.Update(2038, result(h, true, "x"))
+		if got := answerOf(m.Update(2039, result(h, false, "x", "y"))); got.Missing != 0 || len(got.Receipts) != 2 {
 			t.Errorf("got %+v, want both parts once", got)
 		}
 	})
 }
 
-// mixedFleet returns a VM of one data centre with two strong and twenty weak ones,
+// newMixedFleetModel returns a VM of one data centre with two strong and twenty weak ones,
 // whose route has 90 shards.
-func mixedFleet(self string) *relay.Model {
-	m := relay.New(relay.WithSelf(self, "a"), relay.WithBudget(usersBudget))
+func newMixedFleetModel(self string) *relay.Model {
+	m := relay.New(relay.WithSelf(self, "a"), relay.WithBudget(productionBudget))
 	var names []string
 	for i := range 90 {
 		names = append(names, fmt.Sprint("s", i))
@@ -234,10 +234,10 @@
 	return m
 }
 
-// handed returns the shards that a request of m is divided into, by carrier.
-func handed(now clock.Millis, m *relay.Model) map[string][]string {
+// delegatedShards returns the shards that a request of m is divided into, by carrier.
+func delegatedShards(now clock.Millis, m *relay.Model) map[string][]string {
 	out := make(map[string][]string)
-	for _, c := range m.Update(now, arriveWithin(uint64(now), 800)) {
+	for _, c := range m.Update(now, arrivalWithin(uint64(now), 800)) {
 		if h, ok := c.(relay.DelegateCmd); ok {
 			out[h.To] = h.Delegation.Services
 		}
@@ -245,24 +245,24 @@
 	return out
 }
 
-// TestCarrierShares guards against a small VM that gathers as many shards as a
+// TestShardsPerCarrier guards against a small VM that gathers as many shards as a
 // large one, and against VMs that disagree on the carrier of a shard.
-func TestCarrierShares(t *testing.T) {
-	m := mixedFleet("v10")
-	both := handed(2000, m)
-	if len(both) != 2 || len(both["v0"]) < 30 || len(both["v1"]) < 30 {
-		t.Fatalf("got %d and %d shards at the strong VMs, want all 90, about half each", len(both["v0"]), len(both["v1"]))
+func TestShardsPerCarrier(t *testing.T) {
+	m := newMixedFleetModel("v10")
+	first := delegatedShards(2000, m)
+	if len(first) != 2 || len(first["v0"]) < 30 || len(first["v1"]) < 30 {
+		t.Fatalf("got %d and %d shards at the strong VMs, want all 90, about half each", len(first["v0"]), len(first["v1"]))
 	}
-	if got, want := fmt.Sprint(handed(2000, mixedFleet("v11"))), fmt.Sprint(both); got != want {
+	if got, want := fmt.Sprint(delegatedShards(2000, newMixedFleetModel("v11"))), fmt.Sprint(first); got != want {
 		t.Errorf("got %s at another VM, want %s", got, want)
 	}
 	m.Update(2001, relay.PeerDisconnectedMsg{VM: "v1"})
-	left := handed(2002, m)
-	if len(left["v1"]) != 0 {
-		t.Errorf("got %d shards for a VM whose connection broke, want none", len(left["v1"]))
+	after := delegatedShards(2002, m)
+	if len(after["v1"]) != 0 {
+		t.Errorf("got %d shards for a VM whose connection broke, want none", len(after["v1"]))
 	}
 	weak := 0
-	for vm, shards := range left {
+	for vm, shards := range after {
 		if vm == "v0" {
 			continue
 		}
@@ -271,47 +271,47 @@
 			t.Errorf("got %d shards at %s, a weak VM, want about 15", len(shards), vm)
 		}
 	}
-	if weak+len(left["v0"]) != 90 || len(left["v0"]) < 45 {
-		t.Errorf("got %d shards at v0 and %d at weak VMs, want 90 in all and more than half at v0", len(left["v0"]), weak)
+	if weak+len(after["v0"]) != 90 || len(after["v0"]) < 45 {
+		t.Errorf("got %d shards at v0 and %d at weak VMs, want 90 in all and more than half at v0", len(after["v0"]), weak)
 	}
 }
 
-// TestBusyCarrier guards against shards that are sent again because their carrier
+// TestLateAcknowledgement guards against shards that are sent again because their carrier
 // confirms late, while there is time to the target.
-func TestBusyCarrier(t *testing.T) {
-	m := mixedFleet("v10")
-	if got := len(handed(2000, m)); got != 2 {
+func TestLateAcknowledgement(t *testing.T) {
+	m := newMixedFleetModel("v10")
+	if got := len(delegatedShards(2000, m)); got != 2 {
 		t.Fatalf("got %d carriers, want 2", got)
 	}
-	wantKinds(t, m.Update(2030, relay.TickMsg{}))
-	if got := kinds(m.Update(2060, relay.TickMsg{})); len(got) == 0 {
+	wantCommands(t, m.Update(2030, relay.TickMsg{}))
+	if got := commandNames(m.Update(2060, relay.TickMsg{})); len(got) == 0 {
 		t.Error("got no takeover 60 ms after the hand-over, want one")
 	}
 }
 
-// TestMeet guards against a first request that waits for a stream to its carrier.
-func TestMeet(t *testing.T) {
-	m := mixedFleet("v10")
-	met := make(map[string]bool)
+// TestConnectCarriers guards against a first request that waits for a stream to its carrier.
+func TestConnectCarriers(t *testing.T) {
+	m := newMixedFleetModel("v10")
+	connected := make(map[string]bool)
 	for _, c := range m.Update(3000, relay.FleetMsg{VMs: []relay.VM{
 		{ID: "v0", Address: "v0", DataCentre: "a", CPUMilli: 800}, {ID: "v1", Address: "v1", DataCentre: "a", CPUMilli: 800},
 		{ID: "v10", Address: "v10", DataCentre: "a", CPUMilli: 192}, {ID: "w", Address: "w", DataCentre: "b", CPUMilli: 800},
 	}}) {
 		if c, ok := c.(relay.ConnectPeerCmd); ok {
-			met[c.VM] = true
+			connected[c.VM] = true
 		}
 	}
-	if got, want := fmt.Sprint(met), "map[v0:true v1:true]"; got != want {
+	if got, want := fmt.Sprint(connected), "map[v0:true v1:true]"; got != want {
 		t.Errorf("got streams to %s, want %s", got, want)
 	}
 }
 
-// TestFarSlots guards against less urgent work that fills the slots of upstreams in
+// TestRemoteSlots guards against less urgent work that fills the slots of upstreams in
 // another data centre, whose own carrier fills them too.
-func TestFarSlots(t *testing.T) {
+func TestRemoteSlots(t *testing.T) {
 	for _, tt := range []struct {
-		priority  int
-		near, far int // attempts open at once
+		priority      int
+		local, remote int // attempts open at once
 	}{{0, 3, 3}, {1, 2, 1}} {
 		m := relay.New(relay.WithSelf("va", "a"))
 		m.Update(1000, relay.TableMsg{Table: route.NewTable(route.Config{Version: 7, Routes: []route.Route{{
@@ -326,14 +326,14 @@
 		}})
 		open := make(map[string]int)
 		for id := range uint64(8) {
-			for _, c := range m.Update(2000, arrive(id+1)) {
+			for _, c := range m.Update(2000, arrival(id+1)) {
 				if s, ok := c.(relay.SendCmd); ok {
 					open[s.Upstream]++
 				}
 			}
 		}
-		if open["a"] != tt.near || open["b"] != tt.far {
-			t.Errorf("priority %d: got %d near and %d far, want %d and %d", tt.priority, open["a"], open["b"], tt.near, tt.far)
+		if open["a"] != tt.local || open["b"] != tt.remote {
+			t.Errorf("priority %d: got %d near and %d far, want %d and %d", tt.priority, open["a"], open["b"], tt.local, tt.remote)
 		}
 	}
 }
--- a/relay/finish.go
+++ b/relay/finish.go
@@ -2,14 +2,14 @@
 
 import "lentillink.example/lentillink/clock"
 
-// lingerMs is how long attempts go on after the answer. Most end by then, and
+// attemptGraceMs is how long attempts go on after the answer. Most end by then, and
 // their connections are kept; an upstream must not work for a caller that left
 // half a second ago.
-const lingerMs clock.Millis = 250
+const attemptGraceMs clock.Millis = 250
 
-// noUpstreamMs is the time to come back that is stated when a service has no
+// noUpstreamRetryMs is the time to come back that is stated when a service has no
 // upstream: a restart takes seconds.
-const noUpstreamMs clock.Millis = 300
+const noUpstreamRetryMs clock.Millis = 300
 
 // advance answers a request once its answer is due, and looks after it otherwise.
 func (m *Model) advance(now clock.Millis, r *request) {
@@ -23,48 +23,48 @@
 	switch {
 	case r.unresolved == 0:
 		m.finish(now, r)
-	case r.done+r.unresolved < r.least():
+	case r.succeeded+r.unresolved < r.requiredReplies():
 		m.finish(now, r) // the parts that are missing decide
-	case r.carried && now >= r.answerAt && !r.reported:
-		m.report(now, r)
+	case r.delegated && now >= r.targetAt && !r.partialSent:
+		m.sendPartialResult(now, r)
 		m.advance(now, r)
-	case !r.carried && r.gathers() && now >= r.answerAt && r.done >= r.least():
+	case !r.delegated && r.gathers() && now >= r.targetAt && r.succeeded >= r.requiredReplies():
 		m.finish(now, r) // waiting for more makes it late
-	case now >= r.due:
+	case now >= r.deadline:
 		m.finish(now, r)
 	default:
 		m.hedge(now, r)
-		m.watchCarriers(now, r)
-		if r.gathers() && now < r.answerAt {
-			m.wake(r, r.answerAt)
+		m.checkCarriers(now, r)
+		if r.gathers() && now < r.targetAt {
+			m.wake(r, r.targetAt)
 		}
-		m.wake(r, r.due)
+		m.wake(r, r.deadline)
 	}
 }
 
-// report hands back what is in when the answer becomes late. The VM that handed
+// sendPartialResult hands back what is in when the answer becomes late. The VM that handed
 // the request over knows whether that is enough, and that the carrier is alive.
-func (m *Model) report(now clock.Millis, r *request) {
-	r.reported = true
-	a := gathered(r)
+func (m *Model) sendPartialResult(now clock.Millis, r *request) {
+	r.partialSent = true
+	a := mergeReplies(r)
 	a.Version = r.version
-	m.emit(PartialResultCmd{ID: r.id, Answer: a, ExpectedMs: m.expectedFor(now, r)})
+	m.emit(PartialResultCmd{ID: r.id, Answer: a, ExpectedMs: m.estimateRequest(now, r)})
 }
 
 // finish sends the final answer.
 func (m *Model) finish(now clock.Millis, r *request) {
-	a := m.answer(now, r)
-	a.Route, a.Version, a.TookMs, a.Late = r.route.Name, r.version, now-r.arrived, now > r.answerAt
-	m.conclude(now, r, a)
+	a := m.buildAnswer(now, r)
+	a.Route, a.Version, a.TookMs, a.Late = r.route.Name, r.version, now-r.arrived, now > r.targetAt
+	m.sendAnswer(now, r, a)
 }
 
-// conclude gives the final answer to the caller.
-func (m *Model) conclude(now clock.Millis, r *request, a Answer) {
-	m.settled(now, r)
-	m.withdrawGroups(r)
+// sendAnswer gives the final answer to the caller.
+func (m *Model) sendAnswer(now clock.Millis, r *request, a Answer) {
+	m.markAnswered(now, r)
+	m.cancelDelegations(r)
 	cmd := AnswerCmd{ID: r.id, Answer: a}
-	if r.carried {
-		cmd.ExpectedMs = m.expectedFor(now, r)
+	if r.delegated {
+		cmd.ExpectedMs = m.estimateRequest(now, r)
 	}
 	m.emit(cmd)
 	if a.Outcome > Gathered || a.Missing > 0 || a.Late {
@@ -73,29 +73,29 @@
 	m.release(now, r)
 }
 
-// settled notes that nobody waits for a request any more.
-func (m *Model) settled(now clock.Millis, r *request) {
+// markAnswered notes that nobody waits for a request any more.
+func (m *Model) markAnswered(now clock.Millis, r *request) {
 	r.answered, r.answeredAt = true, now
 	*m.policies.open.Ref(rankOf(r.route.Priority))--
 }
 
-func (m *Model) answer(now clock.Millis, r *request) Answer {
-	if r.done >= r.least() {
+func (m *Model) buildAnswer(now clock.Millis, r *request) Answer {
+	if r.succeeded >= r.requiredReplies() {
 		if r.gathers() {
-			return gathered(r)
+			return mergeReplies(r)
 		}
-		return Answer{Outcome: Relayed, Reply: *r.parts[0].reply}
+		return Answer{Outcome: Relayed, Reply: *r.subrequests[0].reply}
 	}
-	late := now >= r.due
+	late := now >= r.deadline
 	switch {
-	case !r.ran() && r.open == 0:
-		a := Answer{Outcome: Refused, Reason: "no_upstream", RetryAfterMs: m.comeBack(max(noUpstreamMs, r.refusedMs), r.due-now)}
+	case !r.mayHaveRun() && r.openAttempts == 0:
+		a := Answer{Outcome: Refused, Reason: "no_upstream", RetryAfterMs: m.retryAfter(max(noUpstreamRetryMs, r.retryAfterMs), r.deadline-now)}
 		if late {
 			a.Reason = "waited_too_long"
 		}
 		return a
-	case !r.gathers() && r.parts[0].last != nil && r.open == 0:
-		return Answer{Outcome: Relayed, Reply: *r.parts[0].last, Reason: "upstream_failed"}
+	case !r.gathers() && r.subrequests[0].lastFailure != nil && r.openAttempts == 0:
+		return Answer{Outcome: Relayed, Reply: *r.subrequests[0].lastFailure, Reason: "upstream_failed"}
 	case late:
 		return Answer{Outcome: TimedOut, Reason: "timeout"}
 	default:
@@ -106,30 +106,32 @@
 // release forgets an answered request once its attempts have ended, and ends
 // those of requests that may repeat when they have lingered.
 func (m *Model) release(now clock.Millis, r *request) {
-	if r.open == 0 {
+	if r.openAttempts == 0 {
 		delete(m.requests, r.id)
 		return
 	}
-	end := r.answeredAt + lingerMs
+	end := r.answeredAt + attemptGraceMs
 	if now < end {
 		m.wake(r, end)
 		return
 	}
-	if !r.route.Idempotent && !m.expired(now, r) {
+	if !r.route.Idempotent && !m.graceExpired(now, r) {
 		// Work that must not repeat is left to finish within its own time.
-		m.wake(r, r.due+lingerMs)
+		m.wake(r, r.deadline+attemptGraceMs)
 		return
 	}
-	for _, p := range r.parts {
-		for len(p.open) > 0 {
-			a := p.open[0]
-			m.end(a)
-			a.upstream.failed(now)
+	for _, sub := range r.subrequests {
+		for len(sub.open) > 0 {
+			a := sub.open[0]
+			m.endAttempt(a)
+			a.upstream.recordFailure(now)
 			m.emit(CancelCmd{Attempt: a.id})
-			m.pump(now, p.service)
+			m.dispatchQueued(now, sub.service)
 		}
 	}
 	delete(m.requests, r.id)
 }
 
-func (m *Model) expired(now clock.Millis, r *request) bool { return now >= r.due+lingerMs }
+func (m *Model) graceExpired(now clock.Millis, r *request) bool {
+	return now >= r.deadline+attemptGraceMs
+}
--- a/relay/gather.go
+++ b/relay/gather.go
@@ -8,19 +8,19 @@
 // recordBytes is the length of a record. A shorter remainder is no record.
 const recordBytes = 16
 
-// gathered merges the parts that are in, and what carriers have merged.
-func gathered(r *request) Answer {
-	a := Answer{Outcome: Gathered, Missing: r.shards - r.done}
-	bodies := make([][]byte, 0, r.done)
-	for _, p := range r.parts {
-		if p.reply != nil {
-			a.Receipts = append(a.Receipts, p.reply.Receipt)
-			bodies = append(bodies, p.reply.Body)
+// mergeReplies merges the parts that are in, and what carriers have merged.
+func mergeReplies(r *request) Answer {
+	a := Answer{Outcome: Gathered, Missing: r.totalSubrequests - r.succeeded}
+	bodies := make([][]byte, 0, r.succeeded)
+	for _, sub := range r.subrequests {
+		if sub.reply != nil {
+			a.Receipts = append(a.Receipts, sub.reply.Receipt)
+			bodies = append(bodies, sub.reply.Body)
 		}
 	}
-	for _, g := range r.groups {
-		a.Receipts = append(a.Receipts, g.answer.Receipts...)
-		bodies = append(bodies, g.answer.Body)
+	for _, d := range r.delegations {
+		a.Receipts = append(a.Receipts, d.result.Receipts...)
+		bodies = append(bodies, d.result.Body)
 	}
 	a.Body = TopRecords(r.route.TopK, bodies)
 	return a
--- a/relay/model.go
+++ b/relay/model.go
@@ -11,38 +11,38 @@
 
 // Model is the state of one VM.
 type Model struct {
-	cfg       config
-	rng       *rand.Rand
-	table     *route.Table
-	splitter  *route.Splitter
-	services  map[string]*service
-	upstreams map[string]*upstream
-	routes    map[string]*stats
-	requests  map[uint64]*request
-	attempts  map[uint64]*attempt
-	timers    timers
-	peers     map[string]*peerVM // the VMs of the fleet
-	vmIDs     []string           // their names, sorted
-	listed    bool               // this VM is one of them
-	groups    map[uint64]*group  // parts that carriers gather for this VM
-	turn      int
-	carries   bool // this VM was a carrier at the last choice
-	vms       int
-	bound     BudgetMsg
-	policies  policies
-	nextID    uint64
-	stopAt    clock.Millis // 0 while the VM is not stopping
-	cmds      []Cmd
+	cfg           config
+	rng           *rand.Rand
+	table         *route.Table
+	splitter      *route.Splitter
+	services      map[string]*service
+	upstreams     map[string]*upstream
+	routeStats    map[string]*routeStats
+	requests      map[uint64]*request
+	attempts      map[uint64]*attempt
+	timers        timers
+	peers         map[string]*peerVM     // the VMs of the fleet
+	vmIDs         []string               // their names, sorted
+	inFleet       bool                   // this VM is one of them
+	delegations   map[uint64]*delegation // parts that carriers gather for this VM
+	rotation      int
+	selfIsCarrier bool // this VM was a carrier at the last choice
+	vmCount       int
+	budgetLimit   BudgetMsg
+	policies      policies
+	nextID        uint64
+	stopAt        clock.Millis // 0 while the VM is not stopping
+	cmds          []Cmd
 }
 
 // New returns a Model that knows no configuration.
 func New(opts ...Option) *Model {
 	cfg := newConfig(opts)
 	return &Model{
-		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.seed, cfg.seed)), vms: cfg.vms, bound: cfg.budget,
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.seed, cfg.seed)), vmCount: cfg.vmCount, budgetLimit: cfg.budget,
 		splitter: route.NewSplitter(), services: make(map[string]*service), upstreams: make(map[string]*upstream),
-		routes: make(map[string]*stats), requests: make(map[uint64]*request), attempts: make(map[uint64]*attempt),
-		peers: make(map[string]*peerVM), groups: make(map[uint64]*group),
+		routeStats: make(map[string]*routeStats), requests: make(map[uint64]*request), attempts: make(map[uint64]*attempt),
+		peers: make(map[string]*peerVM), delegations: make(map[uint64]*delegation),
 	}
 }
 
@@ -59,23 +59,23 @@
 	case UpstreamRemovedMsg:
 		m.removeUpstream(now, t.ID)
 	case ArrivalMsg:
-		m.arrive(now, t)
+		m.admit(now, t)
 	case ReplyMsg:
-		m.replied(now, t)
+		m.handleReply(now, t)
 	case AttemptFailedMsg:
-		m.attemptFailed(now, t)
+		m.handleAttemptFailure(now, t)
 	case CallerDisconnectedMsg:
-		m.callerGone(now, t.ID)
+		m.handleCallerDisconnected(now, t.ID)
 	case FleetMsg:
 		m.setFleet(now, t.VMs)
 	case DelegationAckMsg:
-		m.taken(now, t)
+		m.handleAck(now, t)
 	case DelegationResultMsg:
-		m.handedBack(now, t)
+		m.handleResult(now, t)
 	case DelegationNotSentMsg:
-		m.unhanded(now, t)
+		m.handleNotSent(now, t)
 	case PeerDisconnectedMsg:
-		m.peerDown(now, t.VM)
+		m.handlePeerDisconnected(now, t.VM)
 	case BudgetMsg:
 		m.setBudget(t)
 	case PresetMsg:
@@ -92,19 +92,19 @@
 	if b.WindowMs <= 0 {
 		return
 	}
-	m.bound = b
+	m.budgetLimit = b
 	for _, s := range m.services {
-		s.budget.setBound(b)
+		s.budget.setLimit(b)
 	}
 }
 
 // stop shortens the time of every request to what is left of this VM's.
-func (m *Model) stop(due clock.Millis) {
-	m.stopAt = due
+func (m *Model) stop(deadline clock.Millis) {
+	m.stopAt = deadline
 	for _, r := range m.requests {
-		if r.due > due {
-			r.due = due
-			m.wake(r, due)
+		if r.deadline > deadline {
+			r.deadline = deadline
+			m.wake(r, deadline)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	m.splitter.Prune(t)
 	for _, s := range m.services {
 		s.configure(t)
-		s.carried = t.IsShard(s.name)
+		s.isShard = t.IsShard(s.name)
 	}
 	m.emit(EventCmd{Event: Event{Kind: "config_in_force", Version: t.Version()}})
 }
@@ -155,7 +155,7 @@
 		}
 	}
 	if u == nil {
-		u = &upstream{service: m.service(info.Service), hash: xxhash.Sum64String(info.ID), window: maxWindow, speed: 1}
+		u = &upstream{service: m.service(info.Service), hash: xxhash.Sum64String(info.ID), window: maxWindow, latencyRatio: 1}
 		m.upstreams[info.ID] = u
 		u.service.upstreams = append(u.service.upstreams, u)
 	}
@@ -163,11 +163,11 @@
 		m.emit(EventCmd{Event: Event{Kind: "upstream_leaving", Upstream: info.ID, Detail: info.Service}})
 	}
 	u.info = info
-	u.service.centres = nil
+	u.service.dataCentres = nil
 	u.coldUntil = now + info.ColdMs
 	if u.usable() {
-		m.warm(u, u.service.carried && m.listed && m.isCarrier(now))
-		m.pump(now, u.service)
+		m.preconnect(u, u.service.isShard && m.inFleet && m.isCarrier(now))
+		m.dispatchQueued(now, u.service)
 	}
 }
 
@@ -182,7 +182,7 @@
 // detach takes an upstream out of its service. Attempts that it is running go on.
 func (m *Model) detach(now clock.Millis, u *upstream) {
 	u.removed = true
-	u.service.centres = nil
+	u.service.dataCentres = nil
 	list := u.service.upstreams
 	for i, o := range list {
 		if o == u {
@@ -191,5 +191,5 @@
 		}
 	}
 	m.emit(CloseIdleCmd{Upstream: u.info.ID})
-	m.pump(now, u.service)
+	m.dispatchQueued(now, u.service)
 }
--- a/relay/model_test.go
+++ b/relay/model_test.go
@@ -9,10 +9,10 @@
 	"lentillink.example/lentillink/route"
 )
 
-// single returns a model with one plain service of n upstreams.
-func single(t *testing.T, idempotent bool, n int) *relay.Model {
+// newSingleServiceModel returns a model with one plain service of n upstreams.
+func newSingleServiceModel(t *testing.T, idempotent bool, n int) *relay.Model {
 	t.Helper()
-	m := relay.New(relay.WithSelf("vm", "a"), relay.WithVMs(1), relay.WithBudget(usersBudget))
+	m := relay.New(relay.WithSelf("vm", "a"), relay.WithVMs(1), relay.WithBudget(productionBudget))
 	m.Update(1000, relay.TableMsg{Table: route.NewTable(route.Config{
 		Version: 5, Services: []route.Service{{Name: "s", MaxConnections: 110}}, Routes: []route.Route{{
 			Name: "r", Host: "h", Prefix: "/", Service: "s", Idempotent: idempotent, TimeoutMs: 4000, TargetMs: 1200, MaxAttempts: 2,
@@ -26,14 +26,14 @@
 	return m
 }
 
-func sent(t *testing.T, cmds []relay.Cmd) relay.SendCmd {
+func firstSend(t *testing.T, cmds []relay.Cmd) relay.SendCmd {
 	t.Helper()
 	for _, c := range cmds {
 		if s, ok := c.(relay.SendCmd); ok {
 			return s
 		}
 	}
-	t.Fatalf("got %v, want a send", kinds(cmds))
+	t.Fatalf("got %v, want a send", commandNames(cmds))
 	return relay.SendCmd{}
 }
 
@@ -65,9 +65,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m := single(t, tt.idempotent, 3)
-			a := sent(t, m.Update(2000, arrive(1)))
-			got := kinds(m.Update(2010, tt.end(a.Attempt)))
+			m := newSingleServiceModel(t, tt.idempotent, 3)
+			a := firstSend(t, m.Update(2000, arrival(1)))
+			got := commandNames(m.Update(2010, tt.end(a.Attempt)))
 			if len(got) != 1 || got[0][:4] != tt.want[:4] || tt.want != "send" && got[0] != tt.want {
 				t.Errorf("got %v, want %s", got, tt.want)
 			}
@@ -77,22 +77,22 @@
 
 // TestMaxAttempts guards against a request that runs on more upstreams than its route allows.
 func TestMaxAttempts(t *testing.T) {
-	m := single(t, true, 4)
-	a := sent(t, m.Update(2000, arrive(1)))
-	b := sent(t, m.Update(2010, relay.AttemptFailedMsg{Attempt: a.Attempt}))
+	m := newSingleServiceModel(t, true, 4)
+	a := firstSend(t, m.Update(2000, arrival(1)))
+	b := firstSend(t, m.Update(2010, relay.AttemptFailedMsg{Attempt: a.Attempt}))
 	if a.Upstream == b.Upstream {
 		t.Errorf("got %s twice, want another upstream", a.Upstream)
 	}
-	wantKinds(t, m.Update(2020, relay.AttemptFailedMsg{Attempt: b.Attempt}), "answer failed")
+	wantCommands(t, m.Update(2020, relay.AttemptFailedMsg{Attempt: b.Attempt}), "answer failed")
 }
 
 // TestBudget guards against retries beyond the fleet's budget.
 func TestBudget(t *testing.T) {
-	m := single(t, true, 2)
+	m := newSingleServiceModel(t, true, 2)
 	m.Update(1000, relay.BudgetMsg{Ratio: 0.2, Extra: 10, WindowMs: 10 * clock.Second})
 	retries, now := 0, clock.Millis(2000)
 	for id := range uint64(100) {
-		a := sent(t, m.Update(now, arrive(id+1)))
+		a := firstSend(t, m.Update(now, arrival(id+1)))
 		for _, c := range append([]relay.Cmd(nil), m.Update(now+5, relay.AttemptFailedMsg{Attempt: a.Attempt})...) {
 			if b, ok := c.(relay.SendCmd); ok {
 				retries++
@@ -101,8 +101,8 @@
 		}
 		now += 50
 	}
-	if most := int(0.2*100 + 10); retries > most {
-		t.Errorf("got %d retries for 100 requests, want at most %d", retries, most)
+	if limit := int(0.2*100 + 10); retries > limit {
+		t.Errorf("got %d retries for 100 requests, want at most %d", retries, limit)
 	}
 	if retries < 20 {
 		t.Errorf("got %d retries for 100 requests, want the budget used", retries)
@@ -111,16 +111,16 @@
 
 // TestTimeout guards against a request that is held beyond its route's time.
 func TestTimeout(t *testing.T) {
-	m := single(t, false, 1)
-	sent(t, m.Update(2000, arrive(1)))
-	wantKinds(t, m.Update(2380, relay.TickMsg{}))
-	wantKinds(t, m.Update(2390, relay.TickMsg{}), "answer timed_out")
+	m := newSingleServiceModel(t, false, 1)
+	firstSend(t, m.Update(2000, arrival(1)))
+	wantCommands(t, m.Update(2380, relay.TickMsg{}))
+	wantCommands(t, m.Update(2390, relay.TickMsg{}), "answer timed_out")
 }
 
 // TestNoUpstream guards against a request that waits although nothing can serve it.
 func TestNoUpstream(t *testing.T) {
-	cmds := single(t, false, 0).Update(2000, arrive(1))
-	wantKinds(t, cmds, "answer refused")
+	cmds := newSingleServiceModel(t, false, 0).Update(2000, arrival(1))
+	wantCommands(t, cmds, "answer refused")
 	for _, c := range cmds {
 		if a, ok := c.(relay.AnswerCmd); ok && (a.Answer.RetryAfterMs <= 0 || a.Answer.RetryAfterMs > 400/3) {
 			t.Errorf("got a time to come back of %d ms, want up to a third of 400", a.Answer.RetryAfterMs)
@@ -128,24 +128,24 @@
 	}
 }
 
-// TestConfigurationNeverGoesBack guards against an older version that arrives late.
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	m := single(t, true, 1)
+// TestOlderConfigurationIgnored guards against an older version that arrives late.
+func TestOlderConfigurationIgnored(t *testing.T) {
+	m := newSingleServiceModel(t, true, 1)
 	m.Update(2000, relay.TableMsg{Table: route.NewTable(route.Config{Version: 4})})
 	if got := m.Version(); got != 5 {
 		t.Errorf("got version %d, want 5", got)
 	}
 }
 
-// TestReports guards against a leaving upstream that takes work again because
+// TestUpstreamReports guards against a leaving upstream that takes work again because
 // an older report arrives late, and against a restarted one that is not used.
-func TestReports(t *testing.T) {
+func TestUpstreamReports(t *testing.T) {
 	up := func(born, sequence uint64, leaving bool) relay.UpstreamMsg {
 		return relay.UpstreamMsg{Upstream: relay.Upstream{
 			ID: "u0", Service: "s", Address: "a0", DataCentre: "a", Slots: 2, Incarnation: born, Sequence: sequence, Leaving: leaving,
 		}}
 	}
-	m := single(t, false, 0)
+	m := newSingleServiceModel(t, false, 0)
 	tests := []struct {
 		name string
 		msg  relay.UpstreamMsg
@@ -160,7 +160,7 @@
 	}
 	for i, tt := range tests {
 		m.Update(2000, tt.msg)
-		if got := kinds(m.Update(2000, arrive(uint64(i+1)))); len(got) != 1 || got[0] != tt.want {
+		if got := commandNames(m.Update(2000, arrival(uint64(i+1)))); len(got) != 1 || got[0] != tt.want {
 			t.Errorf("%s: got %v, want %s", tt.name, got, tt.want)
 		}
 	}
@@ -168,23 +168,23 @@
 
 // TestHedge guards against a query that waits for an upstream that pauses.
 func TestHedge(t *testing.T) {
-	m := carried(t, "va", "a")
-	first := m.Update(2000, arrive(1))
-	wantKinds(t, first, "send s1a", "send s2a")
+	m := newShardedModel(t, "va", "a")
+	first := m.Update(2000, arrival(1))
+	wantCommands(t, first, "send s1a", "send s2a")
 	m.Update(2010, relay.ReplyMsg{Attempt: first[0].(relay.SendCmd).Attempt, Reply: relay.Reply{Status: 200, Receipt: "1"}})
 	m.Update(2000, relay.BudgetMsg{Ratio: 0.2, Extra: 58, WindowMs: 10 * clock.Second})
 	at, ok := m.NextWake()
 	if !ok || at > 2025 {
 		t.Fatalf("got a wake at %d, want one well before the target at 2040", at)
 	}
-	wantKinds(t, m.Update(at, relay.TickMsg{}), "send s2b")
+	wantCommands(t, m.Update(at, relay.TickMsg{}), "send s2b")
 }
 
-// TestHedgeBesideSlowUpstreams guards against slow upstreams that become typical,
+// TestMedianIgnoresSlowUpstreams guards against slow upstreams that become typical,
 // so that hedges against them come too late.
-func TestHedgeBesideSlowUpstreams(t *testing.T) {
+func TestMedianIgnoresSlowUpstreams(t *testing.T) {
 	const typicalMs, slowMs = 100, 900
-	m := single(t, true, 1)
+	m := newSingleServiceModel(t, true, 1)
 	m.Update(1000, relay.BudgetMsg{Ratio: 0.2, Extra: 58, WindowMs: 10 * clock.Second})
 	now := clock.Millis(2000)
 	for id := range uint64(200) {
@@ -192,61 +192,61 @@
 		if id%4 == 0 {
 			took = slowMs
 		}
-		a := sent(t, m.Update(now, arriveWithin(id+1, 4000)))
+		a := firstSend(t, m.Update(now, arrivalWithin(id+1, 4000)))
 		m.Update(now+took, relay.ReplyMsg{Attempt: a.Attempt, Reply: relay.Reply{Status: 200, Receipt: "x"}})
 		now += took
 	}
 	for i := range 2 {
 		m.Update(now, relay.UpstreamMsg{Upstream: relay.Upstream{ID: fmt.Sprint("v", i), Service: "s", Address: "v", DataCentre: "a", Slots: 2}})
 	}
-	sent(t, m.Update(now, arriveWithin(1000, 4000)))
+	firstSend(t, m.Update(now, arrivalWithin(1000, 4000)))
 	// A third of the target of 1200 ms passes before any hedge.
-	sent(t, m.Update(now+1200/3, relay.TickMsg{}))
+	firstSend(t, m.Update(now+1200/3, relay.TickMsg{}))
 }
 
 // TestHedgeAtSlowUpstream guards against more patience with an upstream that is
 // known to be slow, which leaves a hedge no time.
 func TestHedgeAtSlowUpstream(t *testing.T) {
 	const slowMs = 900
-	m := single(t, true, 1)
+	m := newSingleServiceModel(t, true, 1)
 	now := clock.Millis(2000)
 	for id := range uint64(3) {
-		a := sent(t, m.Update(now, arriveWithin(id+1, 4000)))
+		a := firstSend(t, m.Update(now, arrivalWithin(id+1, 4000)))
 		m.Update(now+slowMs, relay.ReplyMsg{Attempt: a.Attempt, Reply: relay.Reply{Status: 200, Receipt: "x"}})
 		now += slowMs
 	}
-	sent(t, m.Update(now, arriveWithin(1000, 4000)))
+	firstSend(t, m.Update(now, arrivalWithin(1000, 4000)))
 	m.Update(now, relay.UpstreamMsg{Upstream: relay.Upstream{ID: "v", Service: "s", Address: "v", DataCentre: "a", Slots: 2}})
 	// A sixth of the target of 1200 ms is the typical latency at the start, and
 	// twice the patience with it is 890 ms or more.
-	sent(t, m.Update(now+800, relay.TickMsg{}))
+	firstSend(t, m.Update(now+800, relay.TickMsg{}))
 }
 
-// TestWayToCaller guards against answers that leave in time and arrive late.
-func TestWayToCaller(t *testing.T) {
-	for _, way := range []clock.Millis{2, 6, 12} {
-		m := carried(t, "va", "a")
-		msg := arrive(1)
-		msg.RoundTripMs = way
+// TestCallerRoundTrip guards against answers that leave in time and arrive late.
+func TestCallerRoundTrip(t *testing.T) {
+	for _, roundTrip := range []clock.Millis{2, 6, 12} {
+		m := newShardedModel(t, "va", "a")
+		msg := arrival(1)
+		msg.RoundTripMs = roundTrip
 		first := m.Update(2000, msg)
-		m.Update(2005, relay.ReplyMsg{Attempt: sent(t, first).Attempt, Reply: relay.Reply{Status: 200, Receipt: "1"}})
+		m.Update(2005, relay.ReplyMsg{Attempt: firstSend(t, first).Attempt, Reply: relay.Reply{Status: 200, Receipt: "1"}})
 		const target = 50
 		answered := clock.Millis(0)
 		for now := clock.Millis(2006); now < 2400 && answered == 0; now++ {
-			for _, k := range kinds(m.Update(now, relay.TickMsg{})) {
+			for _, k := range commandNames(m.Update(now, relay.TickMsg{})) {
 				if k == "answer gathered" {
 					answered = now
 				}
 			}
 		}
-		if answered == 0 || answered+way > 2000+target {
-			t.Errorf("way of %d ms: got an answer at the caller after %d ms, want at most %d", way, answered+way-2000, target)
+		if answered == 0 || answered+roundTrip > 2000+target {
+			t.Errorf("way of %d ms: got an answer at the caller after %d ms, want at most %d", roundTrip, answered+roundTrip-2000, target)
 		}
 	}
 }
 
-// TestGreatest guards against records that are lost, doubled or out of order.
-func TestGreatest(t *testing.T) {
+// TestTopRecords guards against records that are lost, doubled or out of order.
+func TestTopRecords(t *testing.T) {
 	rec := func(c byte) string { return fmt.Sprintf("%015d%c", 0, c) }
 	got := string(relay.TopRecords(3, [][]byte{[]byte(rec('a') + rec('c') + "short"), []byte(rec('c') + rec('b')), nil}))
 	if want := rec('c') + rec('c') + rec('b'); got != want {
--- a/relay/options.go
+++ b/relay/options.go
@@ -13,7 +13,7 @@
 	seed       uint64
 	self       string
 	dataCentre string
-	vms        int
+	vmCount    int
 	budget     BudgetMsg
 }
 
@@ -29,7 +29,7 @@
 }
 
 // WithVMs sets how many VMs share the upstreams until a FleetMsg tells.
-func WithVMs(n int) Option { return func(c *config) { c.vms = n } }
+func WithVMs(n int) Option { return func(c *config) { c.vmCount = n } }
 
 // WithBudget bounds the extra attempts of each service until a BudgetMsg tells.
 func WithBudget(b BudgetMsg) Option {
@@ -41,7 +41,7 @@
 }
 
 func newConfig(opts []Option) config {
-	c := config{vms: defaultVMs, budget: BudgetMsg{Ratio: defaultBudgetRatio, WindowMs: defaultBudgetWindowMs}}
+	c := config{vmCount: defaultVMs, budget: BudgetMsg{Ratio: defaultBudgetRatio, WindowMs: defaultBudgetWindowMs}}
 	for _, opt := range opts {
 		opt(&c)
 	}
--- a/relay/preset.go
+++ b/relay/preset.go
@@ -26,8 +26,8 @@
 
 // policies is the preset in force and what was spent of its budgets on this VM.
 type policies struct {
-	inForce preset.Preset
-	known   bool
+	active  preset.Preset
+	loaded  bool
 	hedges  rank.Table[budget]
 	retries rank.Table[budget]
 	open    rank.Table[int] // requests that are not answered
@@ -39,60 +39,60 @@
 }
 
 func (m *Model) setPreset(p preset.Preset) {
-	m.policies.inForce, m.policies.known = p, true
+	m.policies.active, m.policies.loaded = p, true
 	for _, r := range rank.All() {
 		policy := p.Policy(r)
 		set := func(b *budget, share float64) {
-			bound := BudgetMsg{Ratio: share / percent, WindowMs: rankWindowMs}
+			limit := BudgetMsg{Ratio: share / percent, WindowMs: rankWindowMs}
 			if share > 0 {
-				bound.Extra = rankExtra
+				limit.Extra = rankExtra
 			}
-			b.setBound(bound)
+			b.setLimit(limit)
 		}
 		set(m.policies.hedges.Ref(r), policy.HedgeBudgetPercent)
 		set(m.policies.retries.Ref(r), policy.RetryBudgetPercent)
 	}
 }
 
-// need counts one part of a rank for its budgets.
-func (p *policies) need(now clock.Millis, priority int) {
-	if p.known {
-		p.hedges.Ref(rankOf(priority)).need(now)
-		p.retries.Ref(rankOf(priority)).need(now)
+// countRequest counts one part of a rank for its budgets.
+func (p *policies) countRequest(now clock.Millis, priority int) {
+	if p.loaded {
+		p.hedges.Ref(rankOf(priority)).countRequest(now)
+		p.retries.Ref(rankOf(priority)).countRequest(now)
 	}
 }
 
 // allows reports whether a rank's budget has an extra attempt left.
-func (p *policies) allows(now clock.Millis, of *rank.Table[budget], priority int) bool {
-	return !p.known || of.Ref(rankOf(priority)).left(now, 1, 1/budgetShare) >= 1
+func (p *policies) allows(now clock.Millis, budgets *rank.Table[budget], priority int) bool {
+	return !p.loaded || budgets.Ref(rankOf(priority)).remaining(now, 1, 1/localBudgetShare) >= 1
 }
 
 // spend counts an extra attempt of a rank.
-func (p *policies) spend(now clock.Millis, of *rank.Table[budget], priority int) {
-	if p.known {
-		of.Ref(rankOf(priority)).spend(now)
+func (p *policies) spend(now clock.Millis, budgets *rank.Table[budget], priority int) {
+	if p.loaded {
+		budgets.Ref(rankOf(priority)).spend(now)
 	}
 }
 
-// timeout bounds a request's time by the preset's deadline of its rank.
-func (p *policies) timeout(timeout clock.Millis, priority int) clock.Millis {
-	if limit := p.inForce.Policy(rankOf(priority)).DeadlineMs; p.known && limit > 0 {
+// boundTimeout bounds a request's time by the preset's deadline of its rank.
+func (p *policies) boundTimeout(timeout clock.Millis, priority int) clock.Millis {
+	if limit := p.active.Policy(rankOf(priority)).DeadlineMs; p.loaded && limit > 0 {
 		return min(timeout, limit)
 	}
 	return timeout
 }
 
-// leastShare returns the least share of shards: the larger of the route's and the preset's.
-func (p *policies) leastShare(share float64, priority int) float64 {
-	if !p.known {
+// minShardRatio returns the least share of shards: the larger of the route's and the preset's.
+func (p *policies) minShardRatio(share float64, priority int) float64 {
+	if !p.loaded {
 		return share
 	}
-	return max(share, p.inForce.Policy(rankOf(priority)).MinCoveragePercent/percent)
+	return max(share, p.active.Policy(rankOf(priority)).MinCoveragePercent/percent)
 }
 
-// full reports whether a rank has as many requests open as the preset lets wait.
-func (p *policies) full(priority int) bool {
+// queueFull reports whether a rank has as many requests open as the preset lets wait.
+func (p *policies) queueFull(priority int) bool {
 	r := rankOf(priority)
-	limit := p.inForce.Policy(r).QueueRequests
-	return p.known && limit > 0 && p.open.At(r) >= limit
+	limit := p.active.Policy(r).QueueRequests
+	return p.loaded && limit > 0 && p.open.At(r) >= limit
 }
--- a/relay/preset_test.go
+++ b/relay/preset_test.go
@@ -14,7 +14,7 @@
 		rec := preset.GatewayDefault()
 		p := rec.CurrentPreset()
 		change(&p)
-		m := carried(t, "va", "a")
+		m := newShardedModel(t, "va", "a")
 		m.Update(1000, relay.BudgetMsg{Ratio: 0.2, Extra: 58, WindowMs: 10_000})
 		m.Update(1000, relay.PresetMsg{Preset: p})
 		return m
@@ -25,10 +25,10 @@
 			want    int
 		}{{20, 2}, {0, 0}} {
 			m := with(func(p *preset.Preset) { p.Urgent.HedgeBudgetPercent = tt.percent })
-			m.Update(2000, arrive(1))
+			m.Update(2000, arrival(1))
 			got := 0
-			for now := relayStart; now < 2039; now++ {
-				got += len(kinds(m.Update(now, relay.TickMsg{})))
+			for now := startMs; now < 2039; now++ {
+				got += len(commandNames(m.Update(now, relay.TickMsg{})))
 			}
 			if got != tt.want {
 				t.Errorf("budget %v%%: got %d hedges, want %d", tt.percent, got, tt.want)
@@ -37,22 +37,22 @@
 	})
 	t.Run("deadline", func(t *testing.T) {
 		m := with(func(p *preset.Preset) { p.Urgent.DeadlineMs = 100 })
-		m.Update(2000, arrive(1))
-		if got := kinds(m.Update(2100, relay.TickMsg{})); len(got) == 0 || got[len(got)-1] != "answer timed_out" {
+		m.Update(2000, arrival(1))
+		if got := commandNames(m.Update(2100, relay.TickMsg{})); len(got) == 0 || got[len(got)-1] != "answer timed_out" {
 			t.Errorf("got %v, want the request timed out", got)
 		}
 	})
 	t.Run("queue", func(t *testing.T) {
 		m := with(func(p *preset.Preset) { p.Urgent.QueueRequests = 2 })
-		m.Update(2000, arrive(1))
-		m.Update(2000, arrive(2))
-		wantKinds(t, m.Update(2000, arrive(3)), "answer refused")
+		m.Update(2000, arrival(1))
+		m.Update(2000, arrival(2))
+		wantCommands(t, m.Update(2000, arrival(3)), "answer refused")
 	})
 	t.Run("least share", func(t *testing.T) {
 		m := with(func(p *preset.Preset) { p.Urgent.MinCoveragePercent = 100 })
-		cmds := append([]relay.Cmd(nil), m.Update(2000, arrive(1))...)
+		cmds := append([]relay.Cmd(nil), m.Update(2000, arrival(1))...)
 		m.Update(2010, relay.ReplyMsg{Attempt: cmds[0].(relay.SendCmd).Attempt, Reply: relay.Reply{Status: 200, Receipt: "1"}})
-		for _, k := range kinds(m.Update(2045, relay.TickMsg{})) {
+		for _, k := range commandNames(m.Update(2045, relay.TickMsg{})) {
 			if k == "answer gathered" {
 				t.Error("got an answer with half of the shards, want all or none")
 			}
@@ -60,5 +60,5 @@
 	})
 }
 
-// relayStart is the time at which these tests send their first request.
-const relayStart clock.Millis = 2000
+// startMs is the time at which these tests send their first request.
+const startMs clock.Millis = 2000
--- a/relay/reply.go
+++ b/relay/reply.go
@@ -2,129 +2,129 @@
 
 import "lentillink.example/lentillink/clock"
 
-func (m *Model) replied(now clock.Millis, msg ReplyMsg) {
+func (m *Model) handleReply(now clock.Millis, msg ReplyMsg) {
 	a := m.attempts[msg.Attempt]
 	if a == nil {
 		return
 	}
-	m.end(a)
-	p, u, rep := a.part, a.upstream, msg.Reply
+	m.endAttempt(a)
+	sub, u, reply := a.subrequest, a.upstream, msg.Reply
 	switch {
-	case rep.NotRun:
-		p.mayRun--
-		m.notRun(now, a, rep)
-	case rep.Status >= 500:
-		u.failed(now)
-		p.last = &rep
+	case reply.NotRun:
+		sub.mayRun--
+		m.handleNotRun(now, a, reply)
+	case reply.Status >= 500:
+		u.recordFailure(now)
+		sub.lastFailure = &reply
 	default:
 		took := now - a.sentAt
-		st := m.stats(p.req.route)
-		u.measured(now, float64(max(took, 1))/st.typical)
+		st := m.statsFor(sub.req.route)
+		u.recordLatency(now, float64(max(took, 1))/st.medianMs)
 		st.add(took)
-		p.last = &rep
+		sub.lastFailure = &reply
 	}
-	m.settle(now, p, rep)
-	m.pump(now, u.service)
-	m.advance(now, p.req)
+	m.resolve(now, sub, reply)
+	m.dispatchQueued(now, u.service)
+	m.advance(now, sub.req)
 }
 
-// notRun takes back an attempt that the upstream states it did not run.
-func (m *Model) notRun(now clock.Millis, a *attempt, rep Reply) {
+// handleNotRun takes back an attempt that the upstream states it did not run.
+func (m *Model) handleNotRun(now clock.Millis, a *attempt, reply Reply) {
 	u := a.upstream
-	if rep.WrongUpstream {
+	if reply.WrongUpstream {
 		// Another upstream has the address, so this one is gone. Each further
 		// attempt would count as work for the service of the new owner.
-		m.event("address_reused", a.part.req, u, u.info.Address, now-a.sentAt)
+		m.event("address_reused", a.subrequest.req, u, u.info.Address, now-a.sentAt)
 		if m.upstreams[u.info.ID] == u {
 			m.removeUpstream(now, u.info.ID)
 		}
 		return
 	}
-	u.shed(now)
-	m.event("upstream_shed", a.part.req, u, a.part.service.name, now-a.sentAt)
+	u.recordShed(now)
+	m.event("upstream_shed", a.subrequest.req, u, a.subrequest.service.name, now-a.sentAt)
 }
 
-// settle takes the reply as the part's result, or tries again.
-func (m *Model) settle(now clock.Millis, p *part, rep Reply) {
-	if p.resolved || p.req.answered {
+// resolve takes the reply as the part's result, or tries again.
+func (m *Model) resolve(now clock.Millis, sub *subrequest, reply Reply) {
+	if sub.resolved || sub.req.answered {
 		return
 	}
-	good := !rep.NotRun && rep.Status < 500
-	if p.req.gathers() {
-		good = !rep.NotRun && rep.success()
+	success := !reply.NotRun && reply.Status < 500
+	if sub.req.gathers() {
+		success = !reply.NotRun && reply.success()
 	}
-	if good {
-		p.resolved, p.reply = true, &rep
-		p.req.done++
-		p.req.unresolved--
+	if success {
+		sub.resolved, sub.reply = true, &reply
+		sub.req.succeeded++
+		sub.req.unresolved--
 		return
 	}
-	m.retry(now, p)
+	m.retry(now, sub)
 }
 
-func (m *Model) attemptFailed(now clock.Millis, msg AttemptFailedMsg) {
+func (m *Model) handleAttemptFailure(now clock.Millis, msg AttemptFailedMsg) {
 	a := m.attempts[msg.Attempt]
 	if a == nil {
 		return
 	}
-	m.end(a)
-	p, u := a.part, a.upstream
+	m.endAttempt(a)
+	sub, u := a.subrequest, a.upstream
 	if msg.NotSent {
-		p.mayRun--
-		p.arrivals--
+		sub.mayRun--
+		sub.deliveries--
 	}
-	u.failed(now)
-	m.event("attempt_failed", p.req, u, msg.Cause, now-a.sentAt)
-	m.retry(now, p)
-	m.pump(now, u.service)
-	m.advance(now, p.req)
+	u.recordFailure(now)
+	m.event("attempt_failed", sub.req, u, msg.Cause, now-a.sentAt)
+	m.retry(now, sub)
+	m.dispatchQueued(now, u.service)
+	m.advance(now, sub.req)
 }
 
 // retry places a part again if it may run again, the budget allows it and an
 // upstream is left.
-func (m *Model) retry(now clock.Millis, p *part) {
-	if p.resolved || p.req.answered || len(p.open) > 0 {
+func (m *Model) retry(now clock.Millis, sub *subrequest) {
+	if sub.resolved || sub.req.answered || len(sub.open) > 0 {
 		return
 	}
-	r := p.req
-	repeatable := r.route.Idempotent || p.mayRun == 0
+	r := sub.req
+	repeatable := r.route.Idempotent || sub.mayRun == 0
 	switch {
-	case !repeatable, p.mayRun >= max(r.route.MaxAttempts, 1), now >= r.due:
-		m.giveUp(now, p)
-	case p.arrivals > 0 && (p.service.budget.left(now, m.vms, 1) < 1 || !m.policies.allows(now, &m.policies.retries, r.route.Priority)):
-		m.event("retry_denied", r, nil, p.service.name, now-r.arrived)
-		m.giveUp(now, p)
+	case !repeatable, sub.mayRun >= max(r.route.MaxAttempts, 1), now >= r.deadline:
+		m.giveUp(now, sub)
+	case sub.deliveries > 0 && (sub.service.budget.remaining(now, m.vmCount, 1) < 1 || !m.policies.allows(now, &m.policies.retries, r.route.Priority)):
+		m.event("retry_denied", r, nil, sub.service.name, now-r.arrived)
+		m.giveUp(now, sub)
 	default:
-		if p.arrivals > 0 {
+		if sub.deliveries > 0 {
 			m.policies.spend(now, &m.policies.retries, r.route.Priority)
 		}
-		m.place(now, p)
+		m.dispatch(now, sub)
 	}
 }
 
 // giveUp resolves a part without a reply.
-func (m *Model) giveUp(now clock.Millis, p *part) {
-	if p.resolved || len(p.open) > 0 {
+func (m *Model) giveUp(now clock.Millis, sub *subrequest) {
+	if sub.resolved || len(sub.open) > 0 {
 		return
 	}
-	p.resolved = true
-	p.req.unresolved--
-	m.event("part_missing", p.req, nil, p.service.name, now-p.req.arrived)
+	sub.resolved = true
+	sub.req.unresolved--
+	m.event("part_missing", sub.req, nil, sub.service.name, now-sub.req.arrived)
 }
 
-func (m *Model) callerGone(now clock.Millis, id uint64) {
+func (m *Model) handleCallerDisconnected(now clock.Millis, id uint64) {
 	r := m.requests[id]
 	if r == nil {
 		return
 	}
-	r.gone = true
+	r.callerDisconnected = true
 	if r.answered {
 		return
 	}
-	if !r.carried { // a VM that handed shards over withdraws them as a rule
+	if !r.delegated { // a VM that handed shards over withdraws them as a rule
 		m.event("caller_gone", r, nil, "", now-r.arrived)
 	}
-	m.settled(now, r)
-	m.withdrawGroups(r)
+	m.markAnswered(now, r)
+	m.cancelDelegations(r)
 	m.release(now, r)
 }
--- a/relay/send.go
+++ b/relay/send.go
@@ -2,77 +2,77 @@
 
 import "lentillink.example/lentillink/clock"
 
-// hedgeFraction is the part of the time to the target that passes before a
+// hedgeTargetDivisor is the part of the time to the target that passes before a
 // hedge, if the reply is overdue sooner: work with much time left is not sent twice.
-const hedgeFraction = 3
+const hedgeTargetDivisor = 3
 
-// place sends a part, lets it wait, or gives it up if there is no upstream.
-func (m *Model) place(now clock.Millis, p *part) {
-	if p.resolved || p.req.answered {
+// dispatch sends a part, lets it wait, or gives it up if there is no upstream.
+func (m *Model) dispatch(now clock.Millis, sub *subrequest) {
+	if sub.resolved || sub.req.answered {
 		return
 	}
-	u, any := m.choose(now, p, false)
+	u, available := m.chooseUpstream(now, sub, false)
 	switch {
 	case u != nil:
-		m.send(now, p, u)
-	case any:
-		p.queued = true
-		p.service.waiting = append(p.service.waiting, p)
+		m.send(now, sub, u)
+	case available:
+		sub.queued = true
+		sub.service.queue = append(sub.service.queue, sub)
 	default:
-		m.giveUp(now, p)
+		m.giveUp(now, sub)
 	}
 }
 
-func (m *Model) send(now clock.Millis, p *part, u *upstream) {
-	st := m.stats(p.req.route)
+func (m *Model) send(now clock.Millis, sub *subrequest, u *upstream) {
+	st := m.statsFor(sub.req.route)
 	m.nextID++
-	a := &attempt{id: m.nextID, part: p, upstream: u, sentAt: now, patience: st.patience(u.slowness(now))}
-	a.hedgeAt = now + max(a.patience, (p.req.answerAt-now)/hedgeFraction)
-	if p.arrivals > 0 {
-		p.service.budget.spend(now)
+	a := &attempt{id: m.nextID, subrequest: sub, upstream: u, sentAt: now, overdueAfter: st.overdueAfter(u.slowness(now))}
+	a.hedgeAt = now + max(a.overdueAfter, (sub.req.targetAt-now)/hedgeTargetDivisor)
+	if sub.deliveries > 0 {
+		sub.service.budget.spend(now)
 	}
-	p.arrivals++
-	p.mayRun++
-	p.tried = append(p.tried, u)
-	p.open = append(p.open, a)
-	p.req.open++
+	sub.deliveries++
+	sub.mayRun++
+	sub.tried = append(sub.tried, u)
+	sub.open = append(sub.open, a)
+	sub.req.openAttempts++
 	u.open = append(u.open, a)
 	m.attempts[a.id] = a
 	m.emit(SendCmd{
-		Attempt: a.id, Request: p.req.id, Upstream: u.info.ID, Address: u.info.Address,
-		RemainingMs: max(p.req.due-now, 1), Gather: p.req.gathers(), NonIdempotent: !p.req.route.Idempotent,
+		Attempt: a.id, Request: sub.req.id, Upstream: u.info.ID, Address: u.info.Address,
+		RemainingMs: max(sub.req.deadline-now, 1), Gather: sub.req.gathers(), NonIdempotent: !sub.req.route.Idempotent,
 	})
-	if p.req.route.Idempotent {
-		m.wake(p.req, a.hedgeAt)
+	if sub.req.route.Idempotent {
+		m.wake(sub.req, a.hedgeAt)
 	}
 }
 
-// pump sends what waits for a service while lanes are free.
-func (m *Model) pump(now clock.Millis, s *service) {
-	for len(s.waiting) > 0 {
-		p := s.next(now)
-		if p == nil {
+// dispatchQueued sends what waits for a service while lanes are free.
+func (m *Model) dispatchQueued(now clock.Millis, s *service) {
+	for len(s.queue) > 0 {
+		sub := s.next(now)
+		if sub == nil {
 			return
 		}
-		u, any := m.choose(now, p, false)
-		if u == nil && any {
+		u, available := m.chooseUpstream(now, sub, false)
+		if u == nil && available {
 			return
 		}
-		s.unqueue(p)
+		s.dequeue(sub)
 		if u == nil {
-			m.giveUp(now, p)
+			m.giveUp(now, sub)
 			continue
 		}
-		m.send(now, p, u)
+		m.send(now, sub, u)
 	}
 }
 
-// end forgets an attempt and gives its lane to what waits.
-func (m *Model) end(a *attempt) {
+// endAttempt forgets an attempt and gives its lane to what waits.
+func (m *Model) endAttempt(a *attempt) {
 	delete(m.attempts, a.id)
-	a.upstream.drop(a)
-	a.part.drop(a)
-	a.part.req.open--
+	a.upstream.removeAttempt(a)
+	a.subrequest.removeAttempt(a)
+	a.subrequest.req.openAttempts--
 }
 
 // hedge sends overdue parts to a second upstream.
@@ -80,25 +80,25 @@
 	if !r.route.Idempotent {
 		return
 	}
-	for _, p := range r.parts {
-		if p.resolved || p.hedged || len(p.open) != 1 || p.mayRun >= r.route.MaxAttempts {
+	for _, sub := range r.subrequests {
+		if sub.resolved || sub.hedged || len(sub.open) != 1 || sub.mayRun >= r.route.MaxAttempts {
 			continue
 		}
-		a := p.open[0]
+		a := sub.open[0]
 		if now < a.hedgeAt {
 			m.wake(r, a.hedgeAt)
 			continue
 		}
-		if p.service.budget.left(now, m.vms, hedgeShare) < 1 || !m.policies.allows(now, &m.policies.hedges, r.route.Priority) {
+		if sub.service.budget.remaining(now, m.vmCount, hedgeBudgetShare) < 1 || !m.policies.allows(now, &m.policies.hedges, r.route.Priority) {
 			continue
 		}
-		u, _ := m.choose(now, p, true)
+		u, _ := m.chooseUpstream(now, sub, true)
 		if u == nil {
 			continue
 		}
-		p.hedged = true
+		sub.hedged = true
 		m.policies.spend(now, &m.policies.hedges, r.route.Priority)
-		m.event("hedge", r, u, p.service.name, now-a.sentAt)
-		m.send(now, p, u)
+		m.event("hedge", r, u, sub.service.name, now-a.sentAt)
+		m.send(now, sub, u)
 	}
 }
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -18,27 +18,27 @@
 }
 
 const (
-	// speedWeight is the weight of one sample in an upstream's speed.
-	speedWeight = 0.1
+	// latencyRatioWeight is the weight of one sample in an upstream's speed.
+	latencyRatioWeight = 0.1
 
-	// slowFrom is the multiple of the typical latency from which a reply counts
+	// slowThreshold is the multiple of the typical latency from which a reply counts
 	// as slow. One in fifty replies is slower by the spread of work alone.
-	slowFrom = 2.2
+	slowThreshold = 2.2
 
 	// An upstream that was slow is avoided for firstHoldMs, which outlasts a pause
 	// of the users' upstreams, and twice as long each time it is slow again.
-	firstHoldMs clock.Millis = 250
-	maxHoldMs   clock.Millis = 4000
+	firstSlowAvoidMs clock.Millis = 250
+	maxSlowAvoidMs   clock.Millis = 4000
 
-	// confirmedHoldMs is the hold from which only requests with time for a hedge
+	// confirmedSlowAvoidMs is the hold from which only requests with time for a hedge
 	// try an upstream again: it was slow twice in a row, so it is no pause.
-	confirmedHoldMs clock.Millis = 500
+	confirmedSlowAvoidMs clock.Millis = 500
 
-	// probeSlack is how many typical latencies are time for a hedge.
-	probeSlack = 5
+	// probeMinMedians is how many typical latencies are time for a hedge.
+	probeMinMedians = 5
 
-	// maxSlow bounds one sample of slowness.
-	maxSlow = 20.0
+	// maxSlowRatio bounds one sample of slowness.
+	maxSlowRatio = 20.0
 
 	// coldFactor is the slowness of an upstream that has just started.
 	coldFactor = 1.6
@@ -53,29 +53,29 @@
 
 // upstream is what this VM knows of one upstream.
 type upstream struct {
-	info       Upstream
-	service    *service
-	hash       uint64       // of the identifier
-	open       []*attempt   // unanswered, oldest first
-	speed      float64      // latency of replies that were not slow, as a multiple of the typical one
-	slow       float64      // the same of the last slow reply
-	hold       clock.Millis // how long it is avoided after that; 0 if the last reply was not slow
-	heldUntil  clock.Millis
-	window     float64 // attempts that it takes at once without shedding
-	failures   int     // in a row
-	avoidUntil clock.Millis
-	coldUntil  clock.Millis
-	removed    bool
+	info           Upstream
+	service        *service
+	hash           uint64       // of the identifier
+	open           []*attempt   // unanswered, oldest first
+	latencyRatio   float64      // latency of replies that were not slow, as a multiple of the typical one
+	slowRatio      float64      // the same of the last slow reply
+	slowAvoidMs    clock.Millis // how long it is avoided after that; 0 if the last reply was not slow
+	slowAvoidUntil clock.Millis
+	window         float64 // attempts that it takes at once without shedding
+	failures       int     // in a row
+	avoidUntil     clock.Millis
+	coldUntil      clock.Millis
+	removed        bool
 }
 
 // slowness returns the expected latency as a multiple of the typical one.
 func (u *upstream) slowness(now clock.Millis) float64 {
 	s := 1.0
-	if u.speed > 0 {
-		s = u.speed
+	if u.latencyRatio > 0 {
+		s = u.latencyRatio
 	}
-	if now < u.heldUntil || u.hold >= confirmedHoldMs {
-		s = max(s, u.slow)
+	if now < u.slowAvoidUntil || u.slowAvoidMs >= confirmedSlowAvoidMs {
+		s = max(s, u.slowRatio)
 	}
 	if now < u.coldUntil {
 		s = max(s, coldFactor)
@@ -83,47 +83,47 @@
 	return max(s, 0.5)
 }
 
-// lasting returns the slowness that is no pause, as a multiple of the typical latency.
-func (u *upstream) lasting() float64 {
-	if u.hold >= confirmedHoldMs {
-		return max(u.slow, u.speed)
+// sustainedSlowness returns the slowness that is no pause, as a multiple of the typical latency.
+func (u *upstream) sustainedSlowness() float64 {
+	if u.slowAvoidMs >= confirmedSlowAvoidMs {
+		return max(u.slowRatio, u.latencyRatio)
 	}
-	return max(u.speed, 0.5)
+	return max(u.latencyRatio, 0.5)
 }
 
 // probeDue reports whether an upstream that was slow several times should be
 // tried again. Only requests with time for a hedge try it, one upstream each,
 // because with many shards nearly every request would meet a slow one otherwise.
 func (u *upstream) probeDue(now clock.Millis) bool {
-	return u.hold >= confirmedHoldMs && now >= u.heldUntil && len(u.open) == 0
+	return u.slowAvoidMs >= confirmedSlowAvoidMs && now >= u.slowAvoidUntil && len(u.open) == 0
 }
 
-// measured records the latency of a reply as a multiple of the typical one.
-func (u *upstream) measured(now clock.Millis, ratio float64) {
+// recordLatency records the latency of a reply as a multiple of the typical one.
+func (u *upstream) recordLatency(now clock.Millis, ratio float64) {
 	u.failures = 0
 	u.avoidUntil = min(u.avoidUntil, now)
 	u.window = min(u.window+1/max(u.window, 1), maxWindow)
-	if ratio < slowFrom {
-		u.hold, u.heldUntil = 0, min(u.heldUntil, now)
-		u.speed += speedWeight * (ratio - u.speed)
+	if ratio < slowThreshold {
+		u.slowAvoidMs, u.slowAvoidUntil = 0, min(u.slowAvoidUntil, now)
+		u.latencyRatio += latencyRatioWeight * (ratio - u.latencyRatio)
 		return
 	}
-	u.slow = min(ratio, maxSlow)
-	if now >= u.heldUntil {
-		u.hold = min(max(2*u.hold, firstHoldMs), maxHoldMs)
+	u.slowRatio = min(ratio, maxSlowRatio)
+	if now >= u.slowAvoidUntil {
+		u.slowAvoidMs = min(max(2*u.slowAvoidMs, firstSlowAvoidMs), maxSlowAvoidMs)
 	}
-	u.heldUntil = now + u.hold
+	u.slowAvoidUntil = now + u.slowAvoidMs
 }
 
-// failed notes an attempt without a reply.
-func (u *upstream) failed(now clock.Millis) {
+// recordFailure notes an attempt without a reply.
+func (u *upstream) recordFailure(now clock.Millis) {
 	u.failures++
 	avoid := min(firstAvoidMs<<min(u.failures-1, 8), maxAvoidMs)
 	u.avoidUntil = max(u.avoidUntil, now+avoid)
 }
 
-// shed notes a reply that the upstream is full.
-func (u *upstream) shed(now clock.Millis) {
+// recordShed notes a reply that the upstream is full.
+func (u *upstream) recordShed(now clock.Millis) {
 	u.window = max(u.window/2, 1)
 	u.avoidUntil = max(u.avoidUntil, now+shedAvoidMs)
 }
@@ -135,10 +135,10 @@
 		return 0
 	}
 	oldest := u.open[0]
-	return max(now-oldest.sentAt-oldest.patience, 0)
+	return max(now-oldest.sentAt-oldest.overdueAfter, 0)
 }
 
-func (u *upstream) drop(a *attempt) {
+func (u *upstream) removeAttempt(a *attempt) {
 	for i, o := range u.open {
 		if o == a {
 			u.open = append(u.open[:i], u.open[i+1:]...)
