--- a/relay/answer.go
+++ b/relay/answer.go
@@ -2,18 +2,18 @@
 
 import "lentillink.example/lentillink/clock"
 
-// Outcome says how a request ended.
+// Outcome is the result category of a request.
 type Outcome uint8
 
 // The outcomes of a request.
 const (
-	Relayed  Outcome = iota // the reply of one upstream, unchanged
-	Gathered                // the merged parts of the shards
-	Refused                 // not run, and never will be
+	Relayed  Outcome = iota // reply of one upstream, unchanged
+	Gathered                // merged replies of the shards
+	Refused                 // not run and will not run
 	Failed                  // may have run
-	TimedOut                // may have run or may still run
-	NoRoute                 // the configuration names no such route
-	NotReady                // no configuration is known; not run
+	TimedOut                // may have run, or may still be running
+	NoRoute                 // no route in the configuration matches
+	NotReady                // no configuration loaded yet; not run
 )
 
 var outcomeNames = [...]string{"relayed", "gathered", "refused", "failed", "timed_out", "no_route", "not_ready"}
@@ -26,15 +26,15 @@
 	return "invalid"
 }
 
-// Reply is the whole reply of an upstream.
+// Reply is the complete reply of an upstream.
 type Reply struct {
 	Status        int
-	Receipt       string // proves who answered which request
+	Receipt       string // identifies the upstream and the request that it answered
 	Body          []byte
-	NotRun        bool // the upstream states that it did not run the request
-	WrongUpstream bool // another upstream has the address; implies NotRun
+	NotRun        bool // the upstream reports that it did not run the request
+	WrongUpstream bool // the address now belongs to another upstream; implies NotRun
 	Leaving       bool // the upstream closes the connection
-	Header        any  // what the runtime needs to pass the reply on
+	Header        any  // header fields in the runtime's own type, for forwarding the reply
 }
 
 // success reports whether the reply may be part of a gathered answer.
@@ -44,13 +44,13 @@
 type Answer struct {
 	Outcome      Outcome
 	Reply        Reply    // of a Relayed answer
-	Body         []byte   // of a Gathered answer: the greatest records, falling
-	Receipts     []string // of a Gathered answer, one for each part
-	Missing      int      // shards that are left out of a Gathered answer
+	Body         []byte   // of a Gathered answer: the top records, in descending order
+	Receipts     []string // of a Gathered answer, one per sub-request
+	Missing      int      // shards without a reply in a Gathered answer
 	Reason       string   // of a refusal or failure
 	RetryAfterMs clock.Millis
 	Route        string
 	Version      uint64
 	TookMs       clock.Millis
-	Late         bool // after the target of the route
+	Late         bool // sent after the target time of the route
 }
--- a/relay/arrive.go
+++ b/relay/arrive.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// handlingReserveMs is the part of a route's target for reading the request and
-	// writing the answer, which small VMs take up to 3 ms for, and 1 ms for timers.
+	// handlingReserveMs is the part of a route's target reserved for reading the
+	// request and writing the answer (up to 3 ms on small VMs) and for timer
+	// granularity (1 ms).
 	handlingReserveMs clock.Millis = 4
 
-	// defaultRoundTripMs is assumed if the way to the caller is not known: two
-	// crossings of up to 3 ms on the users' networks.
+	// defaultRoundTripMs is the round-trip time assumed if the one to the caller is
+	// not known: two one-way trips of up to 3 ms each on the users' networks.
 	defaultRoundTripMs clock.Millis = 6
 
-	// deadlineReserveMs is kept from a caller's own limit, so that the final answer
-	// arrives before the caller gives up.
+	// deadlineReserveMs is subtracted from a caller's own timeout, so that the final
+	// answer arrives before the caller times out.
 	deadlineReserveMs clock.Millis = 15
 
-	// defaultTimeoutMs is used if neither the caller nor the route states a limit.
+	// defaultTimeoutMs applies if neither the caller nor the route sets a timeout.
 	defaultTimeoutMs clock.Millis = 10 * clock.Second
 
-	// callerRetryElapsedMs is how much of a caller's time must be spent for it to count
-	// as one that was here before.
+	// callerRetryElapsedMs is how much of the caller's timeout must have elapsed for
+	// its request to count as a retry.
 	callerRetryElapsedMs clock.Millis = 10
 )
 
-// admit decides what happens to a request: it is refused before anything runs,
-// or its parts are divided among carriers and this VM.
+// admit refuses a new request before any of it runs, or divides its sub-requests
+// among carriers and this VM.
 func (m *Model) admit(now clock.Millis, msg ArrivalMsg) {
 	if msg.Delegation != nil && !m.acceptDelegation(msg) {
 		return
@@ -83,7 +84,7 @@
 	m.advance(now, r)
 }
 
-// newRequest works out until when a request may be answered.
+// newRequest returns the request of msg with its deadline and target time.
 func (m *Model) newRequest(now clock.Millis, rt *route.Route, msg ArrivalMsg) *request {
 	r := &request{
 		id: msg.ID, name: msg.Name, hash: xxhash.Sum64String(msg.Name), host: msg.Host, path: msg.Path, arrived: now,
@@ -115,7 +116,7 @@
 	return r
 }
 
-// addSubrequests gives a request one part for each service that its answer needs.
+// addSubrequests adds one sub-request for each service that the answer requires.
 func (m *Model) addSubrequests(r *request, d *Delegation) {
 	names := m.requiredServices(r)
 	if d != nil {
@@ -131,7 +132,7 @@
 	r.totalSubrequests, r.unresolved = len(r.subrequests), len(r.subrequests)
 }
 
-// requiredServices returns the services whose parts the answer needs.
+// requiredServices returns the services whose replies the answer requires.
 func (m *Model) requiredServices(r *request) []string {
 	switch {
 	case r.gathers():
@@ -143,10 +144,11 @@
 	}
 }
 
-// reject answers a request that never becomes part of the state.
+// reject answers a request that was not admitted.
 func (m *Model) reject(msg ArrivalMsg, a Answer) { m.rejectWithEstimate(msg, a, 0) }
 
-// rejectWithEstimate also tells the VM that handed the request over what to expect.
+// rejectWithEstimate rejects a request. For a request delegated by another VM, the
+// answer includes the estimated latency here.
 func (m *Model) rejectWithEstimate(msg ArrivalMsg, a Answer, expected clock.Millis) {
 	m.emit(EventCmd{Event: Event{
 		Kind: "request_" + a.Outcome.String(), Request: msg.Name, Route: a.Route, Version: a.Version,
@@ -155,11 +157,11 @@
 	m.emit(AnswerCmd{ID: msg.ID, Answer: a, ExpectedMs: expected})
 }
 
-// retryAfter returns a time after which a refused caller should return, spread so
-// that refused callers do not return together. Callers honour at most a third
-// of the time that they have left.
+// retryAfter returns the delay after which a refused caller should retry. It adds
+// jitter, so that refused callers do not retry at the same time. The delay is at
+// most a third of the caller's remaining time, because callers honour no more.
 func (m *Model) retryAfter(wait, remaining clock.Millis) clock.Millis {
-	const minWait = 20 // a shorter wait returns to the same queue
+	const minWait = 20 // after a shorter delay the caller meets the same queue
 	wait = max(wait, minWait)
 	wait += clock.Millis(m.rng.Int64N(int64(wait)))
 	if remaining > 0 {
@@ -168,24 +170,23 @@
 	return wait
 }
 
-// admissionTargetShare is the part of the time to the target that a request may be
-// expected to take. Expectations are rough, and work that ends just after the
-// target has used the upstreams for nothing.
+// admissionTargetShare is the share of the time to the target that the estimated
+// latency of a request may use. Estimates are rough, and work that ends just after
+// the target wastes upstream capacity.
 const admissionTargetShare = 0.75
 
-// wouldMissTarget reports whether so many parts would have to wait beyond the time at
-// which the answer is worth having that the request is better refused at once,
-// before anything has run. The most urgent requests, and callers that were
-// refused before, are let in while they can be answered in time at all. It also
-// returns how long the wait is beyond
-// that time.
+// wouldMissTarget reports whether so many sub-requests are expected to end after
+// the limit that the request should be refused at once, before any of it runs.
+// Requests of the highest priority and retries by callers that were refused before
+// may use all of the time to the target. It also returns the longest time by which
+// a sub-request is expected to exceed the limit.
 func (m *Model) wouldMissTarget(now clock.Millis, r *request, assignments []assignment) (clock.Millis, bool) {
 	limit := now + clock.Millis(admissionTargetShare*float64(r.targetAt-now))
 	switch {
 	case r.delegated:
-		limit = r.deadline // other carriers work on the rest already
+		limit = r.deadline // other carriers are already working on the rest
 	case !r.gathers():
-		limit = r.deadline // one upstream: a late answer wastes no other part
+		limit = r.deadline // single upstream: a late answer wastes no other sub-request
 	case r.callerRetry, r.route.Priority == 0:
 		limit = max(r.targetAt, now)
 	}
@@ -205,8 +206,8 @@
 	return maxExcess, len(r.subrequests)-late < r.requiredReplies()
 }
 
-// estimateRequest returns how long the parts of a request would take from now if
-// another one like it came: the longest that the least share has to wait for.
+// estimateRequest estimates how long another request like r would take from now:
+// the time until the minimum share of its sub-requests has a reply.
 func (m *Model) estimateRequest(now clock.Millis, r *request) clock.Millis {
 	waits := make([]clock.Millis, 0, len(r.subrequests))
 	for _, sub := range r.subrequests {
@@ -220,7 +221,8 @@
 	return waits[min(max(required-1, 0), len(waits)-1)]
 }
 
-// estimateSubrequest estimates how long a part takes from now, its wait included.
+// estimateSubrequest estimates how long a sub-request takes from now, including its
+// time in the queue.
 func (m *Model) estimateSubrequest(now clock.Millis, sub *subrequest) clock.Millis {
 	medianMs := m.statsFor(sub.req.route).medianMs
 	capacity, open := 0, 0
@@ -235,7 +237,7 @@
 		fastest = min(fastest, u.sustainedSlowness())
 	}
 	if capacity == 0 {
-		return 0 // place decides; there is no queue to wait in
+		return 0 // no usable upstream and so no queue; dispatch handles this case
 	}
 	ahead := sub.service.queuedAhead(sub.req.route.Priority)
 	wait := 0.0
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -3,21 +3,21 @@
 import "lentillink.example/lentillink/clock"
 
 const (
-	// bucketMs is the resolution of the budget's window.
+	// bucketMs is the length of one bucket of the budget's sliding window.
 	bucketMs clock.Millis = 500
 
-	// localBudgetShare is the part of the fleet's ratio that one VM spends by itself.
-	// The rest covers arrivals that this VM does not count, such as a request
-	// that was lost on its way and sent again.
+	// localBudgetShare is the share of the fleet's ratio that one VM uses for its own
+	// extra attempts. The rest covers arrivals that this VM does not count, such as a
+	// request that was lost in transit and sent again.
 	localBudgetShare = 0.85
 
-	// hedgeBudgetShare is the part of the budget that hedges may use; the rest is left
-	// to retries, which save an answer for certain.
+	// hedgeBudgetShare is the share of the budget that hedges may use. The rest is
+	// reserved for retries, each of which prevents a failed answer.
 	hedgeBudgetShare = 0.8
 )
 
-// budget bounds the extra attempts of one service on this VM over a sliding
-// window. Its bound is proportional to the VM's own requests, so the sum over
+// budget limits the extra attempts of one service on this VM over a sliding
+// window. The limit is proportional to the VM's own requests, so the sum over
 // any number of VMs, evenly loaded or not, stays within the fleet's ratio.
 type budget struct {
 	limit   BudgetMsg
@@ -34,7 +34,7 @@
 	return budget{limit: limit, buckets: make([]bucket, limit.WindowMs/bucketMs+1)}
 }
 
-// setLimit changes the bound. What was spent is forgotten only if the window changes.
+// setLimit changes the limit. The counts are reset only if the window length changes.
 func (b *budget) setLimit(limit BudgetMsg) {
 	if limit.WindowMs != b.limit.WindowMs {
 		*b = newBudget(limit)
@@ -51,13 +51,14 @@
 	return k
 }
 
-// countRequest counts a request for the service.
+// countRequest counts one request for the service.
 func (b *budget) countRequest(now clock.Millis) { b.bucketAt(now).requests++ }
 
-// spend counts an attempt beyond the first one.
+// spend counts one attempt beyond the first one.
 func (b *budget) spend(now clock.Millis) { b.bucketAt(now).extra++ }
 
-// remaining returns how many extra attempts share of the budget still allows.
+// remaining returns how many more extra attempts fit into the given share of the
+// budget.
 func (b *budget) remaining(now clock.Millis, vmCount int, share float64) float64 {
 	oldest := now/bucketMs - clock.Millis(len(b.buckets)) + 1
 	requests, extra := 0, 0
--- a/relay/carrier.go
+++ b/relay/carrier.go
@@ -10,15 +10,15 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// shardsPerCore bounds the shards that one VM gathers for a request, by its share
-// of a core. Sending to one takes about 0.1 ms of a core, and all should leave
-// within 8 ms. More are divided among several VMs of the data centre.
+// shardsPerCore is the number of shards per core that one VM gathers for a request.
+// Sending to one shard takes about 0.1 ms of a core, and all sub-requests should be
+// sent within 8 ms. More shards are divided among several VMs of the data centre.
 const shardsPerCore = 80
 
 // VM is an entry VM of the fleet.
 type VM struct {
 	ID         string `json:"id"`
-	Address    string `json:"address"` // for other VMs
+	Address    string `json:"address"` // for connections from other VMs
 	DataCentre string `json:"data_centre"`
 	CPUMilli   int    `json:"cpu_milli"` // thousandths of a core
 }
@@ -31,27 +31,28 @@
 	return max(v.CPUMilli*shardsPerCore/1000, 1)
 }
 
-// peerVM is what this VM knows of another one.
+// peerVM is the state that this VM keeps of another one.
 type peerVM struct {
 	info          VM
-	delegations   map[uint64]*delegation // that it works on for this VM
-	hash          uint64                 // rendezvous hash in its data centre
+	delegations   map[uint64]*delegation // open delegations from this VM
+	hash          uint64                 // for rendezvous hashing in its data centre
 	failures      int                    // in a row
 	avoidUntil    clock.Millis
-	resultLagMs   float64 // of its reports at the target, in milliseconds; 0 if not known
+	resultLagMs   float64 // moving average of how late its partial results arrive, in milliseconds; 0 if not measured
 	lastMessageAt clock.Millis
 	estimates     map[string]estimate // by route
 }
 
 func (c *peerVM) recordFailure(now clock.Millis) {
 	if now < c.avoidUntil {
-		return // requests that were open together fail together
+		return // requests that were open at the same time count as one failure
 	}
 	c.failures++
 	c.avoidUntil = now + min(firstCarrierAvoidMs<<min(c.failures-1, 8), maxCarrierAvoidMs)
 }
 
-// sortedDelegations returns the open groups in a fixed order, so that runs repeat.
+// sortedDelegations returns the open delegations in a fixed order, so that runs are
+// reproducible.
 func (c *peerVM) sortedDelegations() []*delegation {
 	out := make([]*delegation, 0, len(c.delegations))
 	for _, d := range c.delegations {
@@ -61,7 +62,7 @@
 	return out
 }
 
-// setFleet takes over the list of VMs.
+// setFleet replaces the list of VMs.
 func (m *Model) setFleet(now clock.Millis, vms []VM) {
 	known := make(map[string]*peerVM, len(vms))
 	m.vmIDs = m.vmIDs[:0]
@@ -92,16 +93,17 @@
 	for _, id := range sortedKeys(old) {
 		if c := old[id]; known[id] != c {
 			for _, d := range c.sortedDelegations() {
-				// The VM left the list, or has another address: it may still answer,
-				// but nobody would know if it does not.
+				// The VM left the list or changed its address. It may still send a result,
+				// but its failure would not be detected.
 				m.reclaim(now, d, true)
 			}
 		}
 	}
 }
 
-// preconnect opens a connection to an upstream before it is needed. Only carriers do
-// so for shards: an upstream accepts fewer connections than there may be VMs.
+// preconnect opens a connection to an upstream before it is needed. For shards, only
+// carriers do so, because an upstream accepts fewer connections than there may be
+// VMs.
 func (m *Model) preconnect(u *upstream, carrier bool) {
 	if u.service.isShard {
 		if !carrier {
@@ -129,8 +131,9 @@
 	return false
 }
 
-// connectCarriers opens streams to the VMs that gather for this one, so that the
-// first request does not wait for them and a broken one tells of a loss.
+// connectCarriers opens streams to the carriers that gather for this VM, so that the
+// first request does not wait for a stream and a broken stream reveals a lost
+// carrier.
 func (m *Model) connectCarriers(now clock.Millis) {
 	shards := make(map[string]int)
 	for _, s := range m.services {
@@ -163,16 +166,17 @@
 	return keys
 }
 
-// assignment is the parts of a request that one VM gathers; carrier is nil for this VM.
+// assignment is a set of sub-requests that one VM gathers; carrier is nil for this
+// VM.
 type assignment struct {
 	carrier     *peerVM
 	subrequests []*subrequest
 }
 
-// distribute divides the parts of a request among the carriers of data centres
-// that hold an upstream of their service. The carriers of a data centre are its
-// strongest VMs that are not avoided, ordered by rendezvous hash, so that all
-// VMs agree on them without a message.
+// distribute divides the sub-requests among the carriers of data centres that have
+// an upstream of their service. The carriers of a data centre are the VMs with the
+// most CPU that are not avoided after a failure. Ties are broken by rendezvous hash,
+// so that all VMs agree on the carriers without exchanging messages.
 func (m *Model) distribute(now clock.Millis, r *request) []assignment {
 	if !m.inFleet || len(m.peers) < 2 {
 		return []assignment{{subrequests: r.subrequests}}
@@ -201,7 +205,7 @@
 	return append(assignments, local)
 }
 
-// divideInDataCentre divides parts among the carriers of one data centre.
+// divideInDataCentre divides sub-requests among the carriers of one data centre.
 func (m *Model) divideInDataCentre(now clock.Millis, dc string, subrequests []*subrequest) []assignment {
 	carriers := m.carriers(now, dc, len(subrequests))
 	if len(carriers) == 0 {
@@ -223,8 +227,8 @@
 	return assignments
 }
 
-// carrierFor chooses the carrier of a shard by weighted rendezvous hashing: if the
-// carriers change, only the shards of those that changed move.
+// carrierFor selects the carrier of a shard by weighted rendezvous hashing: if the
+// set of carriers changes, only the shards of the changed carriers move.
 func carrierFor(s *service, carriers []*peerVM) int {
 	if len(carriers) == 1 {
 		return 0
@@ -241,8 +245,7 @@
 	return best
 }
 
-// mix spreads the bits of a hash that was combined from others (the finalizer
-// of SplitMix64).
+// mix distributes the bits of a combined hash (the finalizer of SplitMix64).
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -251,9 +254,9 @@
 	return x ^ x>>31
 }
 
-// candidates returns the upstreams to which one request may go for a shard, in
-// an order on which all VMs agree: at most as many as may run it. A VM that
-// takes a part back from a lost carrier must not add another one.
+// candidates returns the upstreams to which one request may go for a shard, in an
+// order on which all VMs agree. Their number is at most MaxAttempts: a VM that
+// reclaims a sub-request from a lost carrier must not use yet another upstream.
 func (m *Model) candidates(sub *subrequest) []*upstream {
 	list := make([]*upstream, 0, len(sub.service.upstreams))
 	for _, u := range sub.service.upstreams {
@@ -276,9 +279,10 @@
 	return list[:max(sub.req.route.MaxAttempts, 1)]
 }
 
-// carrierDataCentre returns the data centre whose carrier gathers a shard: this one if
-// it holds an upstream of it, otherwise those that do in turns. All shards of a
-// request take the same turn, so that few messages cross data centres.
+// carrierDataCentre returns the data centre whose carrier gathers a shard: the local
+// one if it has an upstream of the shard, otherwise one of those that have, by round
+// robin. All shards of a request use the same rotation, so that few messages cross
+// data centres.
 func (m *Model) carrierDataCentre(s *service) (string, bool) {
 	dataCentres := m.dataCentres(s)
 	if len(dataCentres) == 0 {
@@ -290,7 +294,7 @@
 	return dataCentres[m.rotation%len(dataCentres)], true
 }
 
-// dataCentres returns the data centres that hold upstreams of a service, sorted.
+// dataCentres returns the data centres with upstreams of a service, sorted.
 func (m *Model) dataCentres(s *service) []string {
 	if s.dataCentres != nil {
 		return s.dataCentres
@@ -305,8 +309,9 @@
 	return s.dataCentres
 }
 
-// carriers returns the VMs of a data centre that gather n shards of a request:
-// the strongest, then those with the highest rendezvous hash, until they suffice.
+// carriers returns the VMs of a data centre that gather n shards of a request: those
+// with the most CPU first, then by highest rendezvous hash, until their capacity
+// suffices.
 func (m *Model) carriers(now clock.Millis, dc string, n int) []*peerVM {
 	var list []*peerVM
 	for _, id := range m.vmIDs {
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -3,23 +3,24 @@
 import "lentillink.example/lentillink/clock"
 
 const (
-	// crossCentreMs is how much sooner an upstream in another data centre must be
-	// expected to answer to be chosen, and crossFactor the same for long work, as a
-	// share of the typical latency. The users pay for bytes between data centres.
+	// crossCentreMs is how much faster an upstream in another data centre must be
+	// expected to answer to be chosen. crossCentreFactor is the same for slow routes,
+	// as a share of the median latency. The users pay for traffic between data centres.
 	crossCentreMs     = 20.0
 	crossCentreFactor = 0.4
 
-	// openAttemptFactor is the share of a typical latency by which an attempt that is
-	// already open delays the next while the upstream has free slots.
+	// openAttemptFactor is the share of the median latency by which each open attempt
+	// delays the next one while the upstream has free slots.
 	openAttemptFactor = 0.15
 
-	// sharedAttemptFactor is the same at an upstream that other VMs use too: one open
-	// attempt of this VM stands for several.
+	// sharedAttemptFactor is the same at an upstream that other VMs use too, where
+	// one open attempt of this VM implies several from other VMs.
 	sharedAttemptFactor = 0.5
 )
 
-// chooseUpstream returns the upstream that is expected to answer a part first, nil if
-// none can take it now. any reports whether some upstream could take it later.
+// chooseUpstream returns the upstream with the lowest expected latency for a
+// sub-request, or nil if none can take it now. available reports whether some
+// upstream could take it now or later.
 func (m *Model) chooseUpstream(now clock.Millis, sub *subrequest, hedge bool) (best *upstream, available bool) {
 	medianMs := m.statsFor(sub.req.route).medianMs
 	bestScore := 0.0
@@ -48,7 +49,8 @@
 		}
 	}
 	if best == nil && !hedge && avoided != nil && (len(avoided.open) == 0 || avoided.failures == 0) {
-		// Nothing better is left: one attempt at a time finds out whether it is back.
+		// No other upstream is left: probe this one, after a failure with a single
+		// attempt at a time.
 		best = avoided
 	}
 	return best, available
@@ -57,7 +59,7 @@
 // isLocal reports whether an upstream is in this VM's data centre.
 func (m *Model) isLocal(u *upstream) bool { return u.info.DataCentre == m.cfg.dataCentre }
 
-// score is the expected latency of the next attempt at u, in milliseconds.
+// score returns the expected latency of the next attempt at u, in milliseconds.
 func (m *Model) score(now clock.Millis, u *upstream, medianMs float64) float64 {
 	busy := sharedAttemptFactor * float64(len(u.open))
 	if slots := u.info.Slots; u.service.isShard && m.inFleet && m.selfIsCarrier && slots > 0 {
@@ -72,6 +74,6 @@
 	if !m.isLocal(u) {
 		score += max(crossCentreMs, crossCentreFactor*medianMs)
 	}
-	// Spreads equal choices, so that VMs do not all prefer the same upstream.
+	// Jitter breaks ties, so that VMs do not all prefer the same upstream.
 	return score + m.rng.Float64()*0.1*medianMs
 }
--- a/relay/command.go
+++ b/relay/command.go
@@ -5,29 +5,30 @@
 // Cmd is an output of a Model.
 type Cmd interface{ relayCmd() }
 
-// SendCmd sends a request to an upstream. Exactly one ReplyMsg or AttemptFailedMsg must
-// follow, unless a CancelCmd came first.
+// SendCmd sends a request to an upstream. Exactly one ReplyMsg or AttemptFailedMsg
+// must follow, unless a CancelCmd came first.
 type SendCmd struct {
 	Attempt       uint64
 	Request       uint64
 	Upstream      string
 	Address       string
-	RemainingMs   clock.Millis // how long the upstream may work
-	Gather        bool         // only the receipt and the records of the reply are needed
-	NonIdempotent bool         // the request must not repeat: prefer a connection that is surely open
+	RemainingMs   clock.Millis // timeout of the upstream's work
+	Gather        bool         // only the receipt and the body of the reply are used
+	NonIdempotent bool         // must not run twice: prefer a connection that is known to be open
 }
 
-// CancelCmd ends an attempt. No message about it is expected any more.
+// CancelCmd cancels an attempt. No message about it needs to follow.
 type CancelCmd struct{ Attempt uint64 }
 
-// AnswerCmd answers a caller. Each request gets one, unless its caller has left.
+// AnswerCmd sends the final answer to the caller, or to the VM that delegated the
+// request. Each request gets exactly one, unless its caller disconnects.
 type AnswerCmd struct {
 	ID         uint64
 	Answer     Answer
-	ExpectedMs clock.Millis // for the VM that handed the request over
+	ExpectedMs clock.Millis // estimated latency here, for the VM that delegated the request
 }
 
-// DelegateCmd hands parts of a request over to a carrier.
+// DelegateCmd delegates sub-requests of a request to a carrier.
 type DelegateCmd struct {
 	Request    uint64
 	To         string
@@ -35,33 +36,33 @@
 	Delegation Delegation
 }
 
-// PartialResultCmd hands back what a carrier has when the answer becomes late. An
-// AnswerCmd follows.
+// PartialResultCmd sends the replies gathered up to the target time to the VM that
+// delegated the request. An AnswerCmd follows.
 type PartialResultCmd struct {
 	ID         uint64
 	Answer     Answer
-	ExpectedMs clock.Millis // for the VM that handed the request over
+	ExpectedMs clock.Millis // estimated latency here, for that VM
 }
 
-// AckDelegationCmd confirms a request of another VM.
+// AckDelegationCmd acknowledges a Delegation of another VM.
 type AckDelegationCmd struct{ ID uint64 }
 
-// CancelDelegationCmd tells a carrier that nobody waits for an answer.
+// CancelDelegationCmd cancels a Delegation at a carrier.
 type CancelDelegationCmd struct {
 	To string
 	ID uint64
 }
 
-// ConnectPeerCmd asks for a stream to a VM before it is needed.
+// ConnectPeerCmd opens a stream to another VM before it is needed.
 type ConnectPeerCmd struct{ VM, Address string }
 
-// ConnectUpstreamCmd asks for a warm connection to an upstream.
+// ConnectUpstreamCmd opens a connection to an upstream before it is needed.
 type ConnectUpstreamCmd struct{ Upstream, Address string }
 
-// CloseIdleCmd closes the idle connections to an upstream that is gone.
+// CloseIdleCmd closes the idle connections to a removed upstream.
 type CloseIdleCmd struct{ Upstream string }
 
-// EventCmd records a decision.
+// EventCmd logs a decision.
 type EventCmd struct{ Event Event }
 
 func (SendCmd) relayCmd()             {}
@@ -84,5 +85,5 @@
 	Upstream string
 	Version  uint64
 	Detail   string
-	AgeMs    clock.Millis // of the request or the belief
+	AgeMs    clock.Millis // of the request or of the state that the decision used
 }
--- a/relay/delegation.go
+++ b/relay/delegation.go
@@ -4,95 +4,101 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Delegation asks a carrier to gather some parts of a request. A carrier sees all
-// work of the upstreams in its data centre, so it knows which of them are free,
-// and one message crosses data centres where each part would.
+// Delegation asks a carrier to gather some sub-requests of a request. A carrier
+// sends nearly all work of the upstreams in its data centre, so it has the best view
+// of which of them are free. One message crosses data centres instead of one per
+// sub-request.
 type Delegation struct {
-	ID          uint64 // of the group at the VM that hands it over
-	Version     uint64 // the carrier must know this version of the configuration
+	ID          uint64 // of the delegation at the VM that delegates
+	Version     uint64 // configuration version that the carrier must have, or a newer one
 	Name        string
 	Host        string
 	Path        string
-	Services    []string // the shards to gather, of one version of the configuration
-	Head        []byte   // request line and headers as upstreams get them; filled in by the runtime
+	Services    []string // shards to gather, of one version of the configuration
+	Head        []byte   // request line and headers as sent to upstreams; filled in by the runtime
 	Body        []byte
 	RemainingMs clock.Millis
-	TargetInMs  clock.Millis // when the answer becomes late
+	TargetInMs  clock.Millis // time to the target
 	CallerRetry bool
 }
 
-// DelegationAck confirms a Delegation at once.
+// DelegationAck acknowledges a Delegation on arrival.
 type DelegationAck struct{ ID uint64 }
 
-// DelegationResult answers a Delegation. The answer names no missing shards: those that
-// have no receipt are missing. With More, a later HandBack replaces it.
+// DelegationResult is the result of a Delegation. The answer does not name missing
+// shards: those without a receipt are missing. A later DelegationResult replaces one
+// with Partial set.
 type DelegationResult struct {
 	ID         uint64
 	Answer     Answer
 	Partial    bool
-	ExpectedMs clock.Millis // how long a request of this route would take there now
+	ExpectedMs clock.Millis // estimated latency of another request of this route at the carrier
 }
 
-// DelegationCancel ends a Delegation whose answer nobody waits for.
+// DelegationCancel cancels a Delegation whose answer is no longer needed.
 type DelegationCancel struct{ ID uint64 }
 
-// PeerBody marks messages between VMs.
+// PeerBody marks a message between VMs.
 func (Delegation) PeerBody() {}
 
-// PeerBody marks messages between VMs.
+// PeerBody marks a message between VMs.
 func (DelegationAck) PeerBody() {}
 
-// PeerBody marks messages between VMs.
+// PeerBody marks a message between VMs.
 func (DelegationResult) PeerBody() {}
 
-// PeerBody marks messages between VMs.
+// PeerBody marks a message between VMs.
 func (DelegationCancel) PeerBody() {}
 
 const (
-	// ackTimeoutMs is how long a carrier may take to confirm, or takenShare of the time
-	// to the target if that is longer. The way there and back takes 2 ms between the
-	// users' data centres, and a carrier that takes over a new configuration is busy
-	// for up to 15 ms. To gather elsewhere counts as sending everything again.
+	// ackTimeoutMs is how long a carrier may take to acknowledge, or ackTimeoutShare
+	// of the time to the target if that is longer. The round trip takes 2 ms between
+	// the users' data centres, and a carrier that loads a new configuration is busy
+	// for up to 15 ms. Gathering elsewhere counts as sending all sub-requests again.
 	ackTimeoutMs    clock.Millis = 20
 	ackTimeoutShare float64      = 0.25
 
-	// resultTimeoutMs is how long a carrier may send nothing while an answer is late.
+	// resultTimeoutMs is how long a carrier may send no message once the target time
+	// has passed.
 	resultTimeoutMs clock.Millis = 25
 
-	// defaultLeadMs is kept from the time to the answer for the way back from a carrier
-	// whose reports have not been timed, and maxHopMs from that of any other.
+	// defaultLeadMs is subtracted from the time to the target for the trip back from a
+	// carrier whose result lag has not been measured yet. maxLeadMs limits what is
+	// subtracted for any other carrier.
 	defaultLeadMs clock.Millis = 2
 	maxLeadMs     clock.Millis = 12
 
-	// Weights of one sample in the lag of a carrier's reports. A report that comes
-	// after the target makes the whole answer late, so lag is learned fast.
+	// Weights of one sample in the moving average of a carrier's result lag. A result
+	// that arrives after the target delays the whole answer, so a rise of the lag
+	// counts more than a fall.
 	lagRiseWeight = 0.3
 	lagFallWeight = 0.03
 
-	// Time for which a carrier is avoided after it failed. It doubles.
+	// A carrier is avoided for this time after a failure. The time doubles with each
+	// further failure in a row.
 	firstCarrierAvoidMs clock.Millis = 500
 	maxCarrierAvoidMs                = 8 * clock.Second
 )
 
-// delegation is the parts of one request that a carrier gathers.
+// delegation is a set of sub-requests of one request that a carrier gathers.
 type delegation struct {
 	id          uint64
 	req         *request
 	carrier     *peerVM
 	subrequests []*subrequest
 	sentAt      clock.Millis
-	leadMs      clock.Millis // kept from the time to the answer
-	result      Answer       // the last one
-
-	acked          bool         // the carrier has confirmed
-	resultReceived bool         // it has handed something back
-	started        bool         // it has gathered something
-	notStarted     bool         // it states that it has not begun, or never got the group
-	ended          bool         // nothing more is expected of it
-	ackDeadline    clock.Millis // when it must have been confirmed
+	leadMs      clock.Millis // subtracted from the time to the target
+	result      Answer       // latest one
+
+	acked          bool         // the carrier has acknowledged
+	resultReceived bool         // the carrier has sent at least one result
+	started        bool         // the carrier has gathered at least one reply
+	notStarted     bool         // the carrier reported that nothing ran, or never received the delegation
+	ended          bool         // no further message is expected
+	ackDeadline    clock.Millis // when the carrier must have acknowledged
 }
 
-// leadMs returns how much sooner than the answer a carrier should report.
+// leadMs returns how long before the target a carrier should send its result.
 func (c *peerVM) leadMs() clock.Millis {
 	if c.resultLagMs == 0 {
 		return defaultLeadMs
@@ -100,7 +106,7 @@
 	return min(clock.Millis(c.resultLagMs)+1, maxLeadMs)
 }
 
-// recordLag records how long after its time a report arrived.
+// recordLag records how late a partial result arrived.
 func (c *peerVM) recordLag(lag clock.Millis) {
 	sample, weight := float64(max(lag, 1)), lagFallWeight
 	if sample > c.resultLagMs {
@@ -109,22 +115,23 @@
 	c.resultLagMs += weight * (sample - c.resultLagMs)
 }
 
-// setEstimate notes how long a request of a route would take at a carrier.
+// setEstimate stores the latency that a carrier estimates for a request of a route.
 func (c *peerVM) setEstimate(now clock.Millis, route string, ms clock.Millis) {
 	c.estimates[route] = estimate{ms: ms, at: now}
 }
 
-// estimate is how long a request of one route would take at a carrier.
+// estimate is the latency that a carrier estimates for a request of one route.
 type estimate struct {
 	ms clock.Millis
 	at clock.Millis
 }
 
-// estimateMaxAgeMs is the age from which an expectation says nothing any more.
+// estimateMaxAgeMs is the age from which an estimate is stale.
 const estimateMaxAgeMs clock.Millis = 300
 
-// estimateFor returns how long a request of a route would take at a carrier from now.
-// The queue that it saw has become shorter since, at most by the time that passed.
+// estimateFor returns the estimated latency of a request of a route at a carrier
+// from now. Since the estimate, the carrier's queue has become shorter by at most
+// the elapsed time.
 func (c *peerVM) estimateFor(now clock.Millis, route string) clock.Millis {
 	e, ok := c.estimates[route]
 	if age := now - e.at; ok && age < estimateMaxAgeMs {
@@ -133,7 +140,7 @@
 	return 0
 }
 
-// delegate gives parts of a request to a carrier.
+// delegate sends sub-requests of a request to a carrier.
 func (m *Model) delegate(now clock.Millis, r *request, c *peerVM, subrequests []*subrequest) {
 	m.nextID++
 	d := &delegation{id: m.nextID, req: r, carrier: c, subrequests: subrequests, sentAt: now}
@@ -153,7 +160,7 @@
 	m.wake(r, d.ackDeadline)
 }
 
-// handleResult takes a carrier's answer.
+// handleResult applies a carrier's result.
 func (m *Model) handleResult(now clock.Millis, msg DelegationResultMsg) {
 	d := m.openDelegation(msg.From, msg.Result.ID)
 	if d == nil {
@@ -186,14 +193,14 @@
 		m.endDelegation(d)
 		m.advance(now, r)
 	default:
-		// The carrier has not begun: it stops, or its configuration is another.
+		// The carrier ran nothing: it is stopping, or its configuration is older.
 		m.event("carrier_not_ready", r, nil, d.carrier.info.ID+" "+a.Reason, now-d.sentAt)
 		d.carrier.recordFailure(now)
 		m.reclaim(now, d, false)
 	}
 }
 
-// openDelegation returns an open group of a carrier.
+// openDelegation returns an open delegation by carrier and ID, or nil.
 func (m *Model) openDelegation(vm string, id uint64) *delegation {
 	d := m.delegations[id]
 	if d == nil || d.carrier.info.ID != vm {
@@ -209,14 +216,14 @@
 	}
 }
 
-// endDelegation ends the tie to a carrier. Its answer, if any, stays with the request.
+// endDelegation closes a delegation. Its result, if any, stays with the request.
 func (m *Model) endDelegation(d *delegation) {
 	d.ended = true
 	delete(m.delegations, d.id)
 	delete(d.carrier.delegations, d.id)
 }
 
-// cancelDelegations ends all open groups of a request.
+// cancelDelegations cancels all open delegations of a request.
 func (m *Model) cancelDelegations(r *request) {
 	for _, d := range r.delegations {
 		if !d.ended {
@@ -226,13 +233,13 @@
 	}
 }
 
-// checkCarriers takes groups back from carriers that seem lost.
+// checkCarriers reclaims the delegations of carriers that have timed out.
 func (m *Model) checkCarriers(now clock.Millis, r *request) {
 	for _, d := range r.delegations {
 		if d.ended {
 			continue
 		}
-		// A carrier reports when the answer becomes late, whatever it has by then.
+		// A carrier sends a result at the target time, also if it has no reply yet.
 		timeoutAt := max(r.targetAt, d.carrier.lastMessageAt, d.sentAt) + resultTimeoutMs
 		switch {
 		case d.resultReceived:
@@ -248,7 +255,7 @@
 	}
 }
 
-// carrierLost takes a group back from a carrier that seems lost.
+// carrierLost cancels and reclaims a delegation whose carrier has timed out.
 func (m *Model) carrierLost(now clock.Millis, d *delegation, cause string) {
 	m.event("carrier_lost", d.req, nil, d.carrier.info.ID+" "+cause, now-d.sentAt)
 	d.carrier.recordFailure(now)
@@ -256,14 +263,15 @@
 	m.reclaim(now, d, true)
 }
 
-// reclaim gathers the parts of a group here. If the carrier may have begun,
-// each part counts as sent once, for the budget and for the number of attempts.
+// reclaim gathers the sub-requests of a delegation on this VM. If they may have run
+// at the carrier, each counts as sent once, for the budget and for the number of
+// attempts.
 func (m *Model) reclaim(now clock.Millis, d *delegation, mayHaveRun bool) {
 	r := d.req
 	m.endDelegation(d)
 	d.notStarted = !mayHaveRun
 	if r.answered || len(d.result.Receipts) > 0 {
-		// What it has given stays; the shards that it did not name are missing.
+		// The replies in the result are kept. Shards without a receipt are missing.
 		r.unresolved -= len(d.subrequests) - len(d.result.Receipts)
 		m.advance(now, r)
 		return
@@ -281,7 +289,7 @@
 	m.advance(now, r)
 }
 
-// handleNotSent takes back a group whose Delegation never left this VM.
+// handleNotSent reclaims a delegation whose message never left this VM.
 func (m *Model) handleNotSent(now clock.Millis, msg DelegationNotSentMsg) {
 	if d := m.openDelegation(msg.To, msg.ID); d != nil {
 		m.event("carrier_lost", d.req, nil, d.carrier.info.ID+" unreachable", now-d.sentAt)
@@ -290,20 +298,21 @@
 	}
 }
 
-// handlePeerDisconnected takes back what a VM worked on when its connection broke.
+// handlePeerDisconnected reclaims all delegations of a VM whose connection broke.
 func (m *Model) handlePeerDisconnected(now clock.Millis, vm string) {
 	c := m.peers[vm]
 	if c == nil {
 		return
 	}
-	c.recordFailure(now) // also without open groups: the next one would be lost
+	c.recordFailure(now) // also without open delegations: the next one would be lost
 	for _, d := range c.sortedDelegations() {
 		m.event("carrier_lost", d.req, nil, c.info.ID+" connection_broke", now-d.sentAt)
 		m.reclaim(now, d, true)
 	}
 }
 
-// acceptDelegation tells the VM that handed a request over whether this one takes it.
+// acceptDelegation acknowledges a delegation, or refuses it if this VM is stopping
+// or has an older configuration.
 func (m *Model) acceptDelegation(msg ArrivalMsg) bool {
 	reason := ""
 	switch {
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,8 +1,11 @@
-// Package relay decides what happens to a request that is forwarded unchanged:
-// to one upstream, or to one upstream of every shard, whose parts it merges.
+// Package relay forwards requests unchanged: to one upstream, or to one
+// upstream of each shard with the replies merged into one answer.
 //
-// Model is a pure state machine for one VM. It chooses upstreams, sends hedges
-// and retries within the budget of the fleet, lets requests wait or refuses
-// them, and decides when an answer is due. Nothing in it reads a clock, a
-// socket or a global random source.
+// A carrier is a VM that owns most of the connections to the upstreams of its
+// data centre. Other VMs delegate their sub-requests for those shards to it, and it
+// returns the merged replies.
+//
+// Model is a pure state machine for one VM. It selects upstreams, issues hedges
+// and retries within the fleet-wide budget, queues or refuses requests, and
+// decides when to answer. It reads no clock, socket or global random source.
 package relay
--- a/relay/finish.go
+++ b/relay/finish.go
@@ -2,16 +2,17 @@
 
 import "lentillink.example/lentillink/clock"
 
-// attemptGraceMs is how long attempts go on after the answer. Most end by then, and
-// their connections are kept; an upstream must not work for a caller that left
-// half a second ago.
+// attemptGraceMs is how long open attempts may continue after the answer. Most end
+// within that time, and their connections can be reused. It stays below the half
+// second after which an upstream must not work for a caller that has disconnected.
 const attemptGraceMs clock.Millis = 250
 
-// noUpstreamRetryMs is the time to come back that is stated when a service has no
-// upstream: a restart takes seconds.
+// noUpstreamRetryMs is the retry delay returned when a service has no upstream: a
+// restart takes seconds.
 const noUpstreamRetryMs clock.Millis = 300
 
-// advance answers a request once its answer is due, and looks after it otherwise.
+// advance answers a request when all sub-requests are resolved or its time is up.
+// Otherwise it sends hedges, checks the carriers and sets the next timers.
 func (m *Model) advance(now clock.Millis, r *request) {
 	if m.requests[r.id] != r {
 		return
@@ -24,12 +25,12 @@
 	case r.unresolved == 0:
 		m.finish(now, r)
 	case r.succeeded+r.unresolved < r.requiredReplies():
-		m.finish(now, r) // the parts that are missing decide
+		m.finish(now, r) // too many replies are missing
 	case r.delegated && now >= r.targetAt && !r.partialSent:
 		m.sendPartialResult(now, r)
 		m.advance(now, r)
 	case !r.delegated && r.gathers() && now >= r.targetAt && r.succeeded >= r.requiredReplies():
-		m.finish(now, r) // waiting for more makes it late
+		m.finish(now, r) // enough replies; waiting for more would miss the target
 	case now >= r.deadline:
 		m.finish(now, r)
 	default:
@@ -42,8 +43,9 @@
 	}
 }
 
-// sendPartialResult hands back what is in when the answer becomes late. The VM that handed
-// the request over knows whether that is enough, and that the carrier is alive.
+// sendPartialResult sends the replies gathered up to the target time. The VM that
+// delegated the request decides whether they are enough. The message also shows it
+// that this carrier is alive.
 func (m *Model) sendPartialResult(now clock.Millis, r *request) {
 	r.partialSent = true
 	a := mergeReplies(r)
@@ -51,14 +53,14 @@
 	m.emit(PartialResultCmd{ID: r.id, Answer: a, ExpectedMs: m.estimateRequest(now, r)})
 }
 
-// finish sends the final answer.
+// finish builds and sends the final answer.
 func (m *Model) finish(now clock.Millis, r *request) {
 	a := m.buildAnswer(now, r)
 	a.Route, a.Version, a.TookMs, a.Late = r.route.Name, r.version, now-r.arrived, now > r.targetAt
 	m.sendAnswer(now, r, a)
 }
 
-// sendAnswer gives the final answer to the caller.
+// sendAnswer sends the final answer and cancels the open delegations.
 func (m *Model) sendAnswer(now clock.Millis, r *request, a Answer) {
 	m.markAnswered(now, r)
 	m.cancelDelegations(r)
@@ -73,7 +75,7 @@
 	m.release(now, r)
 }
 
-// markAnswered notes that nobody waits for a request any more.
+// markAnswered records that no caller waits for the request any more.
 func (m *Model) markAnswered(now clock.Millis, r *request) {
 	r.answered, r.answeredAt = true, now
 	*m.policies.open.Ref(rankOf(r.route.Priority))--
@@ -103,8 +105,8 @@
 	}
 }
 
-// release forgets an answered request once its attempts have ended, and ends
-// those of requests that may repeat when they have lingered.
+// release deletes an answered request once its attempts have ended. After the
+// grace period it cancels the attempts of idempotent requests.
 func (m *Model) release(now clock.Millis, r *request) {
 	if r.openAttempts == 0 {
 		delete(m.requests, r.id)
@@ -116,7 +118,7 @@
 		return
 	}
 	if !r.route.Idempotent && !m.graceExpired(now, r) {
-		// Work that must not repeat is left to finish within its own time.
+		// Attempts of non-idempotent requests may finish until the request's deadline.
 		m.wake(r, r.deadline+attemptGraceMs)
 		return
 	}
--- a/relay/gather.go
+++ b/relay/gather.go
@@ -5,10 +5,10 @@
 	"container/heap"
 )
 
-// recordBytes is the length of a record. A shorter remainder is no record.
+// recordBytes is the length of a record. A shorter remainder is ignored.
 const recordBytes = 16
 
-// mergeReplies merges the parts that are in, and what carriers have merged.
+// mergeReplies merges the replies received here with the results of the carriers.
 func mergeReplies(r *request) Answer {
 	a := Answer{Outcome: Gathered, Missing: r.totalSubrequests - r.succeeded}
 	bodies := make([][]byte, 0, r.succeeded)
@@ -26,8 +26,8 @@
 	return a
 }
 
-// TopRecords returns the n greatest records of all bodies, greatest first. Equal
-// records all count.
+// TopRecords returns the n greatest records of all bodies in descending order.
+// Duplicates are kept.
 func TopRecords(n int, bodies [][]byte) []byte {
 	kept := make(recordHeap, 0, n)
 	for _, b := range bodies {
@@ -49,7 +49,7 @@
 	return out
 }
 
-// recordHeap has the least record on top.
+// recordHeap is a min-heap of records.
 type recordHeap [][]byte
 
 func (h recordHeap) Len() int           { return len(h) }
--- a/relay/message.go
+++ b/relay/message.go
@@ -8,64 +8,64 @@
 // Msg is an input of a Model.
 type Msg interface{ relayMsg() }
 
-// TableMsg puts a version of the configuration in force. An older version
-// than the one in force is ignored.
+// TableMsg activates a version of the configuration. A version older than the active
+// one is ignored.
 type TableMsg struct{ Table *route.Table }
 
-// UpstreamMsg reports what an upstream says of itself.
+// UpstreamMsg carries the state that an upstream reports about itself.
 type UpstreamMsg struct{ Upstream Upstream }
 
-// UpstreamRemovedMsg reports that an upstream is gone.
+// UpstreamRemovedMsg reports that an upstream was removed.
 type UpstreamRemovedMsg struct{ ID string }
 
-// ArrivalMsg brings a request that was read whole. ID is unique on this VM.
+// ArrivalMsg reports a request that was read completely. ID is unique on this VM.
 type ArrivalMsg struct {
 	ID          uint64
-	Name        string // the caller's identifier, for events
+	Name        string // the caller's request identifier, for events
 	Host        string
 	Path        string       // with its query string
-	RemainingMs clock.Millis // how long the caller waits; 0 if it does not say
+	RemainingMs clock.Millis // caller's timeout; 0 if not stated
 
-	// RoundTripMs is how long the network takes for the request and its answer, and for
-	// opening the connection if that was done for this request; 0 if not known.
+	// RoundTripMs is the network time of the request and its answer, plus that of
+	// opening the connection if it was opened for this request; 0 if not known.
 	RoundTripMs clock.Millis
 
-	// Delegation is set for a request of another VM.
+	// Delegation is set for a request that another VM delegated.
 	Delegation *Delegation
 }
 
-// ReplyMsg brings the whole reply to an attempt.
+// ReplyMsg reports the complete reply to an attempt.
 type ReplyMsg struct {
 	Attempt uint64
 	Reply   Reply
 }
 
-// AttemptFailedMsg reports that an attempt ended without a whole reply.
+// AttemptFailedMsg reports that an attempt ended without a complete reply.
 type AttemptFailedMsg struct {
 	Attempt uint64
-	NotSent bool   // no byte of the request left, so it did not run
+	NotSent bool   // no byte of the request was sent, so it did not run
 	Cause   string // for events
 }
 
-// CallerDisconnectedMsg reports that the caller has left.
+// CallerDisconnectedMsg reports that the caller has disconnected.
 type CallerDisconnectedMsg struct{ ID uint64 }
 
-// FleetMsg lists the VMs that share the upstreams, this one included.
+// FleetMsg lists the VMs that share the upstreams, including this one.
 type FleetMsg struct{ VMs []VM }
 
-// DelegationAckMsg brings a carrier's confirmation.
+// DelegationAckMsg reports a carrier's acknowledgement.
 type DelegationAckMsg struct {
 	From string
 	ID   uint64
 }
 
-// DelegationResultMsg brings a carrier's answer.
+// DelegationResultMsg reports a carrier's result.
 type DelegationResultMsg struct {
 	From   string
 	Result DelegationResult
 }
 
-// DelegationNotSentMsg reports that a Delegation certainly never left this VM.
+// DelegationNotSentMsg reports that a Delegation definitely did not leave this VM.
 type DelegationNotSentMsg struct {
 	To string
 	ID uint64
@@ -74,18 +74,18 @@
 // PeerDisconnectedMsg reports that the connection to a VM broke.
 type PeerDisconnectedMsg struct{ VM string }
 
-// BudgetMsg bounds the attempts beyond the first one of each service over all
-// VMs: Ratio of its requests, plus Extra, in any window.
+// BudgetMsg limits the extra attempts of each service, summed over all VMs, in any
+// window: Ratio of its requests, plus Extra.
 type BudgetMsg struct {
 	Ratio    float64
 	Extra    float64
 	WindowMs clock.Millis
 }
 
-// StopMsg makes every request end by a time, because the VM stops then.
+// StopMsg sets a deadline for all requests, because the VM stops at that time.
 type StopMsg struct{ Deadline clock.Millis }
 
-// TickMsg lets time pass.
+// TickMsg reports that time has passed.
 type TickMsg struct{}
 
 func (TableMsg) relayMsg()              {}
--- a/relay/model.go
+++ b/relay/model.go
@@ -21,12 +21,12 @@
 	requests      map[uint64]*request
 	attempts      map[uint64]*attempt
 	timers        timers
-	peers         map[string]*peerVM     // the VMs of the fleet
-	vmIDs         []string               // their names, sorted
-	inFleet       bool                   // this VM is one of them
-	delegations   map[uint64]*delegation // parts that carriers gather for this VM
+	peers         map[string]*peerVM     // the VMs of the fleet, by ID
+	vmIDs         []string               // IDs of the VMs, sorted
+	inFleet       bool                   // this VM is in the list
+	delegations   map[uint64]*delegation // open delegations to carriers, by ID
 	rotation      int
-	selfIsCarrier bool // this VM was a carrier at the last choice
+	selfIsCarrier bool // this VM was a carrier when carriers were last selected
 	vmCount       int
 	budgetLimit   BudgetMsg
 	policies      policies
@@ -35,7 +35,7 @@
 	cmds          []Cmd
 }
 
-// New returns a Model that knows no configuration.
+// New returns a Model without a configuration.
 func New(opts ...Option) *Model {
 	cfg := newConfig(opts)
 	return &Model{
@@ -46,8 +46,8 @@
 	}
 }
 
-// Update applies msg at now and returns the commands that follow from it. The
-// slice is valid until the next call.
+// Update applies msg at now and returns the resulting commands. The slice is valid
+// until the next call.
 func (m *Model) Update(now clock.Millis, msg Msg) []Cmd {
 	clear(m.cmds)
 	m.cmds = m.cmds[:0]
@@ -98,7 +98,7 @@
 	}
 }
 
-// stop shortens the time of every request to what is left of this VM's.
+// stop shortens the deadlines of all requests to that of this VM.
 func (m *Model) stop(deadline clock.Millis) {
 	m.stopAt = deadline
 	for _, r := range m.requests {
@@ -135,9 +135,9 @@
 	m.emit(EventCmd{Event: Event{Kind: "config_in_force", Version: t.Version()}})
 }
 
-// setUpstream takes over a report. Reports that are older than the last one of
-// the same start, or of an earlier start, change nothing: reports can arrive
-// late, and a leaving upstream never takes new work again.
+// setUpstream applies an upstream's report. Reports of an earlier incarnation, or
+// with a lower sequence number in the same one, are ignored: reports can arrive
+// late, and a leaving upstream never accepts new work again.
 func (m *Model) setUpstream(now clock.Millis, info Upstream) {
 	u := m.upstreams[info.ID]
 	if u != nil {
@@ -179,7 +179,7 @@
 	}
 }
 
-// detach takes an upstream out of its service. Attempts that it is running go on.
+// detach removes an upstream from its service. Its open attempts continue.
 func (m *Model) detach(now clock.Millis, u *upstream) {
 	u.removed = true
 	u.service.dataCentres = nil
--- a/relay/options.go
+++ b/relay/options.go
@@ -20,18 +20,18 @@
 // Option configures a Model.
 type Option func(*config)
 
-// WithSeed seeds the spread of waiting times.
+// WithSeed seeds the jitter of retry delays and of the choice of upstreams.
 func WithSeed(seed uint64) Option { return func(c *config) { c.seed = seed } }
 
-// WithSelf names this VM and its data centre.
+// WithSelf sets the ID and data centre of this VM.
 func WithSelf(id, dataCentre string) Option {
 	return func(c *config) { c.self, c.dataCentre = id, dataCentre }
 }
 
-// WithVMs sets how many VMs share the upstreams until a FleetMsg tells.
+// WithVMs sets how many VMs share the upstreams until the first FleetMsg.
 func WithVMs(n int) Option { return func(c *config) { c.vmCount = n } }
 
-// WithBudget bounds the extra attempts of each service until a BudgetMsg tells.
+// WithBudget limits the extra attempts of each service until the first BudgetMsg.
 func WithBudget(b BudgetMsg) Option {
 	return func(c *config) {
 		if b.WindowMs > 0 {
--- a/relay/preset.go
+++ b/relay/preset.go
@@ -6,34 +6,35 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// PresetMsg puts a preset in force. Requests that are open keep what they were
-// admitted with.
+// PresetMsg activates a preset. Open requests keep the deadlines and shares with
+// which they were admitted.
 type PresetMsg struct{ Preset preset.Preset }
 
 func (PresetMsg) relayMsg() {}
 
 const (
-	// percent turns a share of a preset into a ratio.
+	// percent converts a percentage of a preset to a ratio.
 	percent = 100
 
-	// rankExtra is how many hedges and retries of one rank are allowed beyond the
-	// preset's share in a window, so that a rank with few requests gets some.
+	// rankExtra is how many hedges and retries per window one rank may use beyond the
+	// preset's percentage, so that a rank with few requests gets some.
 	rankExtra = 5
 
-	// rankWindowMs is the window of a rank's budgets.
+	// rankWindowMs is the window of the budgets of a rank.
 	rankWindowMs = 10 * clock.Second
 )
 
-// policies is the preset in force and what was spent of its budgets on this VM.
+// policies is the active preset and the use of its budgets on this VM.
 type policies struct {
 	active  preset.Preset
 	loaded  bool
 	hedges  rank.Table[budget]
 	retries rank.Table[budget]
-	open    rank.Table[int] // requests that are not answered
+	open    rank.Table[int] // requests without an answer
 }
 
-// rankOf maps a route's priority to a rank: all that is less urgent is patient.
+// rankOf maps a route's priority to a rank. Lower priorities than the last rank map
+// to the last rank, patient.
 func rankOf(priority int) rank.Rank {
 	return rank.Rank(min(max(priority, 0), rank.Count-1))
 }
@@ -54,7 +55,7 @@
 	}
 }
 
-// countRequest counts one part of a rank for its budgets.
+// countRequest counts one sub-request of a rank for its budgets.
 func (p *policies) countRequest(now clock.Millis, priority int) {
 	if p.loaded {
 		p.hedges.Ref(rankOf(priority)).countRequest(now)
@@ -62,19 +63,19 @@
 	}
 }
 
-// allows reports whether a rank's budget has an extra attempt left.
+// allows reports whether a rank's budget allows one more extra attempt.
 func (p *policies) allows(now clock.Millis, budgets *rank.Table[budget], priority int) bool {
 	return !p.loaded || budgets.Ref(rankOf(priority)).remaining(now, 1, 1/localBudgetShare) >= 1
 }
 
-// spend counts an extra attempt of a rank.
+// spend counts one extra attempt of a rank.
 func (p *policies) spend(now clock.Millis, budgets *rank.Table[budget], priority int) {
 	if p.loaded {
 		budgets.Ref(rankOf(priority)).spend(now)
 	}
 }
 
-// boundTimeout bounds a request's time by the preset's deadline of its rank.
+// boundTimeout limits a request's timeout to the preset's deadline of its rank.
 func (p *policies) boundTimeout(timeout clock.Millis, priority int) clock.Millis {
 	if limit := p.active.Policy(rankOf(priority)).DeadlineMs; p.loaded && limit > 0 {
 		return min(timeout, limit)
@@ -82,7 +83,8 @@
 	return timeout
 }
 
-// minShardRatio returns the least share of shards: the larger of the route's and the preset's.
+// minShardRatio returns the minimum share of shards: the larger of the route's and
+// the preset's.
 func (p *policies) minShardRatio(share float64, priority int) float64 {
 	if !p.loaded {
 		return share
@@ -90,7 +92,7 @@
 	return max(share, p.active.Policy(rankOf(priority)).MinCoveragePercent/percent)
 }
 
-// queueFull reports whether a rank has as many requests open as the preset lets wait.
+// queueFull reports whether a rank has as many open requests as the preset allows.
 func (p *policies) queueFull(priority int) bool {
 	r := rankOf(priority)
 	limit := p.active.Policy(r).QueueRequests
--- a/relay/query.go
+++ b/relay/query.go
@@ -2,7 +2,7 @@
 
 import "lentillink.example/lentillink/clock"
 
-// NextWake returns when the model wants a TickMsg.
+// NextWake returns when the model needs the next TickMsg.
 func (m *Model) NextWake() (clock.Millis, bool) {
 	if len(m.timers) == 0 {
 		return 0, false
@@ -10,10 +10,11 @@
 	return m.timers[0].at, true
 }
 
-// Ready reports whether a configuration is in force and some upstream is known.
+// Ready reports whether a configuration is active and at least one upstream is
+// known.
 func (m *Model) Ready() bool { return m.table != nil && len(m.upstreams) > 0 }
 
-// Version returns the version of the configuration in force, 0 for none.
+// Version returns the version of the active configuration, 0 if there is none.
 func (m *Model) Version() uint64 {
 	if m.table == nil {
 		return 0
--- a/relay/reply.go
+++ b/relay/reply.go
@@ -28,12 +28,12 @@
 	m.advance(now, sub.req)
 }
 
-// handleNotRun takes back an attempt that the upstream states it did not run.
+// handleNotRun handles an attempt that the upstream reports not to have run.
 func (m *Model) handleNotRun(now clock.Millis, a *attempt, reply Reply) {
 	u := a.upstream
 	if reply.WrongUpstream {
-		// Another upstream has the address, so this one is gone. Each further
-		// attempt would count as work for the service of the new owner.
+		// The address now belongs to another upstream, so this one is gone. Each further
+		// attempt would count as load of the new owner's service.
 		m.event("address_reused", a.subrequest.req, u, u.info.Address, now-a.sentAt)
 		if m.upstreams[u.info.ID] == u {
 			m.removeUpstream(now, u.info.ID)
@@ -44,7 +44,7 @@
 	m.event("upstream_shed", a.subrequest.req, u, a.subrequest.service.name, now-a.sentAt)
 }
 
-// resolve takes the reply as the part's result, or tries again.
+// resolve accepts the reply as the result of the sub-request, or retries.
 func (m *Model) resolve(now clock.Millis, sub *subrequest, reply Reply) {
 	if sub.resolved || sub.req.answered {
 		return
@@ -80,8 +80,8 @@
 	m.advance(now, sub.req)
 }
 
-// retry places a part again if it may run again, the budget allows it and an
-// upstream is left.
+// retry sends a sub-request again if it may be repeated, the budget allows it and an
+// untried upstream is left.
 func (m *Model) retry(now clock.Millis, sub *subrequest) {
 	if sub.resolved || sub.req.answered || len(sub.open) > 0 {
 		return
@@ -102,7 +102,7 @@
 	}
 }
 
-// giveUp resolves a part without a reply.
+// giveUp resolves a sub-request without a reply.
 func (m *Model) giveUp(now clock.Millis, sub *subrequest) {
 	if sub.resolved || len(sub.open) > 0 {
 		return
@@ -121,7 +121,7 @@
 	if r.answered {
 		return
 	}
-	if !r.delegated { // a VM that handed shards over withdraws them as a rule
+	if !r.delegated { // a VM that delegated shards cancels them in normal operation
 		m.event("caller_gone", r, nil, "", now-r.arrived)
 	}
 	m.markAnswered(now, r)
--- a/relay/request.go
+++ b/relay/request.go
@@ -7,45 +7,45 @@
 	"lentillink.example/lentillink/route"
 )
 
-// request is one request of a caller, until its last attempt has ended.
+// request is one request of a caller, kept until its last attempt has ended.
 type request struct {
 	id                 uint64
 	name               string
 	hash               uint64 // of the name
 	route              *route.Route
 	version            uint64
-	minShardRatio      float64 // of the shards, below which a gathered answer fails
+	minShardRatio      float64 // share of the shards below which a gathered answer fails
 	arrived            clock.Millis
-	deadline           clock.Millis  // final answer: the caller or the route waits no longer
+	deadline           clock.Millis  // for the final answer, from the timeouts of the caller and the route
 	targetAt           clock.Millis  // an answer after this is late
-	callerRetry        bool          // the caller was here before
-	subrequests        []*subrequest // that are gathered here
-	succeeded          int           // parts with a reply
-	unresolved         int           // parts that may still get one
+	callerRetry        bool          // the caller sends this request again
+	subrequests        []*subrequest // gathered on this VM
+	succeeded          int           // sub-requests with a reply
+	unresolved         int           // sub-requests that may still get a reply
 	answered           bool
 	answeredAt         clock.Millis
-	callerDisconnected bool // the caller has left
+	callerDisconnected bool
 	host               string
 	path               string
-	totalSubrequests   int           // parts that the whole answer has
-	delegations        []*delegation // parts that carriers gather
-	probed             bool          // has tried an upstream that was slow
+	totalSubrequests   int           // sub-requests of the complete answer
+	delegations        []*delegation // sub-requests that carriers gather
+	probed             bool          // has probed an upstream that was slow
 	delegated          bool          // gathered here for another VM
-	partialSent        bool          // what was in when the answer became late was handed back
-	retryAfterMs       clock.Millis  // longest time to come back that a carrier stated
-	carrierMayHaveRun  bool          // a carrier may have begun
+	partialSent        bool          // the partial result at the target time was sent
+	retryAfterMs       clock.Millis  // longest retry delay that a carrier returned
+	carrierMayHaveRun  bool          // a carrier reported an outcome other than refused
 	openAttempts       int           // attempts that have not ended
 	wakeAt             clock.Millis
 }
 
-// subrequest is what a request needs of one service.
+// subrequest is the part of a request for one service.
 type subrequest struct {
 	req         *request
 	service     *service
 	dataCentre  string // data centre whose carrier gathers it, if any
-	resolved    bool   // has a reply, or never will
+	resolved    bool   // has a reply, or will get none
 	reply       *Reply
-	lastFailure *Reply // the last reply that was no success
+	lastFailure *Reply // last unsuccessful reply
 	tried       []*upstream
 	mayRun      int // attempts that may have run
 	open        []*attempt
@@ -54,20 +54,20 @@
 	hedged      bool
 }
 
-// attempt is one sending of a part to one upstream.
+// attempt is one transmission of a sub-request to one upstream.
 type attempt struct {
 	id           uint64
 	subrequest   *subrequest
 	upstream     *upstream
 	sentAt       clock.Millis
-	overdueAfter clock.Millis // after this long a reply is overdue
+	overdueAfter clock.Millis // latency from which the reply is overdue
 	hedgeAt      clock.Millis
 }
 
-// gathers reports whether the answer is merged from parts.
+// gathers reports whether the answer is merged from several replies.
 func (r *request) gathers() bool { return len(r.route.Gather) > 0 }
 
-// requiredReplies returns how many parts a gathered answer needs.
+// requiredReplies returns how many replies an answer needs.
 func (r *request) requiredReplies() int {
 	if !r.gathers() {
 		return 1
@@ -75,7 +75,7 @@
 	// The tolerance keeps 0.9 x 10 from becoming 10 by rounding.
 	const tolerance = 1e-9
 	if r.delegated {
-		return 1 // the VM that handed it over decides
+		return 1 // the VM that delegated it decides
 	}
 	return max(int(math.Ceil(r.minShardRatio*float64(r.totalSubrequests)-tolerance)), 1)
 }
@@ -87,7 +87,7 @@
 	}
 	for _, d := range r.delegations {
 		if !d.notStarted {
-			return true // also if the carrier has not confirmed: the message may be on its way
+			return true // also without an acknowledgement: the message may be in transit
 		}
 	}
 	for _, sub := range r.subrequests {
@@ -98,15 +98,16 @@
 	return false
 }
 
-// precedes reports whether p is served before q: by priority, then callers that
-// return, because they were refused once, then by who has less time left.
+// precedes reports whether sub is served before other: by priority, then before
+// those that are late already, then retries by callers that were refused once, then
+// by remaining time.
 func (sub *subrequest) precedes(now clock.Millis, other *subrequest) bool {
 	a, b := sub.req, other.req
 	switch {
 	case a.route.Priority != b.route.Priority:
 		return a.route.Priority < b.route.Priority
 	case (now > a.targetAt) != (now > b.targetAt):
-		return now <= a.targetAt // what is late already gives way to what is not
+		return now <= a.targetAt // late requests yield to those that are not
 	case a.callerRetry != b.callerRetry:
 		return a.callerRetry
 	case a.targetAt != b.targetAt:
--- a/relay/send.go
+++ b/relay/send.go
@@ -2,11 +2,12 @@
 
 import "lentillink.example/lentillink/clock"
 
-// hedgeTargetDivisor is the part of the time to the target that passes before a
-// hedge, if the reply is overdue sooner: work with much time left is not sent twice.
+// hedgeTargetDivisor gives the minimum delay of a hedge, as a fraction of the time
+// to the target, also if the reply is overdue sooner: a request with much time left
+// is not sent twice.
 const hedgeTargetDivisor = 3
 
-// dispatch sends a part, lets it wait, or gives it up if there is no upstream.
+// dispatch sends a sub-request, queues it, or gives up if there is no upstream.
 func (m *Model) dispatch(now clock.Millis, sub *subrequest) {
 	if sub.resolved || sub.req.answered {
 		return
@@ -47,7 +48,8 @@
 	}
 }
 
-// dispatchQueued sends what waits for a service while lanes are free.
+// dispatchQueued sends queued sub-requests of a service while the attempt limits
+// allow.
 func (m *Model) dispatchQueued(now clock.Millis, s *service) {
 	for len(s.queue) > 0 {
 		sub := s.next(now)
@@ -67,7 +69,8 @@
 	}
 }
 
-// endAttempt forgets an attempt and gives its lane to what waits.
+// endAttempt removes an attempt from the state, which frees its place at the
+// upstream.
 func (m *Model) endAttempt(a *attempt) {
 	delete(m.attempts, a.id)
 	a.upstream.removeAttempt(a)
@@ -75,7 +78,7 @@
 	a.subrequest.req.openAttempts--
 }
 
-// hedge sends overdue parts to a second upstream.
+// hedge sends overdue sub-requests to a second upstream.
 func (m *Model) hedge(now clock.Millis, r *request) {
 	if !r.route.Idempotent {
 		return
--- a/relay/service.go
+++ b/relay/service.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// maxWindow bounds the attempts that one VM has open at one upstream.
+	// maxWindow limits the attempts that one VM has open at one upstream.
 	maxWindow = 16
 
-	// Shares of the connections that an upstream accepts. Its carriers divide
-	// the larger one, all other VMs the smaller one, which they need when a
+	// Shares of the connections that an upstream accepts. Its carriers divide the
+	// larger share. All other VMs divide the smaller one, which they need when a
 	// carrier is lost. The rest is left for VMs that start or leave.
 	carrierConnectionShare = 0.7
 	otherConnectionShare   = 0.25
 
-	// urgentExtraAttempts is how many attempts beyond its slots a carrier has open at an
-	// upstream for the most urgent work, so that one is there when a slot becomes
-	// free. Other work waits here, where it is ordered by rank.
+	// urgentExtraAttempts is how many attempts beyond its slots a carrier has open at
+	// an upstream for the highest priority, so that the next one is there when a slot
+	// becomes free. Other work stays in the local queue, where it is ordered by rank.
 	urgentExtraAttempts = 1
 
-	// remoteSlotsSpared is how many slots of an upstream in another data centre less urgent
-	// work leaves free, while one near by answers as usual: the carrier there fills
-	// them too, and urgent work would wait behind both in the upstream's own queue.
+	// remoteSlotsSpared is how many slots of an upstream in another data centre lower
+	// priorities leave free while a healthy local upstream exists. The carrier there
+	// fills the slots too, and urgent work would wait behind both in the upstream's
+	// own queue.
 	remoteSlotsSpared = 1
 
-	// slotMultiple bounds a VM's open attempts at an upstream that other VMs use
-	// too, as a multiple of its slots.
+	// slotMultiple limits a VM's open attempts at an upstream that other VMs use too,
+	// as a multiple of its slots.
 	slotMultiple = 2
 )
 
-// service holds the upstreams of one service and what waits for them.
+// service is the upstreams of one service and its queue.
 type service struct {
 	name        string
 	hash        uint64 // of the name
@@ -40,13 +41,13 @@
 	queue       []*subrequest
 	budget      budget
 	maxConns    int
-	isShard     bool     // it is a shard, whose work carriers do
-	dataCentres []string // data centres that hold upstreams; nil if not known
+	isShard     bool     // its work is delegated to carriers
+	dataCentres []string // with usable upstreams, sorted; nil if not computed
 }
 
-// attemptLimit returns how many attempts this VM may have open at u when it sends work
-// of a priority. A carrier sends nearly all work of its shards, every other VM
-// only what it takes back, and plain services get work from all VMs alike.
+// attemptLimit returns how many attempts of a priority this VM may have open at u. A
+// carrier sends nearly all work of its shards, every other VM only what it reclaims.
+// All VMs send work to services that are not shards.
 func (m *Model) attemptLimit(u *upstream, priority int) int {
 	limit, maxConns := int(u.window), float64(u.service.maxConns)
 	slots := u.info.Slots
@@ -79,7 +80,8 @@
 	return max(limit, 1)
 }
 
-// hasHealthyLocal reports whether an upstream of this VM's data centre answers as usual.
+// hasHealthyLocal reports whether the service has an upstream in this VM's data
+// centre that is neither failing nor slow.
 func (m *Model) hasHealthyLocal(s *service) bool {
 	for _, u := range s.upstreams {
 		if u.usable() && m.isLocal(u) && u.failures == 0 && u.slowAvoidMs == 0 {
@@ -89,7 +91,7 @@
 	return false
 }
 
-// service returns the service with the given name, which it creates.
+// service returns the service with the given name and creates it if necessary.
 func (m *Model) service(name string) *service {
 	s := m.services[name]
 	if s == nil {
@@ -109,7 +111,8 @@
 	}
 }
 
-// queuedAhead returns how many waiting parts are served before one of a priority.
+// queuedAhead returns how many queued sub-requests are served before a new one of a
+// priority.
 func (s *service) queuedAhead(priority int) int {
 	n := 0
 	for _, sub := range s.queue {
@@ -123,7 +126,8 @@
 	return n
 }
 
-// next removes and returns the part that is served first, nil if none waits.
+// next returns the queued sub-request to serve first, nil if there is none. It also
+// drops resolved ones from the queue.
 func (s *service) next(now clock.Millis) *subrequest {
 	best := -1
 	kept := s.queue[:0]
--- a/relay/stats.go
+++ b/relay/stats.go
@@ -8,28 +8,31 @@
 )
 
 const (
-	// Steps by which a sample moves a route's typical latency, as a share of it.
-	// The first samples move it further, because the start is only a guess.
+	// Steps by which a sample moves the estimate of a route's median latency, as a
+	// share of it. The first samples move it further, because its initial value is
+	// only an assumption.
 	initialStep = 0.1
 	minStep     = 0.01
 
-	// initialMedianDivisor gives the latency that is assumed of a new route.
+	// initialMedianDivisor gives the assumed median latency of a new route, as a
+	// fraction of its target.
 	initialMedianDivisor = 6
 
-	// overdueFactor and patienceMs say when a reply is overdue. With the spread
-	// of work that the users state, about 1 in 50 replies takes longer.
+	// overdueFactor and overdueSlackMs define when a reply is overdue. With the
+	// distribution of service times that the users state, about 1 in 50 replies takes
+	// longer.
 	overdueFactor               = 2.2
 	overdueSlackMs clock.Millis = 3
 
-	// maxOverdueSlowness bounds how much longer a slow upstream may take, as a multiple: the
-	// users' replicas differ by up to 1.3 in speed. Beyond that a hedge is due at
-	// the same time as elsewhere.
+	// maxOverdueSlowness limits how much longer a slow upstream may take before a
+	// reply is overdue, as a multiple: the users' replicas differ by up to 1.3 in
+	// speed. Above that, a hedge is due at the same time as elsewhere.
 	maxOverdueSlowness = 1.3
 )
 
-// routeStats is what this VM has measured of one route.
+// routeStats is the latency statistics of one route on this VM.
 type routeStats struct {
-	medianMs       float64 // median latency of an attempt, in milliseconds
+	medianMs       float64 // estimated median latency of an attempt, in milliseconds
 	samples        int
 	maxRemainingMs clock.Millis
 }
@@ -43,9 +46,9 @@
 	return s
 }
 
-// add moves the typical latency towards a sample by a step that does not depend
-// on how far away it is. So it follows the median: some slow or pausing upstreams
-// must not make slowness typical, or hedges against them would come too late.
+// add moves the median estimate towards a sample by a step that does not depend on
+// the distance. So it follows the median: a few slow or pausing upstreams must not
+// raise it, or hedges against them would be sent too late.
 func (s *routeStats) add(sample clock.Millis) {
 	s.samples++
 	step := max(initialStep/math.Sqrt(float64(s.samples)), minStep)
@@ -60,14 +63,15 @@
 	}
 }
 
-// overdueAfter returns how long an attempt at an upstream of the given slowness may take.
+// overdueAfter returns the latency from which a reply of an upstream with the given
+// slowness is overdue.
 func (s *routeStats) overdueAfter(slowness float64) clock.Millis {
 	return clock.Millis(overdueFactor*s.medianMs*min(max(slowness, 1), maxOverdueSlowness)) + overdueSlackMs
 }
 
-// callerElapsed returns how long the caller has waited before this attempt of its own.
-// Callers state what is left of their time, and the longest that was seen on
-// the route belongs to first attempts.
+// callerElapsed returns how long the caller had been waiting before it sent this
+// request. Callers state their remaining time, and the longest one seen on the route
+// is taken as the full timeout of a first attempt.
 func (s *routeStats) callerElapsed(remaining clock.Millis) clock.Millis {
 	s.maxRemainingMs = max(s.maxRemainingMs, remaining)
 	return s.maxRemainingMs - remaining
--- a/relay/timer.go
+++ b/relay/timer.go
@@ -6,7 +6,8 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// timer is a hint to look at one request; the request itself says what is due.
+// timer schedules a call of advance for one request. The request holds its own
+// deadlines, so a stale timer has no effect.
 type timer struct {
 	at  clock.Millis
 	req *request
@@ -30,7 +31,7 @@
 	return last
 }
 
-// wake makes advance look at r at a time, unless it looks earlier anyway.
+// wake schedules a call of advance for r, unless an earlier one is scheduled.
 func (m *Model) wake(r *request, at clock.Millis) {
 	if r.wakeAt != 0 && r.wakeAt <= at {
 		return
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -4,71 +4,75 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Upstream is what one upstream says of itself.
+// Upstream is the state that an upstream reports about itself.
 type Upstream struct {
-	ID          string // of one start; an address can pass to another upstream
+	ID          string // from the registration; its address can pass to another upstream
 	Service     string
 	Address     string
 	DataCentre  string
-	Slots       int // requests that it runs at once
+	Slots       int // requests that it runs concurrently
 	Leaving     bool
-	ColdMs      clock.Millis // how much longer it is slow after its start
-	Incarnation uint64       // orders the starts under one ID
-	Sequence    uint64       // orders the reports of one start
+	ColdMs      clock.Millis // remaining warm-up time after its start
+	Incarnation uint64       // increases with each start under one ID
+	Sequence    uint64       // increases with each report of one incarnation
 }
 
 const (
-	// latencyRatioWeight is the weight of one sample in an upstream's speed.
+	// latencyRatioWeight is the weight of one sample in an upstream's latency ratio.
 	latencyRatioWeight = 0.1
 
-	// slowThreshold is the multiple of the typical latency from which a reply counts
-	// as slow. One in fifty replies is slower by the spread of work alone.
+	// slowThreshold is the multiple of the median latency from which a reply counts as
+	// slow. One in fifty replies exceeds it through the normal spread of service times
+	// alone.
 	slowThreshold = 2.2
 
-	// An upstream that was slow is avoided for firstHoldMs, which outlasts a pause
-	// of the users' upstreams, and twice as long each time it is slow again.
+	// A slow upstream is avoided for firstSlowAvoidMs, which outlasts a pause of the
+	// users' upstreams, and for twice as long each time that it is slow again.
 	firstSlowAvoidMs clock.Millis = 250
 	maxSlowAvoidMs   clock.Millis = 4000
 
-	// confirmedSlowAvoidMs is the hold from which only requests with time for a hedge
-	// try an upstream again: it was slow twice in a row, so it is no pause.
+	// confirmedSlowAvoidMs is the avoidance time from which only requests with enough
+	// time for a hedge probe the upstream: it was slow twice in a row, so this is not
+	// a pause.
 	confirmedSlowAvoidMs clock.Millis = 500
 
-	// probeMinMedians is how many typical latencies are time for a hedge.
+	// probeMinMedians is the time to the target, in median latencies, that leaves
+	// enough time for a hedge.
 	probeMinMedians = 5
 
-	// maxSlowRatio bounds one sample of slowness.
+	// maxSlowRatio limits one sample of the latency ratio of slow replies.
 	maxSlowRatio = 20.0
 
-	// coldFactor is the slowness of an upstream that has just started.
+	// coldFactor is the slowness of an upstream during its warm-up.
 	coldFactor = 1.6
 
-	// Time for which an upstream is avoided after a failure. It doubles.
+	// An upstream is avoided for this time after a failure. The time doubles with each
+	// further failure in a row.
 	firstAvoidMs clock.Millis = 100
 	maxAvoidMs   clock.Millis = 2000
 
-	// shedAvoidMs lets a full upstream finish some requests.
+	// shedAvoidMs gives an upstream that shed load time to finish some requests.
 	shedAvoidMs clock.Millis = 30
 )
 
-// upstream is what this VM knows of one upstream.
+// upstream is the state that this VM keeps of one upstream.
 type upstream struct {
 	info           Upstream
 	service        *service
-	hash           uint64       // of the identifier
+	hash           uint64       // of the ID
 	open           []*attempt   // unanswered, oldest first
-	latencyRatio   float64      // latency of replies that were not slow, as a multiple of the typical one
-	slowRatio      float64      // the same of the last slow reply
-	slowAvoidMs    clock.Millis // how long it is avoided after that; 0 if the last reply was not slow
+	latencyRatio   float64      // average latency of replies that were not slow, as a multiple of the median
+	slowRatio      float64      // the same for the last slow reply
+	slowAvoidMs    clock.Millis // avoidance time after that; 0 if the last reply was not slow
 	slowAvoidUntil clock.Millis
-	window         float64 // attempts that it takes at once without shedding
+	window         float64 // attempts that it accepts at once without shedding
 	failures       int     // in a row
 	avoidUntil     clock.Millis
 	coldUntil      clock.Millis
 	removed        bool
 }
 
-// slowness returns the expected latency as a multiple of the typical one.
+// slowness returns the expected latency as a multiple of the median.
 func (u *upstream) slowness(now clock.Millis) float64 {
 	s := 1.0
 	if u.latencyRatio > 0 {
@@ -83,7 +87,8 @@
 	return max(s, 0.5)
 }
 
-// sustainedSlowness returns the slowness that is no pause, as a multiple of the typical latency.
+// sustainedSlowness returns the slowness without that of a pause, as a multiple of
+// the median latency.
 func (u *upstream) sustainedSlowness() float64 {
 	if u.slowAvoidMs >= confirmedSlowAvoidMs {
 		return max(u.slowRatio, u.latencyRatio)
@@ -91,14 +96,15 @@
 	return max(u.latencyRatio, 0.5)
 }
 
-// probeDue reports whether an upstream that was slow several times should be
-// tried again. Only requests with time for a hedge try it, one upstream each,
-// because with many shards nearly every request would meet a slow one otherwise.
+// probeDue reports whether an upstream that was slow several times in a row should
+// be probed. Only requests with enough time for a hedge do so, for one upstream
+// each, because with many shards nearly every request would use a slow one
+// otherwise.
 func (u *upstream) probeDue(now clock.Millis) bool {
 	return u.slowAvoidMs >= confirmedSlowAvoidMs && now >= u.slowAvoidUntil && len(u.open) == 0
 }
 
-// recordLatency records the latency of a reply as a multiple of the typical one.
+// recordLatency records the latency of a reply as a multiple of the median.
 func (u *upstream) recordLatency(now clock.Millis, ratio float64) {
 	u.failures = 0
 	u.avoidUntil = min(u.avoidUntil, now)
@@ -115,21 +121,21 @@
 	u.slowAvoidUntil = now + u.slowAvoidMs
 }
 
-// recordFailure notes an attempt without a reply.
+// recordFailure records an attempt without a reply or with a server error.
 func (u *upstream) recordFailure(now clock.Millis) {
 	u.failures++
 	avoid := min(firstAvoidMs<<min(u.failures-1, 8), maxAvoidMs)
 	u.avoidUntil = max(u.avoidUntil, now+avoid)
 }
 
-// recordShed notes a reply that the upstream is full.
+// recordShed records a reply that the upstream is full.
 func (u *upstream) recordShed(now clock.Millis) {
 	u.window = max(u.window/2, 1)
 	u.avoidUntil = max(u.avoidUntil, now+shedAvoidMs)
 }
 
-// overdue returns for how long the oldest unanswered attempt has been expected
-// back, 0 if it is not overdue. It shows a pause before any reply does.
+// overdue returns by how much the oldest unanswered attempt is overdue, 0 if it is
+// not. It reveals a pause before any reply does.
 func (u *upstream) overdue(now clock.Millis) clock.Millis {
 	if len(u.open) == 0 {
 		return 0
