--- a/relay/carrier_test.go
+++ b/relay/carrier_test.go
@@ -9,11 +9,12 @@
 	"lentillink.example/lentillink/route"
 )
 
-// productionBudget is the bound of extra attempts on the users' installations of today.
+// productionBudget is the limit of extra attempts on the users' current
+// installations.
 var productionBudget = relay.BudgetMsg{Ratio: 0.2, Extra: 58, WindowMs: 10 * clock.Second}
 
-// newShardedModel returns a model of one of three VMs, whose route has two shards with
-// an upstream in data centre a and one in b each.
+// newShardedModel returns the model of one of three VMs. Its route has two shards,
+// each with one upstream in data centre a and one in b.
 func newShardedModel(t *testing.T, self, dc string) *relay.Model {
 	t.Helper()
 	m := relay.New(relay.WithSelf(self, dc))
@@ -40,13 +41,13 @@
 	return relay.ArrivalMsg{ID: id, Name: fmt.Sprint("r", id), Host: "h", Path: "/x", RemainingMs: remaining}
 }
 
-// commandNames lists commands by type, events left out.
+// commandNames lists commands by type, without events.
 func commandNames(cmds []relay.Cmd) []string {
 	var out []string
 	for _, c := range cmds {
 		switch c := c.(type) {
 		case relay.DelegateCmd:
-			out = append(out, "hand "+c.To)
+			out = append(out, "delegate "+c.To)
 		case relay.SendCmd:
 			out = append(out, "send "+c.Upstream)
 		case relay.AnswerCmd:
@@ -69,20 +70,21 @@
 	}
 }
 
-// TestCarrierChoice guards against sub-requests that cross data centres one by
-// one: a VM without upstreams near it hands over in turns, others stay near.
+// TestCarrierChoice guards against sub-requests that cross data centres one by one.
+// A VM without local upstreams delegates to the data centres in turn; others gather
+// locally.
 func TestCarrierChoice(t *testing.T) {
 	wantCommands(t, newShardedModel(t, "va", "a").Update(2000, arrival(1)), "send s1a", "send s2a")
 	m := newShardedModel(t, "vc", "c")
 	first := commandNames(m.Update(2000, arrival(1)))
 	second := commandNames(m.Update(2000, arrival(2)))
-	if got, want := fmt.Sprint(first, second), "[hand va] [hand vb]"; got != want && got != "[hand vb] [hand va]" {
-		t.Errorf("got %s, want %s or the other way round", got, want)
+	if got, want := fmt.Sprint(first, second), "[delegate va] [delegate vb]"; got != want && got != "[delegate vb] [delegate va]" {
+		t.Errorf("got %s, want %s or the reverse order", got, want)
 	}
 }
 
-// TestCarrierLost guards against a request that dies with its carrier, and
-// against parts that are repeated without counting as repeats.
+// TestCarrierLost guards against a request that fails with its carrier, and against
+// repeated sub-requests that are not counted as retries.
 func TestCarrierLost(t *testing.T) {
 	tests := []struct {
 		name string
@@ -92,16 +94,16 @@
 		{"connection breaks", func(m *relay.Model, c string, id uint64) []relay.Cmd {
 			return m.Update(2003, relay.PeerDisconnectedMsg{VM: c})
 		}, []string{"send", "send"}},
-		{"never left", func(m *relay.Model, c string, id uint64) []relay.Cmd {
+		{"message not sent", func(m *relay.Model, c string, id uint64) []relay.Cmd {
 			return m.Update(2003, relay.DelegationNotSentMsg{To: c, ID: id})
 		}, []string{"send", "send"}},
-		{"not confirmed in time", func(m *relay.Model, c string, id uint64) []relay.Cmd {
+		{"no acknowledgement in time", func(m *relay.Model, c string, id uint64) []relay.Cmd {
 			return m.Update(2020, relay.TickMsg{})
 		}, []string{"withdraw " + "x", "send", "send"}},
 		{"has an older configuration", func(m *relay.Model, c string, id uint64) []relay.Cmd {
 			return m.Update(2003, relay.DelegationResultMsg{From: c, Result: relay.DelegationResult{ID: id, Answer: relay.Answer{Outcome: relay.NotReady}}})
 		}, []string{"send", "send"}},
-		{"silent after the answer was due", func(m *relay.Model, c string, id uint64) []relay.Cmd {
+		{"no result after the target", func(m *relay.Model, c string, id uint64) []relay.Cmd {
 			m.Update(2002, relay.DelegationAckMsg{From: c, ID: id})
 			return m.Update(2100, relay.TickMsg{})
 		}, []string{"withdraw " + "x", "send", "send"}},
@@ -130,8 +132,8 @@
 	return m
 }
 
-// TestCarrierAcknowledges guards against a carrier that works under an older
-// configuration than the VM that asked, or while it stops.
+// TestCarrierAcknowledges guards against a carrier that accepts a delegation with an
+// older configuration than the delegating VM has, or while it is stopping.
 func TestCarrierAcknowledges(t *testing.T) {
 	delegation := func(version uint64) relay.ArrivalMsg {
 		return relay.ArrivalMsg{ID: 9, Host: "h", Path: "/x", Delegation: &relay.Delegation{
@@ -145,8 +147,8 @@
 	wantCommands(t, m.Update(2000, delegation(7)), "answer not_ready")
 }
 
-// TestCallerDisconnectedAtCarrier guards against work that goes on at a carrier for a
-// caller that has left.
+// TestCallerDisconnectedAtCarrier guards against a carrier that continues to work
+// for a caller that has disconnected.
 func TestCallerDisconnectedAtCarrier(t *testing.T) {
 	m := newShardedModel(t, "vc", "c")
 	m.Update(2000, arrival(1))
@@ -155,8 +157,8 @@
 	}
 }
 
-// TestCarrierResults guards against an answer that claims parts which a carrier
-// did not get, or that comes without parts which it reported in time.
+// TestCarrierResults guards against an answer that counts replies which a carrier
+// did not receive, or that omits replies which it sent in time.
 func TestCarrierResults(t *testing.T) {
 	record := func(c byte) []byte { return []byte(fmt.Sprintf("%016d", c)) }
 	delegated := func() (*relay.Model, relay.DelegateCmd) {
@@ -177,38 +179,38 @@
 		}
 		return relay.Answer{Outcome: relay.NoRoute}
 	}
-	t.Run("all parts", func(t *testing.T) {
+	t.Run("all replies", func(t *testing.T) {
 		m, h := delegated()
 		if got := answerOf(m.Update(2010, result(h, false, "x", "y"))); got.Outcome != relay.Gathered || got.Missing != 0 || len(got.Receipts) != 2 {
-			t.Errorf("got %+v, want both parts", got)
+			t.Errorf("got %+v, want both replies", got)
 		}
 	})
-	t.Run("final with a part missing", func(t *testing.T) {
+	t.Run("final result with a reply missing", func(t *testing.T) {
 		m, h := delegated()
 		if got := answerOf(m.Update(2010, result(h, false, "x"))); got.Outcome != relay.Gathered || got.Missing != 1 || len(got.Receipts) != 1 {
-			t.Errorf("got %+v, want one part and one missing", got)
+			t.Errorf("got %+v, want one reply and one missing", got)
 		}
 	})
-	t.Run("report at the target", func(t *testing.T) {
+	t.Run("partial result at the target", func(t *testing.T) {
 		m, h := delegated()
 		if got := commandNames(m.Update(2038, result(h, true, "x"))); len(got) != 0 {
 			t.Errorf("before the target: got %v, want no answer yet", got)
 		}
 		if got := answerOf(m.Update(2041, relay.TickMsg{})); got.Outcome != relay.Gathered || got.Missing != 1 {
-			t.Errorf("at the target: got %+v, want one part and one missing", got)
+			t.Errorf("at the target: got %+v, want one reply and one missing", got)
 		}
 	})
-	t.Run("report, then all", func(t *testing.T) {
+	t.Run("partial result, then all", func(t *testing.T) {
 		m, h := delegated()
 		m.Update(2038, result(h, true, "x"))
 		if got := answerOf(m.Update(2039, result(h, false, "x", "y"))); got.Missing != 0 || len(got.Receipts) != 2 {
-			t.Errorf("got %+v, want both parts once", got)
+			t.Errorf("got %+v, want each reply once", got)
 		}
 	})
 }
 
-// newMixedFleetModel returns a VM of one data centre with two strong and twenty weak ones,
-// whose route has 90 shards.
+// newMixedFleetModel returns the model of a VM in a data centre with two strong and
+// twenty weak VMs. Its route has 90 shards.
 func newMixedFleetModel(self string) *relay.Model {
 	m := relay.New(relay.WithSelf(self, "a"), relay.WithBudget(productionBudget))
 	var names []string
@@ -234,7 +236,8 @@
 	return m
 }
 
-// delegatedShards returns the shards that a request of m is divided into, by carrier.
+// delegatedShards sends one request to m and returns the shards that it delegates,
+// by carrier.
 func delegatedShards(now clock.Millis, m *relay.Model) map[string][]string {
 	out := make(map[string][]string)
 	for _, c := range m.Update(now, arrivalWithin(uint64(now), 800)) {
@@ -276,8 +279,8 @@
 	}
 }
 
-// TestLateAcknowledgement guards against shards that are sent again because their carrier
-// confirms late, while there is time to the target.
+// TestLateAcknowledgement guards against shards that are sent again because a busy
+// carrier acknowledges late although there is time to the target.
 func TestLateAcknowledgement(t *testing.T) {
 	m := newMixedFleetModel("v10")
 	if got := len(delegatedShards(2000, m)); got != 2 {
@@ -285,11 +288,12 @@
 	}
 	wantCommands(t, m.Update(2030, relay.TickMsg{}))
 	if got := commandNames(m.Update(2060, relay.TickMsg{})); len(got) == 0 {
-		t.Error("got no takeover 60 ms after the hand-over, want one")
+		t.Error("got no command 60 ms after the delegation, want the shards reclaimed")
 	}
 }
 
-// TestConnectCarriers guards against a first request that waits for a stream to its carrier.
+// TestConnectCarriers guards against a first request that waits for a stream to its
+// carrier.
 func TestConnectCarriers(t *testing.T) {
 	m := newMixedFleetModel("v10")
 	connected := make(map[string]bool)
@@ -306,12 +310,12 @@
 	}
 }
 
-// TestRemoteSlots guards against less urgent work that fills the slots of upstreams in
-// another data centre, whose own carrier fills them too.
+// TestRemoteSlots guards against low-priority work that fills the slots of upstreams
+// in another data centre, whose own carrier fills them too.
 func TestRemoteSlots(t *testing.T) {
 	for _, tt := range []struct {
 		priority      int
-		local, remote int // attempts open at once
+		local, remote int // open attempts
 	}{{0, 3, 3}, {1, 2, 1}} {
 		m := relay.New(relay.WithSelf("va", "a"))
 		m.Update(1000, relay.TableMsg{Table: route.NewTable(route.Config{Version: 7, Routes: []route.Route{{
@@ -333,7 +337,7 @@
 			}
 		}
 		if open["a"] != tt.local || open["b"] != tt.remote {
-			t.Errorf("priority %d: got %d near and %d far, want %d and %d", tt.priority, open["a"], open["b"], tt.local, tt.remote)
+			t.Errorf("priority %d: got %d local and %d remote attempts, want %d and %d", tt.priority, open["a"], open["b"], tt.local, tt.remote)
 		}
 	}
 }
--- a/relay/model_test.go
+++ b/relay/model_test.go
@@ -9,7 +9,8 @@
 	"lentillink.example/lentillink/route"
 )
 
-// newSingleServiceModel returns a model with one plain service of n upstreams.
+// newSingleServiceModel returns a model with one service of n upstreams that is not
+// a shard.
 func newSingleServiceModel(t *testing.T, idempotent bool, n int) *relay.Model {
 	t.Helper()
 	m := relay.New(relay.WithSelf("vm", "a"), relay.WithVMs(1), relay.WithBudget(productionBudget))
@@ -37,8 +38,8 @@
 	return relay.SendCmd{}
 }
 
-// TestRetries guards against work that must not repeat and is sent again, and
-// against work that may repeat and is given up.
+// TestRetries guards against non-idempotent work that is sent again after it may
+// have run, and against work that may be repeated and is given up.
 func TestRetries(t *testing.T) {
 	reply := func(status int, notRun bool) func(a uint64) relay.Msg {
 		return func(a uint64) relay.Msg {
@@ -58,10 +59,10 @@
 		{"order, refused as not run", false, reply(503, true), "send"},
 		{"order, not sent", false, fail(true), "send"},
 		{"order, may have run", false, fail(false), "answer failed"},
-		{"order, upstream's own failure", false, reply(500, false), "answer relayed"},
+		{"order, server error", false, reply(500, false), "answer relayed"},
 		{"query, may have run", true, fail(false), "send"},
-		{"query, upstream's own failure", true, reply(500, false), "send"},
-		{"query, client's fault", true, reply(404, false), "answer relayed"},
+		{"query, server error", true, reply(500, false), "send"},
+		{"query, client error", true, reply(404, false), "answer relayed"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -75,7 +76,8 @@
 	}
 }
 
-// TestMaxAttempts guards against a request that runs on more upstreams than its route allows.
+// TestMaxAttempts guards against a request that runs on more upstreams than its
+// route allows.
 func TestMaxAttempts(t *testing.T) {
 	m := newSingleServiceModel(t, true, 4)
 	a := firstSend(t, m.Update(2000, arrival(1)))
@@ -86,7 +88,7 @@
 	wantCommands(t, m.Update(2020, relay.AttemptFailedMsg{Attempt: b.Attempt}), "answer failed")
 }
 
-// TestBudget guards against retries beyond the fleet's budget.
+// TestBudget guards against retries that exceed the fleet-wide budget.
 func TestBudget(t *testing.T) {
 	m := newSingleServiceModel(t, true, 2)
 	m.Update(1000, relay.BudgetMsg{Ratio: 0.2, Extra: 10, WindowMs: 10 * clock.Second})
@@ -105,11 +107,11 @@
 		t.Errorf("got %d retries for 100 requests, want at most %d", retries, limit)
 	}
 	if retries < 20 {
-		t.Errorf("got %d retries for 100 requests, want the budget used", retries)
+		t.Errorf("got %d retries for 100 requests, want at least 20", retries)
 	}
 }
 
-// TestTimeout guards against a request that is held beyond its route's time.
+// TestTimeout guards against a request that stays open after its deadline.
 func TestTimeout(t *testing.T) {
 	m := newSingleServiceModel(t, false, 1)
 	firstSend(t, m.Update(2000, arrival(1)))
@@ -117,18 +119,20 @@
 	wantCommands(t, m.Update(2390, relay.TickMsg{}), "answer timed_out")
 }
 
-// TestNoUpstream guards against a request that waits although nothing can serve it.
+// TestNoUpstream guards against a request that is queued although no upstream can
+// serve it.
 func TestNoUpstream(t *testing.T) {
 	cmds := newSingleServiceModel(t, false, 0).Update(2000, arrival(1))
 	wantCommands(t, cmds, "answer refused")
 	for _, c := range cmds {
 		if a, ok := c.(relay.AnswerCmd); ok && (a.Answer.RetryAfterMs <= 0 || a.Answer.RetryAfterMs > 400/3) {
-			t.Errorf("got a time to come back of %d ms, want up to a third of 400", a.Answer.RetryAfterMs)
+			t.Errorf("got a retry delay of %d ms, want up to a third of 400", a.Answer.RetryAfterMs)
 		}
 	}
 }
 
-// TestOlderConfigurationIgnored guards against an older version that arrives late.
+// TestOlderConfigurationIgnored guards against a rollback to an older version that
+// arrives late.
 func TestOlderConfigurationIgnored(t *testing.T) {
 	m := newSingleServiceModel(t, true, 1)
 	m.Update(2000, relay.TableMsg{Table: route.NewTable(route.Config{Version: 4})})
@@ -137,8 +141,8 @@
 	}
 }
 
-// TestUpstreamReports guards against a leaving upstream that takes work again because
-// an older report arrives late, and against a restarted one that is not used.
+// TestUpstreamReports guards against a leaving upstream that gets work again because
+// an older report arrives late, and against a restarted one that gets none.
 func TestUpstreamReports(t *testing.T) {
 	up := func(born, sequence uint64, leaving bool) relay.UpstreamMsg {
 		return relay.UpstreamMsg{Upstream: relay.Upstream{
@@ -152,11 +156,11 @@
 		want string
 	}{
 		{"first report", up(10, 1, false), "send u0"},
-		{"leaves", up(10, 3, true), "answer refused"},
+		{"leaving", up(10, 3, true), "answer refused"},
 		{"older report", up(10, 2, false), "answer refused"},
-		{"later report that denies it", up(10, 4, false), "answer refused"},
-		{"earlier start", up(9, 9, false), "answer refused"},
-		{"starts again", up(11, 1, false), "send u0"},
+		{"later report without leaving", up(10, 4, false), "answer refused"},
+		{"earlier incarnation", up(9, 9, false), "answer refused"},
+		{"restarted", up(11, 1, false), "send u0"},
 	}
 	for i, tt := range tests {
 		m.Update(2000, tt.msg)
@@ -166,7 +170,7 @@
 	}
 }
 
-// TestHedge guards against a query that waits for an upstream that pauses.
+// TestHedge guards against a query that waits for a paused upstream.
 func TestHedge(t *testing.T) {
 	m := newShardedModel(t, "va", "a")
 	first := m.Update(2000, arrival(1))
@@ -180,8 +184,8 @@
 	wantCommands(t, m.Update(at, relay.TickMsg{}), "send s2b")
 }
 
-// TestMedianIgnoresSlowUpstreams guards against slow upstreams that become typical,
-// so that hedges against them come too late.
+// TestMedianIgnoresSlowUpstreams guards against slow upstreams that raise the median
+// estimate, so that hedges against them are sent too late.
 func TestMedianIgnoresSlowUpstreams(t *testing.T) {
 	const typicalMs, slowMs = 100, 900
 	m := newSingleServiceModel(t, true, 1)
@@ -204,8 +208,8 @@
 	firstSend(t, m.Update(now+1200/3, relay.TickMsg{}))
 }
 
-// TestHedgeAtSlowUpstream guards against more patience with an upstream that is
-// known to be slow, which leaves a hedge no time.
+// TestHedgeAtSlowUpstream guards against a longer overdue time for an upstream that
+// is known to be slow, which leaves no time for a hedge.
 func TestHedgeAtSlowUpstream(t *testing.T) {
 	const slowMs = 900
 	m := newSingleServiceModel(t, true, 1)
@@ -217,12 +221,12 @@
 	}
 	firstSend(t, m.Update(now, arrivalWithin(1000, 4000)))
 	m.Update(now, relay.UpstreamMsg{Upstream: relay.Upstream{ID: "v", Service: "s", Address: "v", DataCentre: "a", Slots: 2}})
-	// A sixth of the target of 1200 ms is the typical latency at the start, and
-	// twice the patience with it is 890 ms or more.
+	// The initial median latency is a sixth of the target of 1200 ms, and twice the
+	// time after which a reply is overdue with it is 890 ms or more.
 	firstSend(t, m.Update(now+800, relay.TickMsg{}))
 }
 
-// TestCallerRoundTrip guards against answers that leave in time and arrive late.
+// TestCallerRoundTrip guards against answers that are sent in time but arrive late.
 func TestCallerRoundTrip(t *testing.T) {
 	for _, roundTrip := range []clock.Millis{2, 6, 12} {
 		m := newShardedModel(t, "va", "a")
@@ -240,12 +244,12 @@
 			}
 		}
 		if answered == 0 || answered+roundTrip > 2000+target {
-			t.Errorf("way of %d ms: got an answer at the caller after %d ms, want at most %d", roundTrip, answered+roundTrip-2000, target)
+			t.Errorf("round trip of %d ms: got an answer at the caller after %d ms, want at most %d", roundTrip, answered+roundTrip-2000, target)
 		}
 	}
 }
 
-// TestTopRecords guards against records that are lost, doubled or out of order.
+// TestTopRecords guards against records that are lost, duplicated or out of order.
 func TestTopRecords(t *testing.T) {
 	rec := func(c byte) string { return fmt.Sprintf("%015d%c", 0, c) }
 	got := string(relay.TopRecords(3, [][]byte{[]byte(rec('a') + rec('c') + "short"), []byte(rec('c') + rec('b')), nil}))
--- a/relay/preset_test.go
+++ b/relay/preset_test.go
@@ -8,7 +8,7 @@
 	"lentillink.example/lentillink/relay"
 )
 
-// TestPreset guards against decisions that do not follow the preset in force.
+// TestPreset guards against decisions that ignore the active preset.
 func TestPreset(t *testing.T) {
 	with := func(change func(p *preset.Preset)) *relay.Model {
 		rec := preset.GatewayDefault()
@@ -48,13 +48,13 @@
 		m.Update(2000, arrival(2))
 		wantCommands(t, m.Update(2000, arrival(3)), "answer refused")
 	})
-	t.Run("least share", func(t *testing.T) {
+	t.Run("minimum share", func(t *testing.T) {
 		m := with(func(p *preset.Preset) { p.Urgent.MinCoveragePercent = 100 })
 		cmds := append([]relay.Cmd(nil), m.Update(2000, arrival(1))...)
 		m.Update(2010, relay.ReplyMsg{Attempt: cmds[0].(relay.SendCmd).Attempt, Reply: relay.Reply{Status: 200, Receipt: "1"}})
 		for _, k := range commandNames(m.Update(2045, relay.TickMsg{})) {
 			if k == "answer gathered" {
-				t.Error("got an answer with half of the shards, want all or none")
+				t.Error("got an answer with half of the shards, want all shards or no answer")
 			}
 		}
 	})
