--- a/route/split.go
+++ b/route/split.go
@@ -19,12 +19,12 @@
 		s.credits[r.Name] = credits
 	}
 	total, best := 0.0, -1
-	for i, share := range r.Split {
-		if share.Weight <= 0 {
+	for i, target := range r.Split {
+		if target.Weight <= 0 {
 			continue
 		}
-		credits[i] += share.Weight
-		total += share.Weight
+		credits[i] += target.Weight
+		total += target.Weight
 		if best < 0 || credits[i] > credits[best] {
 			best = i
 		}
--- a/route/table.go
+++ b/route/table.go
@@ -17,7 +17,7 @@
 	t := &Table{config: cfg, hosts: make(map[string]map[string]*Route), services: make(map[string]Service), shards: make(map[string]bool)}
 	for i := range cfg.Routes {
 		r := &cfg.Routes[i]
-		host := normalHost(r.Host)
+		host := normalizeHost(r.Host)
 		if t.hosts[host] == nil {
 			t.hosts[host] = make(map[string]*Route)
 		}
@@ -51,7 +51,7 @@
 // is compared as it was sent, without its query string. Each step shortens the
 // path by one segment, so the cost does not grow with the number of routes.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	prefixes := t.hosts[normalHost(host)]
+	prefixes := t.hosts[normalizeHost(host)]
 	if prefixes == nil {
 		return nil, false
 	}
@@ -70,8 +70,8 @@
 	}
 }
 
-// normalHost drops the port and the case of a host.
-func normalHost(host string) string {
+// normalizeHost drops the port and the case of a host.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host[i:], ']') < 0 {
 		host = host[:i]
 	}
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -6,7 +6,7 @@
 	"lentillink.example/lentillink/route"
 )
 
-func table() *route.Table {
+func newTable() *route.Table {
 	return route.NewTable(route.Config{Version: 3, Routes: []route.Route{
 		{Name: "root", Host: "a.example", Prefix: "/", Service: "s"},
 		{Name: "plots", Host: "a.example", Prefix: "/plots/", Service: "s"},
@@ -35,7 +35,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			got := ""
-			if r, ok := table().Match(tt.host, tt.path); ok {
+			if r, ok := newTable().Match(tt.host, tt.path); ok {
 				got = r.Name
 			}
 			if got != tt.want {
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestSplitKeep guards against shares that start anew with each version of the configuration.
-func TestSplitKeep(t *testing.T) {
+// TestSplitPrune guards against shares that start anew with each version of the configuration.
+func TestSplitPrune(t *testing.T) {
 	r := route.Route{Name: "r", Split: []route.WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
 	s := route.NewSplitter()
 	first := s.Next(&r)
