--- a/route/split.go
+++ b/route/split.go
@@ -1,14 +1,14 @@
 package route
 
-// Splitter spreads the requests of split routes over their services in the
-// proportion of the weights. It is a smooth weighted round robin: any run of
-// requests stays within one request of its shares, which a random choice does
-// not promise for short runs.
+// Splitter distributes the requests of split routes over their services in
+// proportion to the weights. It uses smooth weighted round robin: any run of
+// requests stays within one request of its shares, which random selection does not
+// guarantee for short runs.
 type Splitter struct {
 	credits map[string][]float64 // by route name
 }
 
-// NewSplitter returns a Splitter without history.
+// NewSplitter returns a Splitter without state.
 func NewSplitter() *Splitter { return &Splitter{credits: make(map[string][]float64)} }
 
 // Next returns the service of the next request on r.
@@ -36,7 +36,7 @@
 	return r.Split[best].Service
 }
 
-// Prune forgets the history of routes that t no longer splits.
+// Prune deletes the state of routes that t no longer splits.
 func (s *Splitter) Prune(t *Table) {
 	kept := make(map[string][]float64, len(s.credits))
 	for i := range t.config.Routes {
--- a/route/table.go
+++ b/route/table.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// Table finds the route of a request. It does not change.
+// Table finds the route of a request. It is immutable.
 type Table struct {
 	config   Config
 	hosts    map[string]map[string]*Route // by host, then by prefix
@@ -12,7 +12,7 @@
 	shards   map[string]bool
 }
 
-// NewTable returns the index of cfg. The caller must not change cfg afterwards.
+// NewTable returns the index of cfg. The caller must not modify cfg afterwards.
 func NewTable(cfg Config) *Table {
 	t := &Table{config: cfg, hosts: make(map[string]map[string]*Route), services: make(map[string]Service), shards: make(map[string]bool)}
 	for i := range cfg.Routes {
@@ -38,7 +38,7 @@
 // Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// IsShard reports whether some route gathers parts from a service.
+// IsShard reports whether the service is a shard of some route.
 func (t *Table) IsShard(name string) bool { return t.shards[name] }
 
 // Service returns the service with the given name.
@@ -47,9 +47,9 @@
 	return s, ok
 }
 
-// Match returns the route with the longest prefix of path for host. The path
-// is compared as it was sent, without its query string. Each step shortens the
-// path by one segment, so the cost does not grow with the number of routes.
+// Match returns the route for host with the longest prefix of path. The path is
+// compared as it was sent, without its query string. Each step removes the last
+// segment of the path, so the cost does not grow with the number of routes.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	prefixes := t.hosts[normalizeHost(host)]
 	if prefixes == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// normalizeHost drops the port and the case of a host.
+// normalizeHost removes the port of a host and converts it to lower case.
 func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host[i:], ']') < 0 {
 		host = host[:i]
