--- a/route/table_test.go
+++ b/route/table_test.go
@@ -15,7 +15,8 @@
 	}})
 }
 
-// TestMatch guards against a request that reaches a service to which no route sends it.
+// TestMatch guards against a request that is sent to a service without a matching
+// route.
 func TestMatch(t *testing.T) {
 	tests := []struct {
 		name, host, path, want string
@@ -23,14 +24,14 @@
 		{"longest prefix", "a.example", "/plots/old/7", "deep"},
 		{"prefix itself", "a.example", "/plots/", "plots"},
 		{"without the final slash", "a.example", "/plots", "root"},
-		{"similar segment", "a.example", "/plotsold/7", "root"},
-		{"query string is no path", "a.example", "/plots?x=/plots/old/", "root"},
+		{"segment with the same beginning", "a.example", "/plotsold/7", "root"},
+		{"query string is not part of the path", "a.example", "/plots?x=/plots/old/", "root"},
 		{"port and case of the host", "A.Example:8080", "/plots/1", "plots"},
 		{"other host", "b.example", "/plots/1", "other"},
 		{"no route of the host", "b.example", "/", ""},
 		{"unknown host", "c.example", "/plots/1", ""},
 		{"no path", "a.example", "*", ""},
-		{"encoded slash is no separator", "b.example", "/plots%2F1", ""},
+		{"encoded slash is not a separator", "b.example", "/plots%2F1", ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -45,7 +46,8 @@
 	}
 }
 
-// TestSplit guards against shares that stray from their weights, also over few requests.
+// TestSplit guards against shares that deviate from their weights, also over few
+// requests.
 func TestSplit(t *testing.T) {
 	r := route.Route{Name: "r", Split: []route.WeightedService{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}, {Service: "c", Weight: 0}}}
 	s := route.NewSplitter()
@@ -61,7 +63,8 @@
 	}
 }
 
-// TestSplitPrune guards against shares that start anew with each version of the configuration.
+// TestSplitPrune guards against a new configuration version that resets the state of
+// unchanged splits.
 func TestSplitPrune(t *testing.T) {
 	r := route.Route{Name: "r", Split: []route.WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
 	s := route.NewSplitter()
