--- a/clock/steady.go
+++ b/clock/monotonic.go
@@ -9,13 +9,13 @@
 	start time.Time
 }
 
-// NewMonotonic returns a Steady clock that starts at steadyOrigin.
+// NewMonotonic returns a Monotonic clock that starts at monotonicOrigin.
 func NewMonotonic() Monotonic { return Monotonic{start: time.Now()} }
 
-// steadyOrigin keeps the zero Millis free to mean "never".
-const steadyOrigin = Second
+// monotonicOrigin keeps the zero Millis free to mean "never".
+const monotonicOrigin = Second
 
-// Now returns the milliseconds since the clock was created, plus steadyOrigin.
+// Now returns the milliseconds since the clock was created, plus monotonicOrigin.
 func (c Monotonic) Now() Millis {
-	return steadyOrigin + Millis(time.Since(c.start).Milliseconds())
+	return monotonicOrigin + Millis(time.Since(c.start).Milliseconds())
 }
