--- a/clock/clock.go
+++ b/clock/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Millis is a point in time as milliseconds since the Unix epoch, or a
-// duration in milliseconds.
+// Millis is a point in time as milliseconds since the Unix epoch, or a duration in
+// milliseconds.
 type Millis int64
 
 // Second, Minute and Hour are common durations.
@@ -19,7 +19,7 @@
 // Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Clock tells the current time.
+// Clock returns the current time.
 type Clock interface {
 	Now() Millis
 }
@@ -30,12 +30,12 @@
 // Now returns the current wall-clock time.
 func (System) Now() Millis { return Millis(time.Now().UnixMilli()) }
 
-// Manual is a clock that moves only when told to. It is safe for concurrent use.
+// Manual is a clock that only Advance moves. It is safe for concurrent use.
 type Manual struct {
 	now atomic.Int64
 }
 
-// NewManual returns a Manual clock that shows now.
+// NewManual returns a Manual clock set to now.
 func NewManual(now Millis) *Manual {
 	c := &Manual{}
 	c.now.Store(int64(now))
--- a/clock/monotonic.go
+++ b/clock/monotonic.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Monotonic counts milliseconds since it was created. Steps of the time of day do
-// not move it, so durations are measured with it. Its values mean nothing to
+// Monotonic counts milliseconds since it was created. Steps of the wall clock do not
+// affect it, so it is used to measure durations. Its values have no meaning in
 // another process.
 type Monotonic struct {
 	start time.Time
--- a/clock/timestamp.go
+++ b/clock/timestamp.go
@@ -2,14 +2,14 @@
 
 import "cmp"
 
-// Timestamp is a hybrid logical timestamp. Stamps from one VM strictly increase,
-// and a stamp taken after receiving a message exceeds the sender's stamp.
+// Timestamp is a hybrid logical timestamp. Timestamps of one VM strictly increase,
+// and a timestamp taken after receiving a message is greater than the sender's.
 type Timestamp struct {
 	WallMs  Millis `json:"wall_ms"`
 	Logical uint32 `json:"logical"`
 }
 
-// Compare orders two stamps.
+// Compare orders two timestamps.
 func (s Timestamp) Compare(o Timestamp) int {
 	if c := cmp.Compare(s.WallMs, o.WallMs); c != 0 {
 		return c
@@ -17,7 +17,7 @@
 	return cmp.Compare(s.Logical, o.Logical)
 }
 
-// MaxDriftMs bounds how far a remote stamp may move the local hybrid clock.
+// MaxDriftMs limits how far a remote timestamp may move the local hybrid clock.
 const MaxDriftMs Millis = 60 * Second
 
 // Hybrid issues hybrid logical timestamps. It is not safe for concurrent use.
@@ -25,7 +25,7 @@
 	last Timestamp
 }
 
-// Next returns a stamp for a local event at now.
+// Next returns a timestamp for a local event at now.
 func (h *Hybrid) Next(now Millis) Timestamp {
 	if now > h.last.WallMs {
 		h.last = Timestamp{WallMs: now}
@@ -35,8 +35,8 @@
 	return h.last
 }
 
-// Observe merges the stamp of a received message. A stamp further ahead of
-// now than MaxDriftMs is ignored, so that one wrong clock cannot move the fleet.
+// Observe merges the timestamp of a received message. It ignores a timestamp more
+// than MaxDriftMs ahead of now, so that one wrong clock cannot move the fleet.
 func (h *Hybrid) Observe(now Millis, remote Timestamp) {
 	if remote.WallMs > now+MaxDriftMs {
 		return
@@ -46,5 +46,5 @@
 	}
 }
 
-// Last returns the most recent stamp.
+// Last returns the most recent timestamp.
 func (h *Hybrid) Last() Timestamp { return h.last }
