--- a/query/bench_test.go
+++ b/query/bench_test.go
@@ -10,20 +10,20 @@
 // BenchmarkQuery measures one query over 98 groups from start to answer,
 // without the making of the replies.
 func BenchmarkQuery(b *testing.B) {
-	r := newRig(98, 1)
+	h := newHarness(98, 1)
 	b.ReportAllocs()
 	for n := range b.N {
-		r.sent, r.answers = r.sent[:0], r.answers[:0]
-		r.now++
-		r.do(query.StartMsg{ID: fmt.Sprint(n), Service: "s", Deadline: r.now + 180})
+		h.sent, h.answers = h.sent[:0], h.answers[:0]
+		h.now++
+		h.update(query.StartMsg{ID: fmt.Sprint(n), Service: "s", Deadline: h.now + 180})
 		b.StopTimer()
-		msgs := make([]query.Msg, len(r.sent))
-		for i := range r.sent {
-			msgs[i] = query.ReplyMsg{Reply: r.ok(i)}
+		msgs := make([]query.Msg, len(h.sent))
+		for i := range h.sent {
+			msgs[i] = query.ReplyMsg{Reply: h.okReply(i)}
 		}
 		b.StartTimer()
 		for _, msg := range msgs {
-			r.do(msg)
+			h.update(msg)
 		}
 	}
 }
--- a/query/budget.go
+++ b/query/budget.go
@@ -9,18 +9,18 @@
 	defaultRetryBurst = 200
 	// A refusal that proved not run cost the upstream almost nothing, so the
 	// first retry after one takes only this part of a token.
-	refusedRetryCost = 0.1
+	notExecutedRetryCost = 0.1
 )
 
-// bucket is a token bucket that is filled by needed attempts instead of time.
-type bucket struct {
+// tokenBucket is a token bucket that is filled by needed attempts instead of time.
+type tokenBucket struct {
 	tokens float64
 	burst  float64
 }
 
-func (b *bucket) earn(n float64) { b.tokens = min(b.tokens+n, b.burst) }
+func (b *tokenBucket) refill(n float64) { b.tokens = min(b.tokens+n, b.burst) }
 
-func (b *bucket) take(n float64) bool {
+func (b *tokenBucket) take(n float64) bool {
 	if b.tokens < n {
 		return false
 	}
@@ -28,8 +28,8 @@
 	return true
 }
 
-// fill returns how full the bucket is, from 0 to 1.
-func (b *bucket) fill() float64 {
+// fillLevel returns how full the bucket is, from 0 to 1.
+func (b *tokenBucket) fillLevel() float64 {
 	if b.burst <= 0 {
 		return 0
 	}
@@ -37,14 +37,14 @@
 }
 
 type budget struct {
-	hedges  bucket
-	retries bucket
+	hedges  tokenBucket
+	retries tokenBucket
 }
 
 func newBudgets(hedges, retries float64) rank.Table[budget] {
 	b := budget{
-		hedges:  bucket{tokens: hedges, burst: hedges},
-		retries: bucket{tokens: retries, burst: retries},
+		hedges:  tokenBucket{tokens: hedges, burst: hedges},
+		retries: tokenBucket{tokens: retries, burst: retries},
 	}
 	return rank.NewTable(b, b, b)
 }
--- a/query/finish.go
+++ b/query/finish.go
@@ -8,8 +8,8 @@
 
 // finish answers a query with what is there.
 func (m *Model) finish(now clock.Millis, q *openQuery, reason string) {
-	for g := range q.parts {
-		m.giveUp(q, g, reason)
+	for g := range q.subrequests {
+		m.failGroup(q, g, reason)
 	}
 	m.cancelAll(now, q)
 	q.done = true
@@ -29,10 +29,10 @@
 
 func (q *openQuery) answer(now clock.Millis, reason string) Answer {
 	a := Answer{
-		ID: q.ID, Outcome: Failed, Execution: q.ran(), Snapshot: q.version, Preset: q.Preset, Revision: q.Revision,
-		Rank: q.Rank, TookMs: now - q.startAt, Reason: reason, Attempts: q.attempts, Needed: len(q.parts),
-		MaxQueueMs: q.maxQueue, MeanQueueMs: q.sumQueue / clock.Millis(max(q.replies, 1)), Overloaded: q.overloaded,
-		MeanServiceMs: q.sumServe / clock.Millis(max(q.served, 1)),
+		ID: q.ID, Outcome: Failed, Execution: q.execution(), Snapshot: q.version, Preset: q.Preset, Revision: q.Revision,
+		Rank: q.Rank, TookMs: now - q.startedAt, Reason: reason, Attempts: q.attempts, Needed: len(q.subrequests),
+		MaxQueueMs: q.maxQueueMs, MeanQueueMs: q.totalQueueMs / clock.Millis(max(q.replies, 1)), Overloaded: q.overloaded,
+		MeanServiceMs: q.totalServiceMs / clock.Millis(max(q.okReplies, 1)),
 	}
 	if q.merge == nil {
 		return a
@@ -51,23 +51,23 @@
 	return a
 }
 
-func (q *openQuery) ran() attempt.Execution {
+func (q *openQuery) execution() attempt.Execution {
 	switch {
-	case q.ranYes:
+	case q.executed:
 		return attempt.Executed
-	case q.ranMaybe:
+	case q.maybeExecuted:
 		return attempt.ExecutionUnknown
 	}
 	return attempt.NotExecuted
 }
 
 func (m *Model) cancelAll(now clock.Millis, q *openQuery) {
-	for g := range q.parts {
-		m.cancel(now, &q.parts[g])
+	for g := range q.subrequests {
+		m.cancelOpen(now, &q.subrequests[g])
 	}
 }
 
-func (m *Model) callerGone(now clock.Millis, id string) {
+func (m *Model) callerDisconnected(now clock.Millis, id string) {
 	q := m.byID[id]
 	if q == nil {
 		return
@@ -76,5 +76,5 @@
 	q.done = true
 	delete(m.byID, id)
 	m.totals.Ref(q.Rank).CallerDisconnected++
-	m.event(q, timeline.Answered, "", "caller gone")
+	m.emitEvent(q, timeline.Answered, "", "caller gone")
 }
--- a/query/model.go
+++ b/query/model.go
@@ -16,7 +16,7 @@
 	incarnation uint64
 	services    map[string]*service
 	byID        map[string]*openQuery
-	slots       slots
+	attempts    attemptTable
 	timers      timers
 	budgets     rank.Table[budget]
 	totals      rank.Table[Totals]
@@ -42,45 +42,45 @@
 // openQuery is one query that has not been answered.
 type openQuery struct {
 	StartMsg
-	service    *service
-	startAt    clock.Millis
-	answerAt   clock.Millis // the deadline less a margin
-	merge      *coverage.Merge
-	version    uint64       // 0 while the held versions are being learned
-	learnBy    clock.Millis // end of the time for learning them
-	parts      []part
-	waiting    int   // parts that are not settled
-	pass       int32 // rises with each restart
-	reasks     int
-	attempts   int
-	maxQueue   clock.Millis
-	sumQueue   clock.Millis
-	replies    int
-	sumServe   clock.Millis
-	served     int
-	overloaded bool // a carrier or an upstream dropped an attempt under load
-	ranYes     bool
-	ranMaybe   bool
-	noTokens   bool // the event about an exhausted budget was sent
-	done       bool
+	service         *service
+	startedAt       clock.Millis
+	answerAt        clock.Millis // the deadline less a margin
+	merge           *coverage.Merge
+	version         uint64       // 0 while the held versions are being learned
+	discoveryEnd    clock.Millis // end of the time for learning them
+	subrequests     []subrequest
+	unsettled       int   // parts that are not settled
+	pass            int32 // rises with each restart
+	epochRetries    int
+	attempts        int
+	maxQueueMs      clock.Millis
+	totalQueueMs    clock.Millis
+	replies         int
+	totalServiceMs  clock.Millis
+	okReplies       int
+	overloaded      bool // a carrier or an upstream dropped an attempt under load
+	executed        bool
+	maybeExecuted   bool
+	budgetEventSent bool // the event about an exhausted budget was sent
+	done            bool
 }
 
-// part is the state of one group of a query.
-type part struct {
-	open    [maxOpen]uint64 // open attempts
-	nOpen   int8
-	tries   int8
-	retries int8
-	hedges  int8
-	nTried  int8
+// subrequest is the state of one group of a query.
+type subrequest struct {
+	openSeqs   [maxOpenAttempts]uint64 // open attempts
+	openCount  int8
+	attempts   int8
+	retries    int8
+	hedges     int8
+	triedCount int8
 	// tokenWaits is the number of waits for a token, which lengthens the next one.
-	tokenWaits int8
-	refused    bool           // the last failure proved not run
-	lastStatus attempt.Status // of the last attempt that ended
-	settled    bool
-	answered   bool
-	tried      [maxTries]upstream.ID
-	retryAt    clock.Millis // a retry at a tried upstream waits until this time
+	tokenWaits    int8
+	notExecuted   bool           // the last failure proved not run
+	lastStatus    attempt.Status // of the last attempt that ended
+	settled       bool
+	answered      bool
+	tried         [maxAttempts]upstream.ID
+	earliestRetry clock.Millis // a retry at a tried upstream waits until this time
 }
 
 // New returns a Model that chooses upstreams from book and keeps it up to date.
@@ -108,7 +108,7 @@
 	case ReplyMsg:
 		m.reply(now, msg.Reply)
 	case CallerDisconnectedMsg:
-		m.callerGone(now, msg.ID)
+		m.callerDisconnected(now, msg.ID)
 	case OverloadMsg:
 		if svc := m.services[msg.Service]; svc != nil {
 			svc.overloaded = msg.Overloaded
@@ -120,13 +120,13 @@
 
 func (m *Model) emit(c Cmd) { m.cmds = append(m.cmds, c) }
 
-func (m *Model) event(q *openQuery, kind timeline.Kind, up upstream.ID, detail string) {
+func (m *Model) emitEvent(q *openQuery, kind timeline.Kind, up upstream.ID, detail string) {
 	m.emit(EventCmd{timeline.Event{
 		Kind: kind, Request: q.ID, Upstream: string(up), Revision: q.Revision, Rank: q.Rank.String(), Detail: detail,
 	}})
 }
 
-func (m *Model) id(seq uint64) attempt.ID {
+func (m *Model) attemptID(seq uint64) attempt.ID {
 	return attempt.ID{VM: m.vm, Incarnation: m.incarnation, Seq: seq}
 }
 
@@ -134,38 +134,38 @@
 func (m *Model) runTimers(now clock.Millis) {
 	for len(m.timers.heap) > 0 {
 		top := &m.timers.heap[0]
-		if top.at > now && !m.pointless(top) {
+		if top.at > now && !m.obsolete(top) {
 			return
 		}
 		t := m.timers.pop()
-		if !m.pointless(&t) {
+		if !m.obsolete(&t) {
 			m.fire(now, t)
 		}
 	}
 }
 
-func (m *Model) pointless(t *timer) bool {
+func (m *Model) obsolete(t *timer) bool {
 	if t.q.done || (t.pass != t.q.pass && t.kind != timerDeadline) {
 		return true
 	}
-	return t.kind == timerHedge && m.slots.get(t.seq) == nil
+	return t.kind == timerHedge && m.attempts.get(t.seq) == nil
 }
 
 func (m *Model) fire(now clock.Millis, t timer) {
 	switch t.kind {
 	case timerDeadline:
 		m.finish(now, t.q, "deadline")
-	case timerLearn:
-		m.learned(now, t.q)
+	case timerDiscovery:
+		m.endDiscovery(now, t.q)
 	case timerHedge:
 		m.hedge(now, t.q, int(t.group), t.seq)
 	case timerRetry:
 		m.sendRetry(now, t.q, int(t.group))
-	case timerReask:
-		m.reask(now, t.q)
+	case timerEpochRetry:
+		m.retryOutdatedGroups(now, t.q)
 	}
 }
 
-func (m *Model) wake(at clock.Millis, kind timerKind, q *openQuery, group int, seq uint64) {
+func (m *Model) setTimer(at clock.Millis, kind timerKind, q *openQuery, group int, seq uint64) {
 	m.timers.push(timer{at: at, kind: kind, pass: q.pass, group: int32(group), seq: seq, q: q})
 }
--- a/query/reply.go
+++ b/query/reply.go
@@ -8,35 +8,35 @@
 )
 
 func (m *Model) reply(now clock.Millis, r attempt.Reply) {
-	if r.ID.VM != m.vm || r.ID.Incarnation != m.incarnation || !m.slots.wasIssued(r.ID.Seq) {
-		m.drop(r, DropUnknownAttempt)
+	if r.ID.VM != m.vm || r.ID.Incarnation != m.incarnation || !m.attempts.wasIssued(r.ID.Seq) {
+		m.dropReply(r, DropUnknownAttempt)
 		return
 	}
-	t := m.slots.get(r.ID.Seq)
-	if t == nil {
+	a := m.attempts.get(r.ID.Seq)
+	if a == nil {
 		// The end of an attempt that the model cancelled is expected.
 		if r.Status != attempt.Cancelled {
-			m.drop(r, DropFinishedAttempt)
+			m.dropReply(r, DropFinishedAttempt)
 		}
 		return
 	}
-	if string(t.up) != r.Upstream {
-		m.drop(r, DropWrongUpstream)
+	if string(a.up) != r.Upstream {
+		m.dropReply(r, DropWrongUpstream)
 		return
 	}
-	if r.Status == attempt.OK && (r.Version != t.version || t.version == 0) {
+	if r.Status == attempt.OK && (r.Version != a.version || a.version == 0) {
 		// The attempt is over, but nothing of the reply may be used.
-		m.drop(r, DropWrongVersion)
+		m.dropReply(r, DropWrongVersion)
 		r = attempt.Reply{ID: r.ID, Upstream: r.Upstream, Status: attempt.Mismatched, QueueMs: r.QueueMs}
 	}
-	m.settle(now, *t, r)
+	m.endAttempt(now, *a, r)
 }
 
-// drop counts a reply that must not be used. A reply that crossed its own
+// dropReply counts a reply that must not be used. A reply that crossed its own
 // cancellation is expected, so it makes no event.
-func (m *Model) drop(r attempt.Reply, d DropReason) {
+func (m *Model) dropReply(r attempt.Reply, d DropReason) {
 	m.dropped[d]++
-	if d == DropFinishedAttempt && m.slots.wasCancelled(r.ID.Seq) {
+	if d == DropFinishedAttempt && m.attempts.wasCancelled(r.ID.Seq) {
 		return
 	}
 	m.emit(EventCmd{timeline.Event{
@@ -44,113 +44,113 @@
 	}})
 }
 
-// settle ends an attempt with its reply.
-func (m *Model) settle(now clock.Millis, t try, r attempt.Reply) {
-	q, p := t.q, &t.q.parts[t.group]
-	m.slots.remove(t.seq)
-	p.close(t.seq)
-	q.noteRan(r.Execution)
+// endAttempt ends an attempt with its reply.
+func (m *Model) endAttempt(now clock.Millis, a openAttempt, r attempt.Reply) {
+	q, sub := a.q, &a.q.subrequests[a.group]
+	m.attempts.remove(a.seq)
+	sub.removeOpen(a.seq)
+	q.recordExecution(r.Execution)
 	// What the query waits for includes the way to the carrier.
-	r.ServiceMs = max(now-t.sentAt-r.QueueMs, 0)
-	q.noteQueue(r)
-	m.book.Observe(now, t.up, r)
-	p.lastStatus = r.Status
+	r.ServiceMs = max(now-a.sentAt-r.QueueMs, 0)
+	q.recordLoad(r)
+	m.book.Observe(now, a.up, r)
+	sub.lastStatus = r.Status
 	switch {
 	case r.Status == attempt.OK:
-		m.accept(now, t, r)
-	case p.nOpen > 0:
+		m.acceptReply(now, a, r)
+	case sub.openCount > 0:
 		// Another attempt of the group is still running.
-		p.refused = r.Execution == attempt.NotExecuted
-		m.wake(now, timerHedge, q, t.group, p.open[0])
+		sub.notExecuted = r.Execution == attempt.NotExecuted
+		m.setTimer(now, timerHedge, q, a.group, sub.openSeqs[0])
 	case r.Status == attempt.VersionGone:
-		m.versionGone(now, q, t.group)
+		m.versionGone(now, q, a.group)
 	case r.Status == attempt.NotSent && now+m.book.TypicalMs(q.Service) > q.answerAt:
 		// The carrier dropped it for lack of time, so a retry would not finish either.
-		m.lose(now, q, t.group, "dropped by its carrier")
+		m.failGroupAndAdvance(now, q, a.group, "dropped by its carrier")
 	default:
-		p.refused = r.Execution == attempt.NotExecuted
+		sub.notExecuted = r.Execution == attempt.NotExecuted
 		if r.Status == attempt.Shed {
-			p.retryAt = max(p.retryAt, now+r.RetryAfter)
+			sub.earliestRetry = max(sub.earliestRetry, now+r.RetryAfter)
 		}
-		m.sendRetry(now, q, t.group)
+		m.sendRetry(now, q, a.group)
 	}
 }
 
-// noteQueue keeps what admission needs to judge the load of the carriers.
-func (q *openQuery) noteQueue(r attempt.Reply) {
-	q.maxQueue = max(q.maxQueue, r.QueueMs)
-	q.sumQueue += r.QueueMs
+// recordLoad keeps what admission needs to judge the load of the carriers.
+func (q *openQuery) recordLoad(r attempt.Reply) {
+	q.maxQueueMs = max(q.maxQueueMs, r.QueueMs)
+	q.totalQueueMs += r.QueueMs
 	q.replies++
 	if r.Status == attempt.OK {
-		q.sumServe += r.ServiceMs
-		q.served++
+		q.totalServiceMs += r.ServiceMs
+		q.okReplies++
 	}
 	q.overloaded = q.overloaded || r.Status == attempt.Shed || r.Status == attempt.NotSent
 }
 
-func (q *openQuery) noteRan(r attempt.Execution) {
+func (q *openQuery) recordExecution(r attempt.Execution) {
 	switch r {
 	case attempt.Executed:
-		q.ranYes = true
+		q.executed = true
 	case attempt.ExecutionUnknown:
-		q.ranMaybe = true
+		q.maybeExecuted = true
 	}
 }
 
-func (m *Model) accept(now clock.Millis, t try, r attempt.Reply) {
-	q, p := t.q, &t.q.parts[t.group]
-	q.merge.Add(coverage.Part{Group: t.group, Version: r.Version, Epoch: r.Epoch, Ranges: r.Ranges, Rows: r.Rows})
-	if t.kind == tryHedge {
+func (m *Model) acceptReply(now clock.Millis, a openAttempt, r attempt.Reply) {
+	q, sub := a.q, &a.q.subrequests[a.group]
+	q.merge.Add(coverage.Part{Group: a.group, Version: r.Version, Epoch: r.Epoch, Ranges: r.Ranges, Rows: r.Rows})
+	if a.kind == kindHedge {
 		m.totals.Ref(q.Rank).HedgeWins++
 	}
-	p.answered = true
-	q.ranYes = true
-	m.cancel(now, p)
-	m.settlePart(q, p)
-	m.checkSettled(now, q)
+	sub.answered = true
+	q.executed = true
+	m.cancelOpen(now, sub)
+	m.settleSubrequest(q, sub)
+	m.advance(now, q)
 }
 
-// cancel gives up the open attempts of a part.
-func (m *Model) cancel(now clock.Millis, p *part) {
-	for _, seq := range p.open[:p.nOpen] {
-		t := m.slots.get(seq)
-		t.q.ranMaybe = true
-		m.emit(CancelCmd{ID: m.id(seq), Upstream: string(t.up)})
-		m.book.Abandon(now, t.up, now-t.sentAt)
-		m.slots.cancel(seq)
+// cancelOpen gives up the open attempts of a part.
+func (m *Model) cancelOpen(now clock.Millis, sub *subrequest) {
+	for _, seq := range sub.openSeqs[:sub.openCount] {
+		a := m.attempts.get(seq)
+		a.q.maybeExecuted = true
+		m.emit(CancelCmd{ID: m.attemptID(seq), Upstream: string(a.up)})
+		m.book.Abandon(now, a.up, now-a.sentAt)
+		m.attempts.cancel(seq)
 	}
-	p.nOpen = 0
+	sub.openCount = 0
 }
 
-func (m *Model) settlePart(q *openQuery, p *part) {
-	if !p.settled {
-		p.settled = true
-		q.waiting--
+func (m *Model) settleSubrequest(q *openQuery, sub *subrequest) {
+	if !sub.settled {
+		sub.settled = true
+		q.unsettled--
 	}
 }
 
-// giveUp settles a group that gives no answer in this pass.
-func (m *Model) giveUp(q *openQuery, g int, reason string) {
-	p := &q.parts[g]
-	if p.settled {
+// failGroup settles a group that gives no answer in this pass.
+func (m *Model) failGroup(q *openQuery, g int, reason string) {
+	sub := &q.subrequests[g]
+	if sub.settled {
 		return
 	}
-	if !p.answered {
-		if p.lastStatus != attempt.OK {
-			reason += ", last one " + p.lastStatus.String()
+	if !sub.answered {
+		if sub.lastStatus != attempt.OK {
+			reason += ", last one " + sub.lastStatus.String()
 		}
-		m.event(q, timeline.GroupMissing, "", q.service.groups[g]+": "+reason)
+		m.emitEvent(q, timeline.GroupMissing, "", q.service.groups[g]+": "+reason)
 	}
-	m.settlePart(q, p)
+	m.settleSubrequest(q, sub)
 }
 
-// checkSettled goes on once every group answered or was given up.
-func (m *Model) checkSettled(now clock.Millis, q *openQuery) {
+// advance goes on once every group answered or was given up.
+func (m *Model) advance(now clock.Millis, q *openQuery) {
 	switch {
-	case q.done || q.waiting > 0:
+	case q.done || q.unsettled > 0:
 	case q.version == 0:
-		m.learned(now, q)
-	case q.merge.Complete() || !m.planReask(now, q):
+		m.endDiscovery(now, q)
+	case q.merge.Complete() || !m.scheduleEpochRetry(now, q):
 		m.finish(now, q, "")
 	}
 }
--- a/query/restart.go
+++ b/query/restart.go
@@ -11,111 +11,111 @@
 	// maxRestarts bounds the passes of one query.
 	maxRestarts = 4
 	// A pass needs this many times the typical latency.
-	passLatencies = 2
-	// maxReasks bounds how often groups on an older epoch are asked again.
-	maxReasks = 5
+	latenciesPerPass = 2
+	// maxEpochRetries bounds how often groups on an older epoch are asked again.
+	maxEpochRetries = 5
 	// The first request goes out at once; the wait before the others starts here
 	// and doubles, so that the group has time to learn the new shard map.
-	reaskWaitMs = 4
+	epochRetryBackoffMs = 4
 )
 
 // versionGone handles a refusal after which the group has no open attempt.
 func (m *Model) versionGone(now clock.Millis, q *openQuery, g int) {
-	p := &q.parts[g]
-	p.refused = true
+	sub := &q.subrequests[g]
+	sub.notExecuted = true
 	if q.version == 0 {
-		m.settlePart(q, p)
-		if q.waiting == 0 || now >= q.learnBy {
-			m.learned(now, q)
+		m.settleSubrequest(q, sub)
+		if q.unsettled == 0 || now >= q.discoveryEnd {
+			m.endDiscovery(now, q)
 		}
 		return
 	}
-	if p.tries < maxTries && m.book.MayHold(q.Service, q.service.groups[g], q.version) {
+	if sub.attempts < maxAttempts && m.book.MayHold(q.Service, q.service.groups[g], q.version) {
 		m.sendRetry(now, q, g)
 		return
 	}
 	if m.restart(now, q) {
 		return
 	}
-	m.lose(now, q, g, "version gone")
+	m.failGroupAndAdvance(now, q, g, "version gone")
 }
 
 // restart starts the query again at a version that more groups hold.
 func (m *Model) restart(now clock.Millis, q *openQuery) bool {
-	if q.pass >= maxRestarts || !m.timeForPass(now, q) {
+	if q.pass >= maxRestarts || !m.hasTimeForPass(now, q) {
 		return false
 	}
-	version, holds, _ := m.book.BestVersion(now, q.Service)
-	if holds == 0 || version == q.version {
+	version, holders, _ := m.book.BestVersion(now, q.Service)
+	if holders == 0 || version == q.version {
 		return false
 	}
-	if q.version != 0 && holds <= m.book.Holders(q.Service, q.version) {
+	if q.version != 0 && holders <= m.book.Holders(q.Service, q.version) {
 		return false
 	}
 	m.cancelAll(now, q)
 	q.pass++
-	m.event(q, timeline.VersionRestart, "", fmt.Sprintf("version %d to %d", q.version, version))
-	m.fanOut(now, q, version, tryRestart)
+	m.emitEvent(q, timeline.VersionRestart, "", fmt.Sprintf("version %d to %d", q.version, version))
+	m.fanOut(now, q, version, kindRestart)
 	return true
 }
 
-// learned ends the pass that only asked which versions are held.
-func (m *Model) learned(now clock.Millis, q *openQuery) {
+// endDiscovery ends the pass that only asked which versions are held.
+func (m *Model) endDiscovery(now clock.Millis, q *openQuery) {
 	if m.restart(now, q) {
 		return
 	}
-	if q.waiting == 0 {
+	if q.unsettled == 0 {
 		m.finish(now, q, "no version known")
 	}
 }
 
-func (m *Model) timeForPass(now clock.Millis, q *openQuery) bool {
-	return now+passLatencies*m.book.TypicalMs(q.Service) <= q.answerAt
+func (m *Model) hasTimeForPass(now clock.Millis, q *openQuery) bool {
+	return now+latenciesPerPass*m.book.TypicalMs(q.Service) <= q.answerAt
 }
 
-// planReask schedules another request to the groups on an older epoch, and
+// scheduleEpochRetry schedules another request to the groups on an older epoch, and
 // reports false if there are none or the time is too short.
-func (m *Model) planReask(now clock.Millis, q *openQuery) bool {
-	if q.reasks >= maxReasks || len(q.olderGroups()) == 0 {
+func (m *Model) scheduleEpochRetry(now clock.Millis, q *openQuery) bool {
+	if q.epochRetries >= maxEpochRetries || len(q.outdatedGroups()) == 0 {
 		return false
 	}
 	at := now
-	if q.reasks > 0 {
-		at += reaskWaitMs << (q.reasks - 1)
+	if q.epochRetries > 0 {
+		at += epochRetryBackoffMs << (q.epochRetries - 1)
 	}
-	if !m.timeForPass(at, q) {
+	if !m.hasTimeForPass(at, q) {
 		return false
 	}
-	q.reasks++
-	m.wake(at, timerReask, q, 0, 0)
+	q.epochRetries++
+	m.setTimer(at, timerEpochRetry, q, 0, 0)
 	return true
 }
 
-// olderGroups returns the groups that answered under an older epoch than another one.
-func (q *openQuery) olderGroups() []int {
+// outdatedGroups returns the groups that answered under an older epoch than another one.
+func (q *openQuery) outdatedGroups() []int {
 	var list []int
 	newest := q.merge.MaxEpoch()
-	for g := range q.parts {
-		if q.parts[g].answered && q.merge.Epoch(g) < newest {
+	for g := range q.subrequests {
+		if q.subrequests[g].answered && q.merge.Epoch(g) < newest {
 			list = append(list, g)
 		}
 	}
 	return list
 }
 
-func (m *Model) reask(now clock.Millis, q *openQuery) {
-	groups := q.olderGroups()
+func (m *Model) retryOutdatedGroups(now clock.Millis, q *openQuery) {
+	groups := q.outdatedGroups()
 	for _, g := range groups {
-		q.parts[g] = part{answered: true}
-		q.waiting++
+		q.subrequests[g] = subrequest{answered: true}
+		q.unsettled++
 	}
 	for _, g := range groups {
 		up, ok := m.book.PickVersion(now, q.Service, q.service.groups[g], q.version, nil)
 		if !ok {
-			m.giveUp(q, g, "no upstream")
+			m.failGroup(q, g, "no upstream")
 			continue
 		}
-		m.send(now, q, g, up, tryReask)
+		m.send(now, q, g, up, kindEpochRetry)
 	}
-	m.checkSettled(now, q)
+	m.advance(now, q)
 }
--- a/query/retry.go
+++ b/query/retry.go
@@ -16,7 +16,7 @@
 	tokenWaitMs, maxTokenWaitMs = 3, 3 << 12
 	// With an empty budget a hedge waits this much longer, as a share of its
 	// delay, so that the slowest attempts get the remaining tokens.
-	scarceDelay = 1.0
+	scarceBudgetDelay = 1.0
 	// A second hedge follows after three fifths of the delay. By then the first
 	// attempt has taken far longer than usual, so waiting for the whole p95 of
 	// the hedge would only add to the tail.
@@ -27,20 +27,20 @@
 
 // hedgeDelay stretches the delay of the book while tokens are scarce. It does
 // not for a second hedge, which is seldom and worth the most.
-func (m *Model) hedgeDelay(now clock.Millis, q *openQuery, up upstream.ID, hedged bool) clock.Millis {
+func (m *Model) hedgeDelay(now clock.Millis, q *openQuery, up upstream.ID, secondHedge bool) clock.Millis {
 	delay := m.book.HedgeDelay(now, up)
-	if hedged {
+	if secondHedge {
 		return delay * secondHedgeNum / secondHedgeDen
 	}
-	scarce := 1 - m.budgets.Ref(q.Rank).hedges.fill()
-	return delay + clock.Millis(float64(delay)*scarceDelay*scarce)
+	shortage := 1 - m.budgets.Ref(q.Rank).hedges.fillLevel()
+	return delay + clock.Millis(float64(delay)*scarceBudgetDelay*shortage)
 }
 
 // hedge sends a second attempt while the first one is still open.
 func (m *Model) hedge(now clock.Millis, q *openQuery, g int, seq uint64) {
-	p := &q.parts[g]
-	t := m.slots.get(seq)
-	if p.settled || p.hedges >= maxHedges || p.tries >= maxTries || p.nOpen >= maxOpen {
+	sub := &q.subrequests[g]
+	a := m.attempts.get(seq)
+	if sub.settled || sub.hedges >= maxHedges || sub.attempts >= maxAttempts || sub.openCount >= maxOpenAttempts {
 		return
 	}
 	// Tokens from the start or from an earlier preset must not be spent by a
@@ -49,7 +49,7 @@
 		return
 	}
 	if q.service.overloaded {
-		m.wake(now+m.book.HedgeDelay(now, t.up), timerHedge, q, g, seq)
+		m.setTimer(now+m.book.HedgeDelay(now, a.up), timerHedge, q, g, seq)
 		return
 	}
 	up, ok := m.pickHedge(now, q, g)
@@ -57,22 +57,22 @@
 		return
 	}
 	if !m.budgets.Ref(q.Rank).hedges.take(1) {
-		m.outOfTokens(q, "hedge")
-		m.wake(now+p.tokenWait(), timerHedge, q, g, seq)
+		m.recordBudgetExhausted(q, "hedge")
+		m.setTimer(now+sub.nextTokenWait(), timerHedge, q, g, seq)
 		return
 	}
-	p.hedges++
-	m.event(q, timeline.Hedged, up, "instead of "+string(t.up))
-	m.send(now, q, g, up, tryHedge)
+	sub.hedges++
+	m.emitEvent(q, timeline.Hedged, up, "instead of "+string(a.up))
+	m.send(now, q, g, up, kindHedge)
 }
 
 // pickHedge prefers an upstream that the group did not try; a second hedge may
 // return to an earlier one.
 func (m *Model) pickHedge(now clock.Millis, q *openQuery, g int) (upstream.ID, bool) {
-	p := &q.parts[g]
-	tried := p.tried[:p.nTried]
+	sub := &q.subrequests[g]
+	tried := sub.tried[:sub.triedCount]
 	up, ok := m.book.PickHedge(now, q.Service, q.service.groups[g], q.version, tried)
-	if !ok && p.hedges > 0 {
+	if !ok && sub.hedges > 0 {
 		up, ok = m.book.PickHedge(now, q.Service, q.service.groups[g], q.version, tried[len(tried)-1:])
 	}
 	return up, ok
@@ -80,90 +80,90 @@
 
 // sendRetry sends another attempt after the last one failed.
 func (m *Model) sendRetry(now clock.Millis, q *openQuery, g int) {
-	p := &q.parts[g]
-	if p.settled || p.nOpen > 0 {
+	sub := &q.subrequests[g]
+	if sub.settled || sub.openCount > 0 {
 		return
 	}
-	if p.tries >= maxTries {
-		m.lose(now, q, g, "attempts failed")
+	if sub.attempts >= maxAttempts {
+		m.failGroupAndAdvance(now, q, g, "attempts failed")
 		return
 	}
 	group := q.service.groups[g]
-	up, ok := m.book.PickVersion(now, q.Service, group, q.version, p.tried[:p.nTried])
+	up, ok := m.book.PickVersion(now, q.Service, group, q.version, sub.tried[:sub.triedCount])
 	if !ok {
-		m.retryTried(now, q, g)
+		m.scheduleTriedUpstreamRetry(now, q, g)
 		return
 	}
-	m.payRetry(now, q, g, up)
+	m.sendBudgetedRetry(now, q, g, up)
 }
 
-// retryTried retries an upstream that was tried before, after a backoff. It
+// scheduleTriedUpstreamRetry retries an upstream that was tried before, after a backoff. It
 // prefers another one than the last.
-func (m *Model) retryTried(now clock.Millis, q *openQuery, g int) {
-	p := &q.parts[g]
+func (m *Model) scheduleTriedUpstreamRetry(now clock.Millis, q *openQuery, g int) {
+	sub := &q.subrequests[g]
 	group := q.service.groups[g]
-	last := p.tried[max(p.nTried-1, 0):p.nTried]
+	last := sub.tried[max(sub.triedCount-1, 0):sub.triedCount]
 	if _, ok := m.book.PickVersion(now, q.Service, group, q.version, last); !ok {
-		m.lose(now, q, g, "no other upstream")
+		m.failGroupAndAdvance(now, q, g, "no other upstream")
 		return
 	}
-	at := max(now+retryBackoffMs<<p.retries, p.retryAt)
+	at := max(now+retryBackoffMs<<sub.retries, sub.earliestRetry)
 	if at >= q.answerAt {
-		m.lose(now, q, g, "no time for a retry")
+		m.failGroupAndAdvance(now, q, g, "no time for a retry")
 		return
 	}
-	copy(p.tried[:], last)
-	p.nTried = int8(len(last))
-	m.wake(at, timerRetry, q, g, 0)
+	copy(sub.tried[:], last)
+	sub.triedCount = int8(len(last))
+	m.setTimer(at, timerRetry, q, g, 0)
 }
 
-func (m *Model) payRetry(now clock.Millis, q *openQuery, g int, up upstream.ID) {
-	p := &q.parts[g]
+func (m *Model) sendBudgetedRetry(now clock.Millis, q *openQuery, g int, up upstream.ID) {
+	sub := &q.subrequests[g]
 	cost := 1.0
-	if p.refused && p.retries == 0 {
-		cost = refusedRetryCost
+	if sub.notExecuted && sub.retries == 0 {
+		cost = notExecutedRetryCost
 	}
 	if !m.budgets.Ref(q.Rank).retries.take(cost) {
-		m.outOfTokens(q, "retry")
-		m.waitForToken(now, q, g)
+		m.recordBudgetExhausted(q, "retry")
+		m.scheduleTokenRetry(now, q, g)
 		return
 	}
-	p.retries++
-	m.event(q, timeline.Retried, up, q.service.groups[g])
-	m.send(now, q, g, up, tryRetry)
+	sub.retries++
+	m.emitEvent(q, timeline.Retried, up, q.service.groups[g])
+	m.send(now, q, g, up, kindRetry)
 }
 
-// waitForToken asks for a retry token again after a while. A wait that would
+// scheduleTokenRetry asks for a retry token again after a while. A wait that would
 // pass the deadline is pointless.
-func (m *Model) waitForToken(now clock.Millis, q *openQuery, g int) {
-	at := now + q.parts[g].tokenWait()
+func (m *Model) scheduleTokenRetry(now clock.Millis, q *openQuery, g int) {
+	at := now + q.subrequests[g].nextTokenWait()
 	if at >= q.answerAt {
-		m.lose(now, q, g, "no retry budget")
+		m.failGroupAndAdvance(now, q, g, "no retry budget")
 		return
 	}
-	m.wake(at, timerRetry, q, g, 0)
+	m.setTimer(at, timerRetry, q, g, 0)
 }
 
-// tokenWait returns the next wait for a token and doubles the one after it.
-func (p *part) tokenWait() clock.Millis {
-	wait := min(clock.Millis(tokenWaitMs)<<p.tokenWaits, maxTokenWaitMs)
+// nextTokenWait returns the next wait for a token and doubles the one after it.
+func (sub *subrequest) nextTokenWait() clock.Millis {
+	wait := min(clock.Millis(tokenWaitMs)<<sub.tokenWaits, maxTokenWaitMs)
 	if wait < maxTokenWaitMs {
-		p.tokenWaits++
+		sub.tokenWaits++
 	}
 	return wait
 }
 
-// outOfTokens reports an exhausted budget once per query.
-func (m *Model) outOfTokens(q *openQuery, what string) {
+// recordBudgetExhausted reports an exhausted budget once per query.
+func (m *Model) recordBudgetExhausted(q *openQuery, attemptType string) {
 	m.totals.Ref(q.Rank).BudgetExhausted++
-	if !q.noTokens {
-		q.noTokens = true
-		m.event(q, timeline.BudgetExhausted, "", what)
+	if !q.budgetEventSent {
+		q.budgetEventSent = true
+		m.emitEvent(q, timeline.BudgetExhausted, "", attemptType)
 	}
 }
 
-// lose gives a group up and goes on with the query.
-func (m *Model) lose(now clock.Millis, q *openQuery, g int, reason string) {
-	m.giveUp(q, g, reason)
-	m.checkSettled(now, q)
+// failGroupAndAdvance gives a group up and goes on with the query.
+func (m *Model) failGroupAndAdvance(now clock.Millis, q *openQuery, g int, reason string) {
+	m.failGroup(q, g, reason)
+	m.advance(now, q)
 }
--- a/query/retry_test.go
+++ b/query/retry_test.go
@@ -12,26 +12,26 @@
 // TestTokenWait guards against attempts without a retry token that ask again
 // every few milliseconds and so take the whole processor under overload.
 func TestTokenWait(t *testing.T) {
-	r := newRig(1, 1)
-	query.WithBurst(0, 0)(r.model)
+	h := newHarness(1, 1)
+	query.WithBurst(0, 0)(h.model)
 	const timeMs = 10_000
-	r.do(query.StartMsg{ID: "q", Service: "s", Deadline: timeMs})
-	r.do(query.ReplyMsg{Reply: attempt.Reply{ID: r.sent[0].ID, Upstream: r.sent[0].Upstream, Status: attempt.Failed}})
+	h.update(query.StartMsg{ID: "q", Service: "s", Deadline: timeMs})
+	h.update(query.ReplyMsg{Reply: attempt.Reply{ID: h.sent[0].ID, Upstream: h.sent[0].Upstream, Status: attempt.Failed}})
 	wakes := 0
-	for r.model.OpenQueries() > 0 {
-		at, ok := r.model.NextWake()
+	for h.model.OpenQueries() > 0 {
+		at, ok := h.model.NextWake()
 		if !ok {
 			t.Fatal("an open query without a wake")
 		}
-		r.tick(at)
+		h.advanceTo(at)
 		wakes++
 	}
 	// The waits double from 3 ms to 1.5 s, so ten seconds hold about 16 of them.
 	if want := 20; wakes > want {
 		t.Errorf("%d wakes, want at most %d", wakes, want)
 	}
-	if len(r.sent) != 1 || len(r.answers) != 1 {
-		t.Errorf("%d attempts and %d answers, want 1 and 1", len(r.sent), len(r.answers))
+	if len(h.sent) != 1 || len(h.answers) != 1 {
+		t.Errorf("%d attempts and %d answers, want 1 and 1", len(h.sent), len(h.answers))
 	}
 }
 
@@ -54,23 +54,23 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRig(1, 1)
-			query.WithBurst(100, 100)(r.model)
-			r.do(query.OverloadMsg{Service: "s", Overloaded: true}) // no hedges
-			r.start(100, 100)
-			r.tick(tt.at)
+			h := newHarness(1, 1)
+			query.WithBurst(100, 100)(h.model)
+			h.update(query.OverloadMsg{Service: "s", Overloaded: true}) // no hedges
+			h.start(100, 100)
+			h.advanceTo(tt.at)
 			var got []clock.Millis
-			for len(got) < len(r.sent) {
+			for len(got) < len(h.sent) {
 				if len(got) == 0 {
 					got = append(got, 0)
 				} else {
-					got = append(got, r.now)
+					got = append(got, h.now)
 				}
-				refused := r.refusal(len(got)-1, tt.status)
+				refused := h.notExecutedReply(len(got)-1, tt.status)
 				refused.RetryAfter = tt.retryAfter
-				r.do(query.ReplyMsg{Reply: refused})
-				for wake, ok := r.model.NextWake(); ok && len(got) == len(r.sent); wake, ok = r.model.NextWake() {
-					r.tick(wake)
+				h.update(query.ReplyMsg{Reply: refused})
+				for wake, ok := h.model.NextWake(); ok && len(got) == len(h.sent); wake, ok = h.model.NextWake() {
+					h.advanceTo(wake)
 				}
 			}
 			if len(got) != len(tt.want) {
@@ -92,10 +92,10 @@
 		percent float64
 		want    int
 	}{{percent: 0, want: 0}, {percent: 5, want: 1}} {
-		r := newRig(1, 1)
-		r.start(tc.percent, 5)
-		r.tick(100)
-		if got := r.events[timeline.Hedged]; min(got, 1) != tc.want {
+		h := newHarness(1, 1)
+		h.start(tc.percent, 5)
+		h.advanceTo(100)
+		if got := h.events[timeline.Hedged]; min(got, 1) != tc.want {
 			t.Errorf("hedges with a budget of %g%% = %d, want %d", tc.percent, got, tc.want)
 		}
 	}
--- a/query/start.go
+++ b/query/start.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxOpen bounds the attempts of one group that are open at once.
-	maxOpen = 3
-	// maxTries bounds the attempts of one group in one pass.
-	maxTries = 6
+	// maxOpenAttempts bounds the attempts of one group that are open at once.
+	maxOpenAttempts = 3
+	// maxAttempts bounds the attempts of one group in one pass.
+	maxAttempts = 6
 	// An answer is sent this long before the deadline, or a tenth of the
 	// time if that is less, so that it reaches the caller in time.
 	answerMarginMs = 5
 	// Learning the held versions may take this part of the remaining time.
-	learnShare = 4
+	discoveryTimeDivisor = 4
 )
 
 func (m *Model) start(now clock.Millis, msg StartMsg) {
@@ -28,7 +28,7 @@
 		}})
 		return
 	}
-	q := &openQuery{StartMsg: msg, service: m.services[msg.Service], startAt: now}
+	q := &openQuery{StartMsg: msg, service: m.services[msg.Service], startedAt: now}
 	q.answerAt = msg.Deadline - min(answerMarginMs, (msg.Deadline-now)/10)
 	m.byID[msg.ID] = q
 	totals := m.totals.Ref(q.Rank)
@@ -45,93 +45,93 @@
 	needed := len(q.service.groups)
 	totals.Needed += needed
 	budget := m.budgets.Ref(q.Rank)
-	budget.hedges.earn(float64(needed) * q.Policy.HedgeBudgetPercent / 100)
-	budget.retries.earn(float64(needed) * q.Policy.RetryBudgetPercent / 100)
-	q.parts = make([]part, needed)
-	m.wake(q.answerAt, timerDeadline, q, 0, 0)
+	budget.hedges.refill(float64(needed) * q.Policy.HedgeBudgetPercent / 100)
+	budget.retries.refill(float64(needed) * q.Policy.RetryBudgetPercent / 100)
+	q.subrequests = make([]subrequest, needed)
+	m.setTimer(q.answerAt, timerDeadline, q, 0, 0)
 	version, _, _ := m.book.BestVersion(now, q.Service)
-	m.fanOut(now, q, version, tryNeeded)
+	m.fanOut(now, q, version, kindFirst)
 }
 
 // fanOut sends one attempt to every group at the version.
-func (m *Model) fanOut(now clock.Millis, q *openQuery, version uint64, kind tryKind) {
+func (m *Model) fanOut(now clock.Millis, q *openQuery, version uint64, kind attemptKind) {
 	q.version = version
 	q.merge = coverage.NewMerge(version, q.service.keys, len(q.service.groups))
-	q.waiting = len(q.parts)
-	q.reasks = 0
+	q.unsettled = len(q.subrequests)
+	q.epochRetries = 0
 	if version == 0 {
-		q.learnBy = now + (q.answerAt-now)/learnShare
-		m.wake(q.learnBy, timerLearn, q, 0, 0)
+		q.discoveryEnd = now + (q.answerAt-now)/discoveryTimeDivisor
+		m.setTimer(q.discoveryEnd, timerDiscovery, q, 0, 0)
 	}
-	for g := range q.parts {
-		q.parts[g] = part{}
+	for g := range q.subrequests {
+		q.subrequests[g] = subrequest{}
 		up, ok := m.book.PickVersion(now, q.Service, q.service.groups[g], version, nil)
 		if !ok {
-			m.giveUp(q, g, "no upstream")
+			m.failGroup(q, g, "no upstream")
 			continue
 		}
 		m.send(now, q, g, up, kind)
 	}
-	m.checkSettled(now, q)
+	m.advance(now, q)
 }
 
-func (m *Model) send(now clock.Millis, q *openQuery, g int, up upstream.ID, kind tryKind) {
-	p := &q.parts[g]
-	t := m.slots.add(try{q: q, group: g, up: up, kind: kind, version: q.version, sentAt: now})
-	p.open[p.nOpen] = t.seq
-	p.nOpen++
-	p.tries++
-	p.noteTried(up)
+func (m *Model) send(now clock.Millis, q *openQuery, g int, up upstream.ID, kind attemptKind) {
+	sub := &q.subrequests[g]
+	a := m.attempts.add(openAttempt{q: q, group: g, up: up, kind: kind, version: q.version, sentAt: now})
+	sub.openSeqs[sub.openCount] = a.seq
+	sub.openCount++
+	sub.attempts++
+	sub.recordTried(up)
 	q.attempts++
-	m.count(q, kind)
+	m.countAttempt(q, kind)
 	m.book.Sent(now, up)
 	m.emit(SendCmd{attempt.Request{
-		ID: m.id(t.seq), Upstream: string(up), Kind: attempt.Query, Service: q.Service, Group: q.service.groups[g],
+		ID: m.attemptID(a.seq), Upstream: string(up), Kind: attempt.Query, Service: q.Service, Group: q.service.groups[g],
 		Rank: q.Rank, Priority: q.Priority, Deadline: q.answerAt, Version: q.version, Body: q.Body,
 	}})
-	if q.version != 0 && p.nOpen < maxOpen {
-		m.wake(now+m.hedgeDelay(now, q, up, kind == tryHedge), timerHedge, q, g, t.seq)
+	if q.version != 0 && sub.openCount < maxOpenAttempts {
+		m.setTimer(now+m.hedgeDelay(now, q, up, kind == kindHedge), timerHedge, q, g, a.seq)
 	}
 }
 
-func (m *Model) count(q *openQuery, kind tryKind) {
+func (m *Model) countAttempt(q *openQuery, kind attemptKind) {
 	totals := m.totals.Ref(q.Rank)
 	totals.Sent++
 	switch kind {
-	case tryHedge:
+	case kindHedge:
 		totals.Hedges++
-	case tryRetry:
+	case kindRetry:
 		totals.Retries++
-	case tryRestart:
+	case kindRestart:
 		totals.Restarts++
-	case tryReask:
+	case kindEpochRetry:
 		totals.EpochRetries++
 	}
 }
 
-// noteTried keeps the upstreams tried, the latest one last.
-func (p *part) noteTried(up upstream.ID) {
-	n := int(p.nTried)
+// recordTried keeps the upstreams tried, the latest one last.
+func (sub *subrequest) recordTried(up upstream.ID) {
+	n := int(sub.triedCount)
 	for i := range n {
-		if p.tried[i] == up {
-			copy(p.tried[i:n], p.tried[i+1:n])
-			p.tried[n-1] = up
+		if sub.tried[i] == up {
+			copy(sub.tried[i:n], sub.tried[i+1:n])
+			sub.tried[n-1] = up
 			return
 		}
 	}
-	if n == maxTries {
-		copy(p.tried[:], p.tried[1:])
+	if n == maxAttempts {
+		copy(sub.tried[:], sub.tried[1:])
 		n--
 	}
-	p.tried[n] = up
-	p.nTried = int8(n + 1)
+	sub.tried[n] = up
+	sub.triedCount = int8(n + 1)
 }
 
-func (p *part) close(seq uint64) {
-	for i := range p.nOpen {
-		if p.open[i] == seq {
-			p.nOpen--
-			p.open[i] = p.open[p.nOpen]
+func (sub *subrequest) removeOpen(seq uint64) {
+	for i := range sub.openCount {
+		if sub.openSeqs[i] == seq {
+			sub.openCount--
+			sub.openSeqs[i] = sub.openSeqs[sub.openCount]
 			return
 		}
 	}
--- a/query/tail_test.go
+++ b/query/tail_test.go
@@ -20,37 +20,37 @@
 func TestHedge(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
 		t.Run(fmt.Sprintf("overloaded %v", overloaded), func(t *testing.T) {
-			r := newRig(2, 1)
-			r.do(query.OverloadMsg{Service: "s", Overloaded: overloaded})
-			r.start(10, 10)
-			r.do(query.ReplyMsg{Reply: r.ok(1)})
-			r.tick(50)
+			h := newHarness(2, 1)
+			h.update(query.OverloadMsg{Service: "s", Overloaded: overloaded})
+			h.start(10, 10)
+			h.update(query.ReplyMsg{Reply: h.okReply(1)})
+			h.advanceTo(50)
 			if overloaded {
-				if got := len(r.sent); got != 2 {
+				if got := len(h.sent); got != 2 {
 					t.Fatalf("%d attempts under overload, want 2", got)
 				}
 				return
 			}
-			if r.sent[2].Upstream == r.sent[0].Upstream || r.sent[2].Group != r.sent[0].Group {
-				t.Errorf("hedge to %s for %s, want the other replica", r.sent[2].Upstream, r.sent[0].Upstream)
+			if h.sent[2].Upstream == h.sent[0].Upstream || h.sent[2].Group != h.sent[0].Group {
+				t.Errorf("hedge to %s for %s, want the other replica", h.sent[2].Upstream, h.sent[0].Upstream)
 			}
-			r.do(query.ReplyMsg{Reply: r.ok(2)})
-			if got, want := len(r.cancels), len(r.sent)-2; got != want {
+			h.update(query.ReplyMsg{Reply: h.okReply(2)})
+			if got, want := len(h.cancels), len(h.sent)-2; got != want {
 				t.Errorf("%d cancelled, want %d", got, want)
 			}
-			for _, req := range r.sent {
-				if got := r.book.Outstanding(upstream.ID(req.Upstream)); got != 0 {
+			for _, req := range h.sent {
+				if got := h.book.Outstanding(upstream.ID(req.Upstream)); got != 0 {
 					t.Errorf("%d outstanding on %s after the answer, want 0", got, req.Upstream)
 				}
 			}
-			if len(r.answers) != 1 || r.answers[0].Outcome != query.Complete {
-				t.Errorf("answers %v, want one that is complete", r.answers)
+			if len(h.answers) != 1 || h.answers[0].Outcome != query.Complete {
+				t.Errorf("answers %v, want one that is complete", h.answers)
 			}
 			// A cancelled attempt that its carrier returns is no fault.
-			late := r.ok(0)
+			late := h.okReply(0)
 			late.Status = attempt.Cancelled
-			r.do(query.ReplyMsg{Reply: late})
-			if got := r.events[timeline.ReplyDropped]; got != 0 {
+			h.update(query.ReplyMsg{Reply: late})
+			if got := h.events[timeline.ReplyDropped]; got != 0 {
 				t.Errorf("%d replies dropped, want 0", got)
 			}
 		})
@@ -61,12 +61,12 @@
 func TestBudgets(t *testing.T) {
 	const queries, groups, burst = 200, 10, 5
 	tests := []struct {
-		name    string
-		status  attempt.Status // OK stands for no reply, which leads to hedges
-		ran     attempt.Execution
-		percent float64
-		perCost int // extra attempts for one token
-		extra   func(query.Totals) int
+		name      string
+		status    attempt.Status // OK stands for no reply, which leads to hedges
+		execution attempt.Execution
+		percent   float64
+		perToken  int // extra attempts for one token
+		extra     func(query.Totals) int
 	}{
 		{"hedges", attempt.OK, attempt.ExecutionUnknown, 5, 1, func(n query.Totals) int { return n.Hedges }},
 		{"retries", attempt.Failed, attempt.ExecutionUnknown, 5, 1, func(n query.Totals) int { return n.Retries }},
@@ -74,36 +74,36 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRig(groups, 1)
-			query.WithBurst(burst, burst)(r.model)
+			h := newHarness(groups, 1)
+			query.WithBurst(burst, burst)(h.model)
 			for n := range queries {
-				first := len(r.sent)
-				r.start(tt.percent, tt.percent)
+				first := len(h.sent)
+				h.start(tt.percent, tt.percent)
 				// One group fails or stays silent in each query, twice the budget.
-				silent := first + n%groups
+				faulty := first + n%groups
 				for i := first; i < first+groups; i++ {
-					if i != silent {
-						r.do(query.ReplyMsg{Reply: r.ok(i)})
+					if i != faulty {
+						h.update(query.ReplyMsg{Reply: h.okReply(i)})
 					} else if tt.status != attempt.OK {
-						failed := r.refusal(i, tt.status)
-						failed.Execution = tt.ran
-						r.do(query.ReplyMsg{Reply: failed})
+						failed := h.notExecutedReply(i, tt.status)
+						failed.Execution = tt.execution
+						h.update(query.ReplyMsg{Reply: failed})
 					}
 				}
-				r.tick(r.now + 200)
+				h.advanceTo(h.now + 200)
 			}
-			n := r.model.Totals(rank.Urgent)
-			limit := int(queries*groups*tt.percent/100+burst) * tt.perCost
+			n := h.model.Totals(rank.Urgent)
+			limit := int(queries*groups*tt.percent/100+burst) * tt.perToken
 			if got := tt.extra(n); got > limit || got < limit/2 {
 				t.Errorf("%d extra attempts, want at most %d and the budget used", got, limit)
 			}
 			if n.Needed != queries*groups || n.Sent != n.Needed+n.Hedges+n.Retries {
 				t.Errorf("totals %+v do not add up", n)
 			}
-			if r.events[timeline.BudgetExhausted] == 0 {
+			if h.events[timeline.BudgetExhausted] == 0 {
 				t.Error("no event about the exhausted budget")
 			}
-			if got := len(r.answers); got != queries {
+			if got := len(h.answers); got != queries {
 				t.Errorf("%d answers, want %d", got, queries)
 			}
 		})
@@ -112,17 +112,17 @@
 
 // TestLeaving guards against new work for an upstream that is leaving.
 func TestLeaving(t *testing.T) {
-	r := newRig(2, 1)
-	r.book.MarkLeaving(0, "s/0/0")
+	h := newHarness(2, 1)
+	h.book.MarkLeaving(0, "s/0/0")
 	for range 20 {
-		r.start(100, 100)
-		r.tick(r.now + 200)
+		h.start(100, 100)
+		h.advanceTo(h.now + 200)
 	}
-	for _, req := range r.sent {
+	for _, req := range h.sent {
 		if req.Upstream == "s/0/0" {
 			t.Fatal("an attempt was sent to the leaving upstream")
 		}
-		if req.Deadline > r.now {
+		if req.Deadline > h.now {
 			t.Fatalf("attempt deadline %d exceeds the query's", req.Deadline)
 		}
 	}
@@ -130,26 +130,26 @@
 
 // TestStartAndGone guards against answers for callers that left, repeated ids and impossible starts.
 func TestStartAndGone(t *testing.T) {
-	r := newRig(2, 1)
-	r.start(10, 10)
-	r.start(10, 10)
-	if got := len(r.sent); got != 2 {
+	h := newHarness(2, 1)
+	h.start(10, 10)
+	h.start(10, 10)
+	if got := len(h.sent); got != 2 {
 		t.Errorf("%d attempts after a repeated id, want 2", got)
 	}
-	r.do(query.CallerDisconnectedMsg{ID: "q"})
-	r.do(query.ReplyMsg{Reply: r.ok(0)})
-	r.tick(500)
-	if len(r.answers) != 0 || len(r.cancels) != 2 || r.model.OpenQueries() != 0 {
-		t.Errorf("%d answers, %d cancelled, %d open, want 0, 2, 0", len(r.answers), len(r.cancels), r.model.OpenQueries())
+	h.update(query.CallerDisconnectedMsg{ID: "q"})
+	h.update(query.ReplyMsg{Reply: h.okReply(0)})
+	h.advanceTo(500)
+	if len(h.answers) != 0 || len(h.cancels) != 2 || h.model.OpenQueries() != 0 {
+		t.Errorf("%d answers, %d cancelled, %d open, want 0, 2, 0", len(h.answers), len(h.cancels), h.model.OpenQueries())
 	}
-	r.do(query.StartMsg{ID: "u", Service: "other", Deadline: r.now + 100})
-	r.do(query.StartMsg{ID: "d", Service: "s", Deadline: r.now - 1})
-	for _, a := range r.answers {
+	h.update(query.StartMsg{ID: "u", Service: "other", Deadline: h.now + 100})
+	h.update(query.StartMsg{ID: "d", Service: "s", Deadline: h.now - 1})
+	for _, a := range h.answers {
 		if a.Outcome != query.Failed || a.Execution != attempt.NotExecuted || a.Reason == "" {
 			t.Errorf("answer %+v, want failed, not run, with a reason", a)
 		}
 	}
-	if got := len(r.answers); got != 2 {
+	if got := len(h.answers); got != 2 {
 		t.Errorf("%d answers, want 2", got)
 	}
 }
@@ -158,28 +158,28 @@
 // not true, whatever the upstreams and the network do.
 func TestRandomReplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(3, rapid.SampledFrom([][]uint64{nil, {1}, {1, 2}}).Draw(t, "held")...)
+		h := newHarness(3, rapid.SampledFrom([][]uint64{nil, {1}, {1, 2}}).Draw(t, "held")...)
 		started := 0
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
-				r.do(query.StartMsg{
-					ID: fmt.Sprint(started), Service: "s", Deadline: r.now + clock.Millis(rapid.IntRange(0, 200).Draw(t, "time")),
+				h.update(query.StartMsg{
+					ID: fmt.Sprint(started), Service: "s", Deadline: h.now + clock.Millis(rapid.IntRange(0, 200).Draw(t, "time")),
 					Policy: preset.RankPolicy{HedgeBudgetPercent: 5, RetryBudgetPercent: 5},
 				})
 				started++
 			case 2:
-				r.tick(r.now + clock.Millis(rapid.IntRange(1, 60).Draw(t, "wait")))
+				h.advanceTo(h.now + clock.Millis(rapid.IntRange(1, 60).Draw(t, "wait")))
 			default:
-				if len(r.sent) > 0 {
-					i := len(r.sent) - 1 - rapid.IntRange(0, min(len(r.sent)-1, 12)).Draw(t, "back")
-					r.do(query.ReplyMsg{Reply: randomReply(t, r, i)})
+				if len(h.sent) > 0 {
+					i := len(h.sent) - 1 - rapid.IntRange(0, min(len(h.sent)-1, 12)).Draw(t, "back")
+					h.update(query.ReplyMsg{Reply: randomReply(t, h, i)})
 				}
 			}
 		}
-		r.tick(r.now + 1000)
+		h.advanceTo(h.now + 1000)
 		ids := make(map[string]bool)
-		for _, a := range r.answers {
+		for _, a := range h.answers {
 			if ids[a.ID] {
 				t.Fatalf("query %s answered twice", a.ID)
 			}
@@ -188,29 +188,29 @@
 				t.Fatalf("query %s: %v", a.ID, err)
 			}
 		}
-		if got := len(r.answers); got != started || r.model.OpenQueries() != 0 {
-			t.Fatalf("%d answers and %d open, want %d and 0", got, r.model.OpenQueries(), started)
+		if got := len(h.answers); got != started || h.model.OpenQueries() != 0 {
+			t.Fatalf("%d answers and %d open, want %d and 0", got, h.model.OpenQueries(), started)
 		}
-		for _, req := range r.sent {
-			if got := r.book.Outstanding(upstream.ID(req.Upstream)); got != 0 {
+		for _, req := range h.sent {
+			if got := h.book.Outstanding(upstream.ID(req.Upstream)); got != 0 {
 				t.Fatalf("%d outstanding on %s, want 0", got, req.Upstream)
 			}
 		}
-		if wake, ok := r.model.NextWake(); ok {
+		if wake, ok := h.model.NextWake(); ok {
 			t.Fatalf("a wake at %d is left", wake)
 		}
 	})
 }
 
 // randomReply draws a reply to the attempt i: right, moved, refused, of another version or crossed.
-func randomReply(t *rapid.T, r *rig, i int) attempt.Reply {
-	reply := r.ok(i)
+func randomReply(t *rapid.T, h *harness, i int) attempt.Reply {
+	reply := h.okReply(i)
 	reply.QueueMs = clock.Millis(rapid.IntRange(0, 5).Draw(t, "queue"))
 	switch rapid.IntRange(0, 7).Draw(t, "reply") {
 	case 0:
-		return r.refusal(i, attempt.VersionGone, rapid.SliceOfN(rapid.Uint64Range(1, 4), 1, 3).Draw(t, "versions")...)
+		return h.notExecutedReply(i, attempt.VersionGone, rapid.SliceOfN(rapid.Uint64Range(1, 4), 1, 3).Draw(t, "versions")...)
 	case 1:
-		return r.refusal(i, rapid.SampledFrom([]attempt.Status{attempt.Shed, attempt.ConnRefused, attempt.Leaving, attempt.NotSent}).Draw(t, "status"))
+		return h.notExecutedReply(i, rapid.SampledFrom([]attempt.Status{attempt.Shed, attempt.ConnRefused, attempt.Leaving, attempt.NotSent}).Draw(t, "status"))
 	case 2:
 		return attempt.Reply{ID: reply.ID, Upstream: reply.Upstream, Status: rapid.SampledFrom([]attempt.Status{
 			attempt.Failed, attempt.TimedOut, attempt.Mismatched, attempt.Cancelled,
@@ -219,7 +219,7 @@
 		reply.Version++
 		reply.Rows = versionRows(reply.Version, reply.Ranges...)
 	case 4:
-		reply.ID = r.sent[rapid.IntRange(0, len(r.sent)-1).Draw(t, "crossed")].ID
+		reply.ID = h.sent[rapid.IntRange(0, len(h.sent)-1).Draw(t, "crossed")].ID
 	case 5:
 		keys := coverage.Range{From: rapid.Uint32Range(0, 30).Draw(t, "from"), To: rapid.Uint32Range(0, 40).Draw(t, "to")}
 		reply.Epoch = rapid.Uint64Range(1, 4).Draw(t, "epoch")
--- a/query/timer.go
+++ b/query/timer.go
@@ -6,10 +6,10 @@
 
 const (
 	timerDeadline timerKind = iota
-	timerLearn
+	timerDiscovery
 	timerHedge
 	timerRetry
-	timerReask
+	timerEpochRetry
 )
 
 // timer is one wake. Timers are not removed when they become pointless; they
@@ -48,11 +48,11 @@
 	h.heap[0] = h.heap[last]
 	h.heap[last] = timer{}
 	h.heap = h.heap[:last]
-	h.sink()
+	h.siftDown()
 	return top
 }
 
-func (h *timers) sink() {
+func (h *timers) siftDown() {
 	i := 0
 	for {
 		child := 2*i + 1
