--- a/query/attempt_table.go
+++ b/query/attempt_table.go
@@ -5,8 +5,8 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// slotBits is the part of a sequence number that names the slot. It bounds
-// the open attempts of a VM to 16 million.
+// slotBits is the number of low bits of a sequence number that hold the slot
+// index. It limits a VM to 16 million open attempts.
 const slotBits = 24
 
 type attemptKind uint8
@@ -19,21 +19,22 @@
 	kindEpochRetry
 )
 
-// openAttempt is one open attempt.
+// openAttempt is an attempt that was sent and has neither ended nor been cancelled.
 type openAttempt struct {
-	seq     uint64 // 0 for a free slot
+	seq     uint64 // 0 if the slot is free
 	q       *openQuery
 	group   int
 	up      upstream.ID
 	kind    attemptKind
 	version uint64
 	sentAt  clock.Millis
-	// lastCancelled is the last attempt in this slot that the model cancelled.
+	// lastCancelled is the sequence number of the last attempt in this slot
+	// that the model cancelled.
 	lastCancelled uint64
 }
 
-// attemptTable holds the open attempts. A sequence number contains its slot, so
-// finding an attempt takes no map.
+// attemptTable holds the open attempts. A sequence number contains its slot
+// index, so a lookup needs no map.
 type attemptTable struct {
 	slots  []openAttempt
 	free   []uint32
@@ -64,7 +65,7 @@
 	return &s.slots[i]
 }
 
-// wasIssued reports whether seq may have been issued before.
+// wasIssued reports whether seq may have been issued by this table.
 func (s *attemptTable) wasIssued(seq uint64) bool {
 	n := seq >> slotBits
 	return n > 0 && n <= s.issued && seq&(1<<slotBits-1) < uint64(len(s.slots))
@@ -76,7 +77,7 @@
 	s.free = append(s.free, i)
 }
 
-// cancel removes an attempt and remembers that its reply may still come.
+// cancel removes an attempt and records it in its slot, because its reply may still arrive.
 func (s *attemptTable) cancel(seq uint64) {
 	s.get(seq).lastCancelled = seq
 	s.remove(seq)
--- a/query/bench_test.go
+++ b/query/bench_test.go
@@ -8,7 +8,7 @@
 )
 
 // BenchmarkQuery measures one query over 98 groups from start to answer,
-// without the making of the replies.
+// without building the replies.
 func BenchmarkQuery(b *testing.B) {
 	h := newHarness(98, 1)
 	b.ReportAllocs()
--- a/query/budget.go
+++ b/query/budget.go
@@ -3,16 +3,19 @@
 import "lentillink.example/lentillink/rank"
 
 const (
-	// defaultHedgeBurst covers a short slow period of one upstream.
+	// defaultHedgeBurst is a number of hedges that covers a short slow period of one upstream.
 	defaultHedgeBurst = 50
-	// defaultRetryBurst covers the attempts in flight to an upstream that fails.
+	// defaultRetryBurst is a number of retries that covers the attempts in
+	// flight to an upstream when it fails.
 	defaultRetryBurst = 200
-	// A refusal that proved not run cost the upstream almost nothing, so the
-	// first retry after one takes only this part of a token.
+	// notExecutedRetryCost is the part of a token that the first retry takes
+	// after an attempt that is proven not executed, because such an attempt
+	// cost the upstream almost nothing.
 	notExecutedRetryCost = 0.1
 )
 
-// tokenBucket is a token bucket that is filled by needed attempts instead of time.
+// tokenBucket is refilled in proportion to the first attempts of the queries
+// instead of time.
 type tokenBucket struct {
 	tokens float64
 	burst  float64
@@ -28,7 +31,7 @@
 	return true
 }
 
-// fillLevel returns how full the bucket is, from 0 to 1.
+// fillLevel returns the tokens as a fraction of the burst, from 0 to 1.
 func (b *tokenBucket) fillLevel() float64 {
 	if b.burst <= 0 {
 		return 0
@@ -36,6 +39,7 @@
 	return b.tokens / b.burst
 }
 
+// budget limits the hedges and retries of one rank.
 type budget struct {
 	hedges  tokenBucket
 	retries tokenBucket
--- a/query/command.go
+++ b/query/command.go
@@ -8,22 +8,23 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// Cmd is a command of a Model.
+// Cmd is a command that a Model returns for the runtime to execute.
 type Cmd interface{ queryCmd() }
 
-// SendCmd sends an attempt.
+// SendCmd sends an attempt to an upstream.
 type SendCmd struct{ attempt.Request }
 
-// CancelCmd cancels an attempt whose reply is no longer wanted.
+// CancelCmd cancels an attempt whose reply is no longer needed.
 type CancelCmd struct {
 	ID       attempt.ID
 	Upstream string
 }
 
-// AnswerCmd answers a query. Each started query gets exactly one, unless its caller is gone.
+// AnswerCmd answers a query. Each started query gets exactly one, unless its
+// caller disconnects first.
 type AnswerCmd struct{ Answer }
 
-// EventCmd records an event.
+// EventCmd records an event in the timeline.
 type EventCmd struct{ timeline.Event }
 
 func (SendCmd) queryCmd()   {}
@@ -31,10 +32,10 @@
 func (AnswerCmd) queryCmd() {}
 func (EventCmd) queryCmd()  {}
 
-// Outcome says how a query ended.
+// Outcome is the result class of a query.
 type Outcome string
 
-// The outcomes of a query.
+// Complete answers cover every key; Partial ones cover at least MinCoverage percent.
 const (
 	Complete Outcome = "complete"
 	Partial  Outcome = "partial"
@@ -45,7 +46,7 @@
 type Answer struct {
 	ID            string
 	Outcome       Outcome
-	Execution     attempt.Execution // No only if every attempt proved not run
+	Execution     attempt.Execution // NotExecuted only if every attempt is proven not executed
 	Snapshot      uint64
 	Expected      uint32
 	Covered       uint32
@@ -56,10 +57,10 @@
 	Rank          rank.Rank
 	TookMs        clock.Millis
 	Reason        string
-	Attempts      int          // attempts sent
-	Needed        int          // attempts needed: one per group
-	MaxQueueMs    clock.Millis // longest carrier queue wait in the replies
-	MeanQueueMs   clock.Millis // mean carrier queue wait in the replies
-	MeanServiceMs clock.Millis // mean time of the answered attempts without that wait
-	Overloaded    bool         // an attempt was shed or dropped under load
+	Attempts      int          // attempts sent, including hedges and retries
+	Needed        int          // attempts without hedges and retries: one per group
+	MaxQueueMs    clock.Millis // longest queue wait at a carrier, as the replies state it
+	MeanQueueMs   clock.Millis // mean queue wait at the carriers, as the replies state it
+	MeanServiceMs clock.Millis // mean latency of the successful attempts without that wait
+	Overloaded    bool         // an attempt was shed by its upstream or dropped by its carrier
 }
--- a/query/doc.go
+++ b/query/doc.go
@@ -1,6 +1,9 @@
-// Package query decides the life cycle of a query: its snapshot, the fan-out
-// to one upstream of every group, hedges, retries and the merge of the replies.
+// Package query runs queries: it chooses the snapshot version, fans out to one
+// upstream of every group, sends hedges and retries, and merges the replies.
 //
-// Model is a pure state machine. A runtime performs its commands and turns
-// results into messages.
+// The upstreams of a group are replicas that hold the same keys. A carrier is
+// a VM that owns connections to an upstream; attempts are sent through it.
+//
+// Model is a pure state machine without I/O. A runtime executes its commands
+// and reports the results as messages.
 package query
--- a/query/finish.go
+++ b/query/finish.go
@@ -6,7 +6,7 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// finish answers a query with what is there.
+// finish ends a query and answers it with the replies received so far.
 func (m *Model) finish(now clock.Millis, q *openQuery, reason string) {
 	for g := range q.subrequests {
 		m.failGroup(q, g, reason)
--- a/query/message.go
+++ b/query/message.go
@@ -7,37 +7,37 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// Msg is a message to a Model.
+// Msg is an input of a Model.
 type Msg interface{ queryMsg() }
 
-// StartMsg starts an admitted query. The ID must differ from those of all open
-// queries of this VM; a StartMsg that repeats one is ignored.
+// StartMsg starts an admitted query. The ID must be unique among the open
+// queries of this VM; a StartMsg with the ID of an open query is ignored.
 type StartMsg struct {
 	ID          string
 	Rank        rank.Rank
 	Service     string
 	Body        []byte
 	Deadline    clock.Millis
-	MinCoverage float64 // percent of the keys; below it the answer is failed
+	MinCoverage float64 // percent of the keys; with less coverage the query fails
 	Priority    uint32
 	Policy      preset.RankPolicy
 	Preset      string
 	Revision    uint64
 }
 
-// ReplyMsg is the end of an attempt.
+// ReplyMsg reports the result of an attempt.
 type ReplyMsg struct{ attempt.Reply }
 
-// CallerDisconnectedMsg ends a query without an answer.
+// CallerDisconnectedMsg ends a query without an answer, because its caller disconnected.
 type CallerDisconnectedMsg struct{ ID string }
 
-// OverloadMsg says whether a service is overloaded. No hedges are sent while it is.
+// OverloadMsg sets whether a service is overloaded. Hedges are suspended while it is.
 type OverloadMsg struct {
 	Service    string
 	Overloaded bool
 }
 
-// TickMsg is sent at the time that NextWake returned.
+// TickMsg runs the timers that are due. The runtime sends it at the time returned by NextWake.
 type TickMsg struct{}
 
 func (StartMsg) queryMsg()              {}
--- a/query/model.go
+++ b/query/model.go
@@ -39,18 +39,18 @@
 	return s
 }
 
-// openQuery is one query that has not been answered.
+// openQuery is the state of a query that has not been answered.
 type openQuery struct {
 	StartMsg
 	service         *service
 	startedAt       clock.Millis
-	answerAt        clock.Millis // the deadline less a margin
+	answerAt        clock.Millis // when to answer: a margin before the deadline
 	merge           *coverage.Merge
-	version         uint64       // 0 while the held versions are being learned
-	discoveryEnd    clock.Millis // end of the time for learning them
+	version         uint64       // 0 while it is unknown which versions the upstreams hold
+	discoveryEnd    clock.Millis // time limit of the discovery of these versions
 	subrequests     []subrequest
-	unsettled       int   // parts that are not settled
-	pass            int32 // rises with each restart
+	unsettled       int   // subrequests that are not settled
+	pass            int32 // number of restarts; each one is a new fan-out
 	epochRetries    int
 	attempts        int
 	maxQueueMs      clock.Millis
@@ -58,32 +58,32 @@
 	replies         int
 	totalServiceMs  clock.Millis
 	okReplies       int
-	overloaded      bool // a carrier or an upstream dropped an attempt under load
-	executed        bool
-	maybeExecuted   bool
-	budgetEventSent bool // the event about an exhausted budget was sent
+	overloaded      bool // an upstream shed an attempt or a carrier dropped one
+	executed        bool // some attempt was executed
+	maybeExecuted   bool // some attempt may have been executed
+	budgetEventSent bool // the event for an exhausted budget was emitted
 	done            bool
 }
 
-// subrequest is the state of one group of a query.
+// subrequest is a query's share of one group in the current pass.
 type subrequest struct {
-	openSeqs   [maxOpenAttempts]uint64 // open attempts
+	openSeqs   [maxOpenAttempts]uint64 // sequence numbers of the open attempts
 	openCount  int8
 	attempts   int8
 	retries    int8
 	hedges     int8
 	triedCount int8
-	// tokenWaits is the number of waits for a token, which lengthens the next one.
+	// tokenWaits counts the doublings of the next wait for a budget token.
 	tokenWaits    int8
-	notExecuted   bool           // the last failure proved not run
-	lastStatus    attempt.Status // of the last attempt that ended
-	settled       bool
-	answered      bool
+	notExecuted   bool           // the last failed attempt is proven not executed
+	lastStatus    attempt.Status // status of the last attempt that ended
+	settled       bool           // answered or failed in this pass
+	answered      bool           // an upstream of the group replied OK
 	tried         [maxAttempts]upstream.ID
-	earliestRetry clock.Millis // a retry at a tried upstream waits until this time
+	earliestRetry clock.Millis // earliest time of a retry to an upstream that was tried before
 }
 
-// New returns a Model that chooses upstreams from book and keeps it up to date.
+// New returns a Model that selects upstreams with book and reports the results of attempts to it.
 func New(book *upstream.Book, opts ...Option) *Model {
 	m := &Model{
 		book:     book,
@@ -97,8 +97,8 @@
 	return m
 }
 
-// Update handles a message and returns the commands that follow. The slice is
-// valid until the next call.
+// Update handles a message and the timers that are due, and returns the
+// resulting commands. The slice is valid until the next call.
 func (m *Model) Update(now clock.Millis, msg Msg) []Cmd {
 	clear(m.cmds)
 	m.cmds = m.cmds[:0]
@@ -130,7 +130,7 @@
 	return attempt.ID{VM: m.vm, Incarnation: m.incarnation, Seq: seq}
 }
 
-// runTimers runs the timers that are due and drops pointless ones at the top.
+// runTimers runs the timers that are due and removes obsolete ones from the top of the heap.
 func (m *Model) runTimers(now clock.Millis) {
 	for len(m.timers.heap) > 0 {
 		top := &m.timers.heap[0]
@@ -144,6 +144,8 @@
 	}
 }
 
+// obsolete reports whether a timer belongs to an answered query, to an earlier
+// pass (except the deadline) or to an attempt that is no longer open.
 func (m *Model) obsolete(t *timer) bool {
 	if t.q.done || (t.pass != t.q.pass && t.kind != timerDeadline) {
 		return true
--- a/query/model_test.go
+++ b/query/model_test.go
@@ -15,7 +15,7 @@
 
 const keysPerGroup = 10
 
-// harness drives a Model by hand and keeps its commands.
+// harness drives a Model and records its commands.
 type harness struct {
 	book    *upstream.Book
 	model   *query.Model
@@ -26,7 +26,8 @@
 	events  map[timeline.Kind]int
 }
 
-// newHarness makes a service with groups of two replicas that hold the versions; none means not known.
+// newHarness returns a Model of a service whose groups have two replicas each.
+// The replicas hold the given versions; without any it is unknown what they hold.
 func newHarness(groups int, held ...uint64) *harness {
 	svc := upstream.Service{Name: "s", Keys: uint32(groups * keysPerGroup)}
 	var list []upstream.Upstream
@@ -71,7 +72,7 @@
 	})
 }
 
-// advanceTo moves the time to at and wakes the model whenever it asks.
+// advanceTo sets the time to at and sends a TickMsg at each time returned by NextWake.
 func (h *harness) advanceTo(at clock.Millis) {
 	for {
 		wake, ok := h.model.NextWake()
@@ -84,7 +85,8 @@
 	h.now = at
 }
 
-// okReply answers the attempt i with the keys of its group; rows carry the version.
+// okReply returns a reply to attempt i with all keys of its group. The value of
+// each row is the version.
 func (h *harness) okReply(i int) attempt.Reply {
 	req := h.sent[i]
 	var g uint32
@@ -110,7 +112,8 @@
 	return rows
 }
 
-// checkAnswer returns what is wrong with an answer whose upstreams hold one row per key.
+// checkAnswer returns an error for an inconsistent answer, given that the
+// upstreams hold one row per key.
 func checkAnswer(a query.Answer) error {
 	missing := make(map[uint32]bool)
 	for _, gap := range a.Missing {
@@ -124,7 +127,7 @@
 	seen := make(map[uint32]bool)
 	for _, row := range a.Rows {
 		if seen[row.Key] || missing[row.Key] || row.Value != fmt.Sprint(a.Snapshot) {
-			return fmt.Errorf("row %v at snapshot %d: doubled, reported missing or mixed", row, a.Snapshot)
+			return fmt.Errorf("row %v at snapshot %d: duplicate, reported missing or of another version", row, a.Snapshot)
 		}
 		seen[row.Key] = true
 	}
@@ -137,7 +140,8 @@
 	return nil
 }
 
-// TestFaults guards one fault per case: a wrong outcome, a wrong ran, a lost or doubled answer.
+// TestFaults guards against a wrong outcome, a wrong execution state and lost or
+// duplicate answers, with one fault per case.
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -151,11 +155,11 @@
 		drops     int
 		event     timeline.Kind
 	}{
-		{name: "all answer", held: []uint64{1}, run: func(h *harness) {
+		{name: "no fault", held: []uint64{1}, run: func(h *harness) {
 			h.update(query.ReplyMsg{Reply: h.okReply(0)})
 			h.update(query.ReplyMsg{Reply: h.okReply(1)})
 		}, outcome: query.Complete, covered: 20, execution: attempt.Executed, sent: 2},
-		{name: "doubled reply", held: []uint64{1}, run: func(h *harness) {
+		{name: "duplicate reply", held: []uint64{1}, run: func(h *harness) {
 			h.update(query.ReplyMsg{Reply: h.okReply(0)})
 			h.update(query.ReplyMsg{Reply: h.okReply(0)})
 			h.update(query.ReplyMsg{Reply: h.okReply(1)})
@@ -166,7 +170,7 @@
 			h.advanceTo(200)
 			h.update(query.ReplyMsg{Reply: h.okReply(1)})
 		}, outcome: query.Partial, covered: 10, execution: attempt.Executed, sent: 2, drop: query.DropFinishedAttempt, drops: 1, event: timeline.GroupMissing},
-		{name: "crossed upstream", held: []uint64{1}, run: func(h *harness) {
+		{name: "reply from another upstream", held: []uint64{1}, run: func(h *harness) {
 			misrouted := h.okReply(1)
 			misrouted.ID = h.sent[0].ID
 			h.update(query.ReplyMsg{Reply: misrouted})
@@ -187,19 +191,19 @@
 			h.update(query.ReplyMsg{Reply: h.okReply(1)})
 			h.update(query.ReplyMsg{Reply: h.okReply(2)})
 		}, outcome: query.Complete, covered: 20, execution: attempt.Executed, sent: 3, drop: query.DropWrongVersion, drops: 1, event: timeline.Retried},
-		{name: "cut reply", held: []uint64{1}, run: func(h *harness) {
+		{name: "truncated reply", held: []uint64{1}, run: func(h *harness) {
 			h.update(query.ReplyMsg{Reply: attempt.Reply{ID: h.sent[0].ID, Upstream: h.sent[0].Upstream, Status: attempt.Mismatched}})
 			h.update(query.ReplyMsg{Reply: h.okReply(1)})
 			h.update(query.ReplyMsg{Reply: h.okReply(2)})
 		}, outcome: query.Complete, covered: 20, execution: attempt.Executed, sent: 3, event: timeline.Retried},
-		{name: "every attempt refused", held: []uint64{1}, run: func(h *harness) {
+		{name: "every connection refused", held: []uint64{1}, run: func(h *harness) {
 			for i := 0; len(h.answers) == 0; h.advanceTo(h.now + 1) {
 				for ; i < len(h.sent); i++ {
 					h.update(query.ReplyMsg{Reply: h.notExecutedReply(i, attempt.ConnRefused)})
 				}
 			}
 		}, outcome: query.Failed, execution: attempt.NotExecuted, sent: 12},
-		{name: "no answer at all", held: []uint64{1}, run: func(h *harness) {
+		{name: "no reply at all", held: []uint64{1}, run: func(h *harness) {
 			h.update(query.OverloadMsg{Service: "s", Overloaded: true})
 			h.advanceTo(200)
 		}, outcome: query.Failed, execution: attempt.ExecutionUnknown, sent: 2},
@@ -214,7 +218,7 @@
 				h.update(query.ReplyMsg{Reply: h.okReply(i)})
 			}
 		}, outcome: query.Complete, covered: 20, execution: attempt.Executed, sent: 6, event: timeline.VersionRestart},
-		{name: "nothing known", run: func(h *harness) {
+		{name: "held versions unknown", run: func(h *harness) {
 			h.update(query.ReplyMsg{Reply: h.notExecutedReply(0, attempt.VersionGone, 4, 5)})
 			h.update(query.ReplyMsg{Reply: h.notExecutedReply(1, attempt.VersionGone, 3, 4)})
 			h.update(query.ReplyMsg{Reply: h.okReply(2)})
@@ -224,7 +228,7 @@
 			h.update(query.ReplyMsg{Reply: h.okReply(0)})
 			h.advanceTo(200)
 		}, outcome: query.Failed, execution: attempt.ExecutionUnknown, sent: 3, drop: query.DropWrongVersion, drops: 1},
-		{name: "epoch gap", held: []uint64{1}, run: func(h *harness) {
+		{name: "missing keys under an older epoch", held: []uint64{1}, run: func(h *harness) {
 			moved := h.okReply(0)
 			moved.Epoch, moved.Ranges = 2, []coverage.Range{{To: 8}}
 			moved.Rows = versionRows(1, moved.Ranges...)
@@ -236,7 +240,7 @@
 			retried.Rows = versionRows(1, retried.Ranges...)
 			h.update(query.ReplyMsg{Reply: retried})
 		}, outcome: query.Complete, covered: 20, execution: attempt.Executed, sent: 3},
-		{name: "gap at one epoch", held: []uint64{1}, run: func(h *harness) {
+		{name: "missing keys under the same epoch", held: []uint64{1}, run: func(h *harness) {
 			incomplete := h.okReply(0)
 			incomplete.Ranges, incomplete.Rows = []coverage.Range{{To: 8}}, versionRows(1, coverage.Range{To: 8})
 			h.update(query.ReplyMsg{Reply: incomplete})
@@ -257,10 +261,10 @@
 				t.Error(err)
 			}
 			if a.Outcome != tt.outcome || a.Covered != tt.covered || a.Execution != tt.execution {
-				t.Errorf("got %s, %d keys, ran %s, want %s, %d, %s", a.Outcome, a.Covered, a.Execution, tt.outcome, tt.covered, tt.execution)
+				t.Errorf("got %s, %d keys, execution %s, want %s, %d, %s", a.Outcome, a.Covered, a.Execution, tt.outcome, tt.covered, tt.execution)
 			}
 			if a.Attempts != tt.sent || a.Needed != 2 {
-				t.Errorf("%d attempts of %d needed, want %d of 2", a.Attempts, a.Needed, tt.sent)
+				t.Errorf("%d attempts and %d needed, want %d and 2", a.Attempts, a.Needed, tt.sent)
 			}
 			if got := h.model.Dropped(tt.drop); got != tt.drops {
 				t.Errorf("%d replies dropped, want %d", got, tt.drops)
--- a/query/options.go
+++ b/query/options.go
@@ -5,7 +5,7 @@
 // Option configures a Model.
 type Option func(*Model)
 
-// WithServices sets the services that queries may name.
+// WithServices adds the services that can be queried.
 func WithServices(list ...upstream.Service) Option {
 	return func(m *Model) {
 		for _, svc := range list {
@@ -14,7 +14,7 @@
 	}
 }
 
-// WithVM sets the name and incarnation that attempt identifiers carry.
+// WithVM sets the VM name and incarnation of the attempt IDs.
 func WithVM(name string, incarnation uint64) Option {
 	return func(m *Model) {
 		m.vm = name
@@ -22,7 +22,7 @@
 	}
 }
 
-// WithBurst bounds the hedges and retries that a rank may save up while it needs none.
+// WithBurst sets the size of each rank's hedge and retry token buckets.
 func WithBurst(hedges, retries float64) Option {
 	return func(m *Model) {
 		m.budgets = newBudgets(hedges, retries)
--- a/query/reply.go
+++ b/query/reply.go
@@ -14,7 +14,7 @@
 	}
 	a := m.attempts.get(r.ID.Seq)
 	if a == nil {
-		// The end of an attempt that the model cancelled is expected.
+		// A Cancelled reply is the expected result of a CancelCmd.
 		if r.Status != attempt.Cancelled {
 			m.dropReply(r, DropFinishedAttempt)
 		}
@@ -25,15 +25,15 @@
 		return
 	}
 	if r.Status == attempt.OK && (r.Version != a.version || a.version == 0) {
-		// The attempt is over, but nothing of the reply may be used.
+		// The attempt has ended, but its rows belong to another version.
 		m.dropReply(r, DropWrongVersion)
 		r = attempt.Reply{ID: r.ID, Upstream: r.Upstream, Status: attempt.Mismatched, QueueMs: r.QueueMs}
 	}
 	m.endAttempt(now, *a, r)
 }
 
-// dropReply counts a reply that must not be used. A reply that crossed its own
-// cancellation is expected, so it makes no event.
+// dropReply counts a reply that must not be used. It emits no event for a reply
+// that was already on its way when its attempt was cancelled.
 func (m *Model) dropReply(r attempt.Reply, d DropReason) {
 	m.dropped[d]++
 	if d == DropFinishedAttempt && m.attempts.wasCancelled(r.ID.Seq) {
@@ -44,13 +44,13 @@
 	}})
 }
 
-// endAttempt ends an attempt with its reply.
+// endAttempt closes an attempt and acts on its reply.
 func (m *Model) endAttempt(now clock.Millis, a openAttempt, r attempt.Reply) {
 	q, sub := a.q, &a.q.subrequests[a.group]
 	m.attempts.remove(a.seq)
 	sub.removeOpen(a.seq)
 	q.recordExecution(r.Execution)
-	// What the query waits for includes the way to the carrier.
+	// The latency that a query sees includes the round trip to the carrier.
 	r.ServiceMs = max(now-a.sentAt-r.QueueMs, 0)
 	q.recordLoad(r)
 	m.book.Observe(now, a.up, r)
@@ -59,13 +59,14 @@
 	case r.Status == attempt.OK:
 		m.acceptReply(now, a, r)
 	case sub.openCount > 0:
-		// Another attempt of the group is still running.
+		// Another attempt of the group is still open; hedge it now.
 		sub.notExecuted = r.Execution == attempt.NotExecuted
 		m.setTimer(now, timerHedge, q, a.group, sub.openSeqs[0])
 	case r.Status == attempt.VersionGone:
 		m.versionGone(now, q, a.group)
 	case r.Status == attempt.NotSent && now+m.book.TypicalMs(q.Service) > q.answerAt:
-		// The carrier dropped it for lack of time, so a retry would not finish either.
+		// The carrier dropped the attempt because too little time remained, so a
+		// retry would miss the deadline too.
 		m.failGroupAndAdvance(now, q, a.group, "dropped by its carrier")
 	default:
 		sub.notExecuted = r.Execution == attempt.NotExecuted
@@ -76,7 +77,8 @@
 	}
 }
 
-// recordLoad keeps what admission needs to judge the load of the carriers.
+// recordLoad collects the queue and service times from which admission
+// control estimates the load of the carriers.
 func (q *openQuery) recordLoad(r attempt.Reply) {
 	q.maxQueueMs = max(q.maxQueueMs, r.QueueMs)
 	q.totalQueueMs += r.QueueMs
@@ -110,7 +112,8 @@
 	m.advance(now, q)
 }
 
-// cancelOpen gives up the open attempts of a part.
+// cancelOpen cancels the open attempts of a subrequest. Each of them may
+// already have been executed.
 func (m *Model) cancelOpen(now clock.Millis, sub *subrequest) {
 	for _, seq := range sub.openSeqs[:sub.openCount] {
 		a := m.attempts.get(seq)
@@ -129,7 +132,7 @@
 	}
 }
 
-// failGroup settles a group that gives no answer in this pass.
+// failGroup settles the subrequest of a group without an answer.
 func (m *Model) failGroup(q *openQuery, g int, reason string) {
 	sub := &q.subrequests[g]
 	if sub.settled {
@@ -144,7 +147,7 @@
 	m.settleSubrequest(q, sub)
 }
 
-// advance goes on once every group answered or was given up.
+// advance continues or finishes the query once every subrequest is settled.
 func (m *Model) advance(now clock.Millis, q *openQuery) {
 	switch {
 	case q.done || q.unsettled > 0:
--- a/query/restart.go
+++ b/query/restart.go
@@ -8,18 +8,20 @@
 )
 
 const (
-	// maxRestarts bounds the passes of one query.
+	// maxRestarts limits how often one query restarts at another version.
 	maxRestarts = 4
-	// A pass needs this many times the typical latency.
+	// latenciesPerPass is the time that a new pass needs, in multiples of the
+	// service's typical latency.
 	latenciesPerPass = 2
-	// maxEpochRetries bounds how often groups on an older epoch are asked again.
+	// maxEpochRetries limits the retries to groups on an older shard map epoch.
 	maxEpochRetries = 5
-	// The first request goes out at once; the wait before the others starts here
-	// and doubles, so that the group has time to learn the new shard map.
+	// epochRetryBackoffMs is the wait before the second epoch retry. It doubles
+	// with each further one, so that the group has time to receive the new shard
+	// map. The first epoch retry is sent at once.
 	epochRetryBackoffMs = 4
 )
 
-// versionGone handles a refusal after which the group has no open attempt.
+// versionGone handles a VersionGone reply after which the group has no open attempt.
 func (m *Model) versionGone(now clock.Millis, q *openQuery, g int) {
 	sub := &q.subrequests[g]
 	sub.notExecuted = true
@@ -40,7 +42,8 @@
 	m.failGroupAndAdvance(now, q, g, "version gone")
 }
 
-// restart starts the query again at a version that more groups hold.
+// restart starts a new pass at a version that more groups hold. It reports
+// false if there is none or too little time remains.
 func (m *Model) restart(now clock.Millis, q *openQuery) bool {
 	if q.pass >= maxRestarts || !m.hasTimeForPass(now, q) {
 		return false
@@ -59,7 +62,8 @@
 	return true
 }
 
-// endDiscovery ends the pass that only asked which versions are held.
+// endDiscovery ends the pass that discovers which versions the upstreams hold
+// and starts one at the best of them.
 func (m *Model) endDiscovery(now clock.Millis, q *openQuery) {
 	if m.restart(now, q) {
 		return
@@ -73,8 +77,8 @@
 	return now+latenciesPerPass*m.book.TypicalMs(q.Service) <= q.answerAt
 }
 
-// scheduleEpochRetry schedules another request to the groups on an older epoch, and
-// reports false if there are none or the time is too short.
+// scheduleEpochRetry schedules a retry to the groups on an older epoch. It
+// reports false if there are none or too little time remains.
 func (m *Model) scheduleEpochRetry(now clock.Millis, q *openQuery) bool {
 	if q.epochRetries >= maxEpochRetries || len(q.outdatedGroups()) == 0 {
 		return false
@@ -91,7 +95,8 @@
 	return true
 }
 
-// outdatedGroups returns the groups that answered under an older epoch than another one.
+// outdatedGroups returns the groups that answered with an older shard map epoch
+// than another group.
 func (q *openQuery) outdatedGroups() []int {
 	var list []int
 	newest := q.merge.MaxEpoch()
--- a/query/retry.go
+++ b/query/retry.go
@@ -7,26 +7,30 @@
 )
 
 const (
-	// maxHedges is the number of hedges per group. The second one covers a
-	// hedge that is itself slow.
+	// maxHedges limits the hedges per group. The second one covers the case
+	// that the first hedge is slow too.
 	maxHedges = 2
-	// An attempt that found no budget asks again after tokenWaitMs. The wait
-	// doubles each time up to maxTokenWaitMs: thousands of parts without tokens
-	// that all ask every few milliseconds would take the whole processor.
+	// A hedge or retry that finds the budget exhausted checks it again after
+	// tokenWaitMs. The wait doubles each time up to maxTokenWaitMs, because
+	// thousands of subrequests that poll every few milliseconds would take the
+	// whole processor.
 	tokenWaitMs, maxTokenWaitMs = 3, 3 << 12
-	// With an empty budget a hedge waits this much longer, as a share of its
-	// delay, so that the slowest attempts get the remaining tokens.
+	// scarceBudgetDelay is the increase of the hedge delay at an empty budget, as
+	// a fraction of the delay. Longer delays leave the remaining tokens to the
+	// slowest attempts.
 	scarceBudgetDelay = 1.0
 	// A second hedge follows after three fifths of the delay. By then the first
 	// attempt has taken far longer than usual, so waiting for the whole p95 of
-	// the hedge would only add to the tail.
+	// the first hedge would only add to the tail latency.
 	secondHedgeNum, secondHedgeDen = 3, 5
-	// retryBackoffMs doubles with each retry to an upstream that was tried before.
+	// retryBackoffMs is the base delay of a retry to an upstream that was tried
+	// before. It doubles with each retry.
 	retryBackoffMs = 4
 )
 
-// hedgeDelay stretches the delay of the book while tokens are scarce. It does
-// not for a second hedge, which is seldom and worth the most.
+// hedgeDelay returns the time until an attempt is hedged. The delay grows as
+// the budget empties, except before a second hedge, which is rare and has the
+// greatest effect.
 func (m *Model) hedgeDelay(now clock.Millis, q *openQuery, up upstream.ID, secondHedge bool) clock.Millis {
 	delay := m.book.HedgeDelay(now, up)
 	if secondHedge {
@@ -36,15 +40,15 @@
 	return delay + clock.Millis(float64(delay)*scarceBudgetDelay*shortage)
 }
 
-// hedge sends a second attempt while the first one is still open.
+// hedge sends an additional attempt while the attempt seq is still open.
 func (m *Model) hedge(now clock.Millis, q *openQuery, g int, seq uint64) {
 	sub := &q.subrequests[g]
 	a := m.attempts.get(seq)
 	if sub.settled || sub.hedges >= maxHedges || sub.attempts >= maxAttempts || sub.openCount >= maxOpenAttempts {
 		return
 	}
-	// Tokens from the start or from an earlier preset must not be spent by a
-	// rank that its preset grants no hedges.
+	// A rank without a hedge budget in its preset must not spend the initial
+	// tokens or those of an earlier preset.
 	if q.Policy.HedgeBudgetPercent <= 0 {
 		return
 	}
@@ -66,8 +70,8 @@
 	m.send(now, q, g, up, kindHedge)
 }
 
-// pickHedge prefers an upstream that the group did not try; a second hedge may
-// return to an earlier one.
+// pickHedge selects the upstream of a hedge, preferably one that was not tried
+// for this group. A second hedge may go to any but the last one tried.
 func (m *Model) pickHedge(now clock.Millis, q *openQuery, g int) (upstream.ID, bool) {
 	sub := &q.subrequests[g]
 	tried := sub.tried[:sub.triedCount]
@@ -78,7 +82,8 @@
 	return up, ok
 }
 
-// sendRetry sends another attempt after the last one failed.
+// sendRetry retries a group that has no open attempt, at an upstream that was
+// not tried if there is one.
 func (m *Model) sendRetry(now clock.Millis, q *openQuery, g int) {
 	sub := &q.subrequests[g]
 	if sub.settled || sub.openCount > 0 {
@@ -97,8 +102,8 @@
 	m.sendBudgetedRetry(now, q, g, up)
 }
 
-// scheduleTriedUpstreamRetry retries an upstream that was tried before, after a backoff. It
-// prefers another one than the last.
+// scheduleTriedUpstreamRetry schedules a retry, after a backoff, that may go to
+// any upstream tried before but the last one.
 func (m *Model) scheduleTriedUpstreamRetry(now clock.Millis, q *openQuery, g int) {
 	sub := &q.subrequests[g]
 	group := q.service.groups[g]
@@ -117,6 +122,8 @@
 	m.setTimer(at, timerRetry, q, g, 0)
 }
 
+// sendBudgetedRetry sends a retry if the retry budget allows it, and otherwise
+// schedules another try.
 func (m *Model) sendBudgetedRetry(now clock.Millis, q *openQuery, g int, up upstream.ID) {
 	sub := &q.subrequests[g]
 	cost := 1.0
@@ -133,8 +140,8 @@
 	m.send(now, q, g, up, kindRetry)
 }
 
-// scheduleTokenRetry asks for a retry token again after a while. A wait that would
-// pass the deadline is pointless.
+// scheduleTokenRetry schedules another check of the retry budget. It fails the
+// group if the wait would exceed the deadline.
 func (m *Model) scheduleTokenRetry(now clock.Millis, q *openQuery, g int) {
 	at := now + q.subrequests[g].nextTokenWait()
 	if at >= q.answerAt {
@@ -144,7 +151,7 @@
 	m.setTimer(at, timerRetry, q, g, 0)
 }
 
-// nextTokenWait returns the next wait for a token and doubles the one after it.
+// nextTokenWait returns the next wait for a budget token and doubles the one after it.
 func (sub *subrequest) nextTokenWait() clock.Millis {
 	wait := min(clock.Millis(tokenWaitMs)<<sub.tokenWaits, maxTokenWaitMs)
 	if wait < maxTokenWaitMs {
@@ -153,7 +160,8 @@
 	return wait
 }
 
-// recordBudgetExhausted reports an exhausted budget once per query.
+// recordBudgetExhausted counts an exhausted budget and emits an event for the
+// first one of the query.
 func (m *Model) recordBudgetExhausted(q *openQuery, attemptType string) {
 	m.totals.Ref(q.Rank).BudgetExhausted++
 	if !q.budgetEventSent {
@@ -162,7 +170,7 @@
 	}
 }
 
-// failGroupAndAdvance gives a group up and goes on with the query.
+// failGroupAndAdvance fails a group and continues the query without it.
 func (m *Model) failGroupAndAdvance(now clock.Millis, q *openQuery, g int, reason string) {
 	m.failGroup(q, g, reason)
 	m.advance(now, q)
--- a/query/retry_test.go
+++ b/query/retry_test.go
@@ -9,8 +9,8 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// TestTokenWait guards against attempts without a retry token that ask again
-// every few milliseconds and so take the whole processor under overload.
+// TestTokenWait guards against retries that poll an exhausted budget every few
+// milliseconds and so take the whole processor under overload.
 func TestTokenWait(t *testing.T) {
 	h := newHarness(1, 1)
 	query.WithBurst(0, 0)(h.model)
@@ -21,12 +21,12 @@
 	for h.model.OpenQueries() > 0 {
 		at, ok := h.model.NextWake()
 		if !ok {
-			t.Fatal("an open query without a wake")
+			t.Fatal("NextWake returned none for an open query")
 		}
 		h.advanceTo(at)
 		wakes++
 	}
-	// The waits double from 3 ms to 1.5 s, so ten seconds hold about 16 of them.
+	// The waits double from 3 ms to 1.5 s, so there are about 16 of them in ten seconds.
 	if want := 20; wakes > want {
 		t.Errorf("%d wakes, want at most %d", wakes, want)
 	}
@@ -36,21 +36,21 @@
 }
 
 // TestNoRetry guards against retries that cannot succeed: after a carrier
-// dropped an attempt for lack of time, and at an upstream that shed the
-// attempt before the time that it named.
+// dropped an attempt because too little time remained, and to an upstream that
+// shed an attempt, before its RetryAfter has passed.
 func TestNoRetry(t *testing.T) {
 	tests := []struct {
 		name       string
-		at         clock.Millis // of the first reply; the deadline is 200
+		at         clock.Millis // time of the first reply; the deadline is 200
 		status     attempt.Status
 		retryAfter clock.Millis
-		want       []clock.Millis // when attempts are sent; every one ends the same way
+		want       []clock.Millis // times at which attempts are sent; all get the same reply
 	}{
-		{"dropped for lack of time", 185, attempt.NotSent, 0, []clock.Millis{0}},
-		{"no connection, time left", 10, attempt.NotSent, 0, []clock.Millis{0, 10, 18, 34, 66, 130}},
-		{"shed without a time", 10, attempt.Shed, 0, []clock.Millis{0, 10, 18, 34, 66, 130}},
-		{"shed for 100 ms", 10, attempt.Shed, 100, []clock.Millis{0, 10, 110}},
-		{"shed beyond the deadline", 10, attempt.Shed, 1000, []clock.Millis{0, 10}},
+		{"too little time remains", 185, attempt.NotSent, 0, []clock.Millis{0}},
+		{"no connection, enough time remains", 10, attempt.NotSent, 0, []clock.Millis{0, 10, 18, 34, 66, 130}},
+		{"shed without RetryAfter", 10, attempt.Shed, 0, []clock.Millis{0, 10, 18, 34, 66, 130}},
+		{"shed with RetryAfter 100 ms", 10, attempt.Shed, 100, []clock.Millis{0, 10, 110}},
+		{"shed with RetryAfter beyond the deadline", 10, attempt.Shed, 1000, []clock.Millis{0, 10}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestNoHedgesWithoutBudget guards against a rank that spends the tokens of the
-// start although its preset grants it no hedges.
+// TestNoHedgesWithoutBudget guards against a rank that spends the initial
+// tokens although its preset has a hedge budget of 0.
 func TestNoHedgesWithoutBudget(t *testing.T) {
 	for _, tc := range []struct {
 		percent float64
--- a/query/start.go
+++ b/query/start.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// maxOpenAttempts bounds the attempts of one group that are open at once.
+	// maxOpenAttempts limits the concurrent attempts of one group.
 	maxOpenAttempts = 3
-	// maxAttempts bounds the attempts of one group in one pass.
+	// maxAttempts limits the attempts of one group in one pass.
 	maxAttempts = 6
-	// An answer is sent this long before the deadline, or a tenth of the
-	// time if that is less, so that it reaches the caller in time.
+	// answerMarginMs is how long before the deadline an answer is sent, so that
+	// it reaches the caller in time. The margin is at most a tenth of the
+	// remaining time.
 	answerMarginMs = 5
-	// Learning the held versions may take this part of the remaining time.
+	// discoveryTimeDivisor bounds the discovery of the held versions to this
+	// part of the remaining time.
 	discoveryTimeDivisor = 4
 )
 
 func (m *Model) start(now clock.Millis, msg StartMsg) {
 	if m.byID[msg.ID] != nil {
-		// An answer under this ID would reach the first caller.
+		// An answer with this ID would go to the caller of the open query.
 		m.emit(EventCmd{timeline.Event{
 			Kind: timeline.Refused, Request: msg.ID, Revision: msg.Revision, Rank: msg.Rank.String(), Detail: "duplicate id",
 		}})
@@ -53,7 +55,8 @@
 	m.fanOut(now, q, version, kindFirst)
 }
 
-// fanOut sends one attempt to every group at the version.
+// fanOut starts a pass: it sends one attempt to every group to read the version.
+// Version 0 starts the discovery of the versions that the upstreams hold.
 func (m *Model) fanOut(now clock.Millis, q *openQuery, version uint64, kind attemptKind) {
 	q.version = version
 	q.merge = coverage.NewMerge(version, q.service.keys, len(q.service.groups))
@@ -109,7 +112,7 @@
 	}
 }
 
-// recordTried keeps the upstreams tried, the latest one last.
+// recordTried adds an upstream to the list of those tried, most recent last.
 func (sub *subrequest) recordTried(up upstream.ID) {
 	n := int(sub.triedCount)
 	for i := range n {
--- a/query/tail_test.go
+++ b/query/tail_test.go
@@ -16,7 +16,8 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// TestHedge guards against hedges to the same replica, under overload, and losers left running.
+// TestHedge guards against hedges to the same replica or under overload, and
+// against attempts that keep running after another one has replied.
 func TestHedge(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
 		t.Run(fmt.Sprintf("overloaded %v", overloaded), func(t *testing.T) {
@@ -46,7 +47,7 @@
 			if len(h.answers) != 1 || h.answers[0].Outcome != query.Complete {
 				t.Errorf("answers %v, want one that is complete", h.answers)
 			}
-			// A cancelled attempt that its carrier returns is no fault.
+			// The Cancelled reply to a cancelled attempt is expected.
 			late := h.okReply(0)
 			late.Status = attempt.Cancelled
 			h.update(query.ReplyMsg{Reply: late})
@@ -57,20 +58,20 @@
 	}
 }
 
-// TestBudgets guards against extra attempts beyond the budget of the rank.
+// TestBudgets guards against hedges and retries beyond the budget of the rank.
 func TestBudgets(t *testing.T) {
 	const queries, groups, burst = 200, 10, 5
 	tests := []struct {
 		name      string
-		status    attempt.Status // OK stands for no reply, which leads to hedges
+		status    attempt.Status // OK means no reply, which causes hedges
 		execution attempt.Execution
 		percent   float64
-		perToken  int // extra attempts for one token
+		perToken  int // extra attempts per token
 		extra     func(query.Totals) int
 	}{
 		{"hedges", attempt.OK, attempt.ExecutionUnknown, 5, 1, func(n query.Totals) int { return n.Hedges }},
 		{"retries", attempt.Failed, attempt.ExecutionUnknown, 5, 1, func(n query.Totals) int { return n.Retries }},
-		{"retries after refusals", attempt.Shed, attempt.NotExecuted, 0.25, 10, func(n query.Totals) int { return n.Retries }},
+		{"retries of attempts not executed", attempt.Shed, attempt.NotExecuted, 0.25, 10, func(n query.Totals) int { return n.Retries }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -79,7 +80,7 @@
 			for n := range queries {
 				first := len(h.sent)
 				h.start(tt.percent, tt.percent)
-				// One group fails or stays silent in each query, twice the budget.
+				// One group of each query fails or does not reply, which is twice the budget.
 				faulty := first + n%groups
 				for i := first; i < first+groups; i++ {
 					if i != faulty {
@@ -95,13 +96,13 @@
 			n := h.model.Totals(rank.Urgent)
 			limit := int(queries*groups*tt.percent/100+burst) * tt.perToken
 			if got := tt.extra(n); got > limit || got < limit/2 {
-				t.Errorf("%d extra attempts, want at most %d and the budget used", got, limit)
+				t.Errorf("%d extra attempts, want at most %d and at least half of it", got, limit)
 			}
 			if n.Needed != queries*groups || n.Sent != n.Needed+n.Hedges+n.Retries {
-				t.Errorf("totals %+v do not add up", n)
+				t.Errorf("totals %+v are inconsistent", n)
 			}
 			if h.events[timeline.BudgetExhausted] == 0 {
-				t.Error("no event about the exhausted budget")
+				t.Error("no budget_exhausted event")
 			}
 			if got := len(h.answers); got != queries {
 				t.Errorf("%d answers, want %d", got, queries)
@@ -110,7 +111,7 @@
 	}
 }
 
-// TestLeaving guards against new work for an upstream that is leaving.
+// TestLeaving guards against new attempts at an upstream that is leaving.
 func TestLeaving(t *testing.T) {
 	h := newHarness(2, 1)
 	h.book.MarkLeaving(0, "s/0/0")
@@ -128,13 +129,14 @@
 	}
 }
 
-// TestStartAndGone guards against answers for callers that left, repeated ids and impossible starts.
-func TestStartAndGone(t *testing.T) {
+// TestStartAndDisconnect guards against answers to disconnected callers, and
+// against wrong handling of duplicate IDs, unknown services and past deadlines.
+func TestStartAndDisconnect(t *testing.T) {
 	h := newHarness(2, 1)
 	h.start(10, 10)
 	h.start(10, 10)
 	if got := len(h.sent); got != 2 {
-		t.Errorf("%d attempts after a repeated id, want 2", got)
+		t.Errorf("%d attempts after a duplicate ID, want 2", got)
 	}
 	h.update(query.CallerDisconnectedMsg{ID: "q"})
 	h.update(query.ReplyMsg{Reply: h.okReply(0)})
@@ -146,7 +148,7 @@
 	h.update(query.StartMsg{ID: "d", Service: "s", Deadline: h.now - 1})
 	for _, a := range h.answers {
 		if a.Outcome != query.Failed || a.Execution != attempt.NotExecuted || a.Reason == "" {
-			t.Errorf("answer %+v, want failed, not run, with a reason", a)
+			t.Errorf("answer %+v, want failed and not executed, with a reason", a)
 		}
 	}
 	if got := len(h.answers); got != 2 {
@@ -154,8 +156,8 @@
 	}
 }
 
-// TestRandomReplies guards against lost, doubled or mixed answers and coverage that is
-// not true, whatever the upstreams and the network do.
+// TestRandomReplies guards against lost or duplicate answers, mixed versions and
+// wrong coverage, with random replies, delays and losses.
 func TestRandomReplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(3, rapid.SampledFrom([][]uint64{nil, {1}, {1, 2}}).Draw(t, "held")...)
@@ -197,12 +199,13 @@
 			}
 		}
 		if wake, ok := h.model.NextWake(); ok {
-			t.Fatalf("a wake at %d is left", wake)
+			t.Fatalf("a timer at %d is left", wake)
 		}
 	})
 }
 
-// randomReply draws a reply to the attempt i: right, moved, refused, of another version or crossed.
+// randomReply draws a reply to attempt i: correct, with other ranges, refused,
+// failed, of another version or with the ID of another attempt.
 func randomReply(t *rapid.T, h *harness, i int) attempt.Reply {
 	reply := h.okReply(i)
 	reply.QueueMs = clock.Millis(rapid.IntRange(0, 5).Draw(t, "queue"))
--- a/query/timer.go
+++ b/query/timer.go
@@ -12,19 +12,19 @@
 	timerEpochRetry
 )
 
-// timer is one wake. Timers are not removed when they become pointless; they
-// are skipped when they reach the top.
+// timer is one scheduled action. Obsolete timers are not removed at once; they
+// are skipped when they reach the top of the heap.
 type timer struct {
 	at    clock.Millis
 	kind  timerKind
 	pass  int32 // pass of the query that set it
 	group int32
-	seq   uint64 // attempt of a hedge timer
+	seq   uint64 // attempt that a hedge timer belongs to
 	q     *openQuery
 }
 
-// timers is a binary heap by time. It holds values, because container/heap
-// would allocate for each of the 14,000 hedge timers a second.
+// timers is a binary heap ordered by time. It holds values, because
+// container/heap would allocate for each of the 14,000 hedge timers a second.
 type timers struct {
 	heap []timer
 }
