--- a/attempt/status.go
+++ b/attempt/status.go
@@ -42,25 +42,25 @@
 	Executed
 )
 
-var ranNames = [...]string{"unknown", "no", "yes"}
+var executionNames = [...]string{"unknown", "no", "yes"}
 
 // String returns the name of r.
-func (r Execution) String() string {
-	if int(r) < len(ranNames) {
-		return ranNames[r]
+func (e Execution) String() string {
+	if int(e) < len(executionNames) {
+		return executionNames[e]
 	}
 	return "unknown"
 }
 
 // MarshalText encodes r as its name.
-func (r Execution) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
+func (e Execution) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
 
 // UnmarshalText decodes a name; anything else decodes as Unknown.
-func (r *Execution) UnmarshalText(b []byte) error {
-	*r = ExecutionUnknown
-	for i, name := range ranNames {
+func (e *Execution) UnmarshalText(b []byte) error {
+	*e = ExecutionUnknown
+	for i, name := range executionNames {
 		if string(b) == name {
-			*r = Execution(i)
+			*e = Execution(i)
 		}
 	}
 	return nil
