--- a/coverage/merge.go
+++ b/coverage/merge.go
@@ -14,17 +14,17 @@
 // Merge collects the parts of one answer. It belongs to one snapshot version
 // and has no way to change it, so its rows never mix versions.
 type Merge struct {
-	version uint64
-	keys    Range
-	set     Set
-	rows    []Row
-	epochs  []uint64
+	version  uint64
+	keySpace Range
+	set      Set
+	rows     []Row
+	epochs   []uint64
 }
 
 // NewMerge returns an empty Merge for one snapshot version of a service with
 // the key space [0, keys) and the given number of groups.
 func NewMerge(version uint64, keys uint32, groups int) *Merge {
-	return &Merge{version: version, keys: Range{To: keys}, epochs: make([]uint64, groups)}
+	return &Merge{version: version, keySpace: Range{To: keys}, epochs: make([]uint64, groups)}
 }
 
 // Add takes the keys of p that are not covered yet, with their rows. It
@@ -36,7 +36,7 @@
 	m.epochs[p.Group] = max(m.epochs[p.Group], p.Epoch)
 	var added []Range
 	for _, r := range p.Ranges {
-		r.To = min(r.To, m.keys.To)
+		r.To = min(r.To, m.keySpace.To)
 		added = append(added, m.set.Add(r)...)
 	}
 	for _, row := range p.Rows {
@@ -63,13 +63,13 @@
 }
 
 // Expected returns the number of keys of a complete answer.
-func (m *Merge) Expected() uint32 { return m.keys.Len() }
+func (m *Merge) Expected() uint32 { return m.keySpace.Len() }
 
 // Covered returns the number of keys that the parts cover.
 func (m *Merge) Covered() uint32 { return m.set.Len() }
 
 // Missing returns the ranges that no part covers.
-func (m *Merge) Missing() []Range { return m.set.Missing(m.keys) }
+func (m *Merge) Missing() []Range { return m.set.Missing(m.keySpace) }
 
 // Complete reports whether the parts cover the whole key space.
 func (m *Merge) Complete() bool { return m.Covered() == m.Expected() }
--- a/coverage/merge_test.go
+++ b/coverage/merge_test.go
@@ -55,11 +55,11 @@
 			if got, want := m.Complete(), tt.covered == 10; got != want {
 				t.Errorf("Complete() = %v, want %v", got, want)
 			}
-			var gaps uint32
+			var missing uint32
 			for _, g := range m.Missing() {
-				gaps += g.Len()
+				missing += g.Len()
 			}
-			if got, want := gaps, m.Expected()-m.Covered(); got != want {
+			if got, want := missing, m.Expected()-m.Covered(); got != want {
 				t.Errorf("missing %d keys, want %d", got, want)
 			}
 		})
--- a/coverage/set.go
+++ b/coverage/set.go
@@ -33,24 +33,24 @@
 
 // Missing returns the parts of r that are not in the set.
 func (s *Set) Missing(r Range) []Range {
-	var gaps []Range
+	var missing []Range
 	from := r.From
-	for _, have := range s.ranges {
-		if have.To <= from {
+	for _, covered := range s.ranges {
+		if covered.To <= from {
 			continue
 		}
-		if have.From >= r.To {
+		if covered.From >= r.To {
 			break
 		}
-		if have.From > from {
-			gaps = append(gaps, Range{From: from, To: have.From})
+		if covered.From > from {
+			missing = append(missing, Range{From: from, To: covered.From})
 		}
-		from = max(from, have.To)
+		from = max(from, covered.To)
 	}
 	if from < r.To {
-		gaps = append(gaps, Range{From: from, To: r.To})
+		missing = append(missing, Range{From: from, To: r.To})
 	}
-	return gaps
+	return missing
 }
 
 // Len returns the number of keys in the set.
--- a/coverage/set_test.go
+++ b/coverage/set_test.go
@@ -14,7 +14,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const keys = 64
 		var set coverage.Set
-		model := make(map[uint32]bool)
+		reference := make(map[uint32]bool)
 		for range rapid.IntRange(1, 20).Draw(t, "adds") {
 			from := rapid.Uint32Range(0, keys).Draw(t, "from")
 			to := rapid.Uint32Range(0, keys).Draw(t, "to")
@@ -23,21 +23,21 @@
 				got += r.Len()
 			}
 			for k := from; k < to; k++ {
-				if !model[k] {
+				if !reference[k] {
 					want++
 				}
-				model[k] = true
+				reference[k] = true
 			}
 			if got != want {
 				t.Fatalf("Add([%d,%d)) added %d keys, want %d", from, to, got, want)
 			}
 		}
-		if got, want := set.Len(), uint32(len(model)); got != want {
+		if got, want := set.Len(), uint32(len(reference)); got != want {
 			t.Fatalf("Len() = %d, want %d", got, want)
 		}
 		for _, r := range set.Missing(coverage.Range{To: keys}) {
 			for k := r.From; k < r.To; k++ {
-				if model[k] {
+				if reference[k] {
 					t.Fatalf("Missing reported key %d, which was added", k)
 				}
 			}
