--- a/quantile/window.go
+++ b/quantile/window.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	windowSize   = 64
-	refreshEvery = 8
+	windowSize     = 64
+	updateInterval = 8
 
 	// staleMs bounds how long an estimate outlives its last sample. Without it
 	// an estimate that refuses all work would never see a sample that corrects it.
@@ -18,32 +18,32 @@
 // Window estimates one quantile of the last 64 samples. It sorts once in
 // eight samples, so that a sample costs little on average.
 type Window struct {
-	samples  [windowSize]clock.Millis
-	n        int
-	sinceRun int
-	share    float64
-	estimate clock.Millis
-	last     clock.Millis
+	samples     [windowSize]clock.Millis
+	count       int
+	sinceUpdate int
+	quantile    float64
+	estimate    clock.Millis
+	lastAt      clock.Millis
 }
 
 // NewWindow returns a window that estimates the quantile share, 0 to 1.
-func NewWindow(share float64) Window { return Window{share: share} }
+func NewWindow(quantile float64) Window { return Window{quantile: quantile} }
 
 // Add records a sample.
 func (w *Window) Add(now, sample clock.Millis) {
-	w.samples[w.n%windowSize] = sample
-	w.n++
-	w.last = now
-	w.sinceRun++
-	if w.n <= refreshEvery || w.sinceRun >= refreshEvery {
-		w.refresh()
+	w.samples[w.count%windowSize] = sample
+	w.count++
+	w.lastAt = now
+	w.sinceUpdate++
+	if w.count <= updateInterval || w.sinceUpdate >= updateInterval {
+		w.update()
 	}
 }
 
-func (w *Window) refresh() {
-	w.sinceRun = 0
+func (w *Window) update() {
+	w.sinceUpdate = 0
 	sorted := w.samples
-	filled := sorted[:min(w.n, windowSize)]
+	filled := sorted[:min(w.count, windowSize)]
 	slices.Sort(filled)
-	w.estimate = filled[int(w.share*float64(len(filled)-1))]
+	w.estimate = filled[int(w.quantile*float64(len(filled)-1))]
 }
--- a/quantile/window_test.go
+++ b/quantile/window_test.go
@@ -10,11 +10,11 @@
 // TestWindow guards against estimates of samples that are no longer recent.
 func TestWindow(t *testing.T) {
 	tests := []struct {
-		name    string
-		share   float64
-		samples []clock.Millis // one each ms, repeated 64 times
-		after   clock.Millis
-		want    clock.Millis
+		name     string
+		quantile float64
+		samples  []clock.Millis // one each ms, repeated 64 times
+		age      clock.Millis
+		want     clock.Millis
 	}{
 		{"none", 0.5, nil, 0, 0},
 		{"one value", 0.1, []clock.Millis{7}, 0, 7},
@@ -25,7 +25,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := quantile.NewWindow(tt.share)
+			w := quantile.NewWindow(tt.quantile)
 			now := clock.Millis(0)
 			for range 64 {
 				for _, sample := range tt.samples {
@@ -33,7 +33,7 @@
 					w.Add(now, sample)
 				}
 			}
-			if got := w.Estimate(now + tt.after); got != tt.want {
+			if got := w.Estimate(now + tt.age); got != tt.want {
 				t.Errorf("got %d, want %d", got, tt.want)
 			}
 		})
