--- a/attempt/request.go
+++ b/attempt/request.go
@@ -6,7 +6,7 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// Kind tells idempotent from non-idempotent work.
+// Kind distinguishes idempotent from non-idempotent requests.
 type Kind uint8
 
 // Query is idempotent and may be retried. Order is not and is sent at most once.
@@ -15,7 +15,7 @@
 	Order
 )
 
-// Request is one attempt to run work on one upstream.
+// Request is the request of one attempt to one upstream.
 type Request struct {
 	ID       ID
 	Upstream string // service/group/replica
@@ -23,9 +23,9 @@
 	Service  string
 	Group    string
 	Rank     rank.Rank
-	Priority uint32       // drawn once per query; higher is served first within a rank
-	Deadline clock.Millis // absolute on the local clock; sent as the remaining budget
-	Version  uint64       // snapshot to read; 0 for orders
+	Priority uint32       // random, chosen once per query; higher is served first within a rank
+	Deadline clock.Millis // absolute time on the local clock; sent as the remaining time
+	Version  uint64       // snapshot version to read; 0 for orders
 	Body     []byte
 	OrderID  string // only for orders
 }
@@ -39,11 +39,11 @@
 	Version      uint64
 	Epoch        uint64 // shard map epoch under which Ranges was computed
 	Ranges       []coverage.Range
-	HeldVersions []uint64 // snapshot versions that the upstream holds now
+	HeldVersions []uint64 // snapshot versions that the upstream currently holds
 	Rows         []coverage.Row
 	Body         []byte       // only for orders
-	Leaving      bool         // binding: the upstream asks for no new work
-	QueueMs      clock.Millis // time spent queued at the carrier
-	ServiceMs    clock.Millis // time between dispatch and reply at the carrier
-	RetryAfter   clock.Millis
+	Leaving      bool         // the upstream is leaving; no new attempts may be sent to it
+	QueueMs      clock.Millis // time in the carrier's queue
+	ServiceMs    clock.Millis // time from dispatch to reply at the carrier
+	RetryAfter   clock.Millis // time until a retry may be accepted; 0 if unknown
 }
--- a/attempt/status.go
+++ b/attempt/status.go
@@ -1,21 +1,21 @@
 package attempt
 
-// Status says how an attempt ended.
+// Status is the result of an attempt.
 type Status uint8
 
-// The statuses of an attempt.
+// The statuses of an attempt, each with the execution state that it implies.
 const (
 	OK          Status = iota
-	VersionGone        // the upstream does not hold the version; not run
-	Shed               // the upstream refused under load; not run
-	Leaving            // the upstream is draining; not run
-	NotSent            // dropped before anything was sent; not run
-	ConnRefused        // connection refused; not run
-	Failed             // an error after the request may have left; unknown
-	TimedOut           // the deadline passed after the request was sent; unknown
-	Mismatched         // the reply was late, crossed, cut or doubled; unknown
-	Cancelled          // cancelled by its owner; unknown unless Ran says no
-	NotCarrier         // the VM no longer owns connections to the upstream; not run
+	VersionGone        // the upstream does not hold the version; not executed
+	Shed               // rejected because of overload; not executed
+	Leaving            // the upstream is draining; not executed
+	NotSent            // dropped before anything was sent; not executed
+	ConnRefused        // the upstream refused the connection; not executed
+	Failed             // an error after the request may have been sent; unknown
+	TimedOut           // no reply by the deadline after the request was sent; unknown
+	Mismatched         // the reply was late, truncated, duplicated or for another attempt; unknown
+	Cancelled          // cancelled by its sender; unknown unless Execution is NotExecuted
+	NotCarrier         // the VM no longer owns connections to the upstream; not executed
 )
 
 var statusNames = [...]string{
@@ -31,11 +31,12 @@
 	return "unknown"
 }
 
-// Execution says whether work was run. The zero value is Unknown, so that a
-// forgotten field never claims a proof.
+// Execution is the execution state of a request. Executed and NotExecuted are
+// proven. The zero value is ExecutionUnknown, so that a field that was not set
+// never counts as proof.
 type Execution uint8
 
-// Unknown, No and Yes are the values of Ran.
+// The execution states; their names on the wire are unknown, no and yes.
 const (
 	ExecutionUnknown Execution = iota
 	NotExecuted
@@ -44,7 +45,7 @@
 
 var executionNames = [...]string{"unknown", "no", "yes"}
 
-// String returns the name of r.
+// String returns the name of e.
 func (e Execution) String() string {
 	if int(e) < len(executionNames) {
 		return executionNames[e]
@@ -52,10 +53,10 @@
 	return "unknown"
 }
 
-// MarshalText encodes r as its name.
+// MarshalText encodes e as its name.
 func (e Execution) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
 
-// UnmarshalText decodes a name; anything else decodes as Unknown.
+// UnmarshalText decodes a name; anything else decodes as ExecutionUnknown.
 func (e *Execution) UnmarshalText(b []byte) error {
 	*e = ExecutionUnknown
 	for i, name := range executionNames {
