--- a/coverage/merge.go
+++ b/coverage/merge.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Part is what one reply contributes to an answer.
+// Part is the content of one reply, which becomes a part of the answer.
 type Part struct {
 	Group   int // index of the group within the service
 	Version uint64
-	Epoch   uint64
+	Epoch   uint64 // shard map epoch under which Ranges was computed
 	Ranges  []Range
 	Rows    []Row
 }
 
-// Merge collects the parts of one answer. It belongs to one snapshot version
-// and has no way to change it, so its rows never mix versions.
+// Merge merges the parts of one answer. Its snapshot version is fixed, so its
+// rows never mix versions.
 type Merge struct {
 	version  uint64
 	keySpace Range
@@ -27,8 +27,8 @@
 	return &Merge{version: version, keySpace: Range{To: keys}, epochs: make([]uint64, groups)}
 }
 
-// Add takes the keys of p that are not covered yet, with their rows. It
-// refuses a part of another version or of an unknown group and then changes nothing.
+// Add adds the keys of p that are not covered yet, with their rows. It returns
+// false, without a change, if p has another version or an unknown group.
 func (m *Merge) Add(p Part) bool {
 	if p.Version != m.version || p.Group < 0 || p.Group >= len(m.epochs) {
 		return false
@@ -50,7 +50,7 @@
 // Version returns the snapshot version that m accepts.
 func (m *Merge) Version() uint64 { return m.version }
 
-// Epoch returns the highest shard map epoch that the group replied with, or 0.
+// Epoch returns the highest shard map epoch of the group's parts, or 0 without a part.
 func (m *Merge) Epoch(group int) uint64 { return m.epochs[group] }
 
 // MaxEpoch returns the highest shard map epoch of all groups.
@@ -62,17 +62,17 @@
 	return epoch
 }
 
-// Expected returns the number of keys of a complete answer.
+// Expected returns the number of keys in a complete answer.
 func (m *Merge) Expected() uint32 { return m.keySpace.Len() }
 
-// Covered returns the number of keys that the parts cover.
+// Covered returns the number of keys covered by the parts.
 func (m *Merge) Covered() uint32 { return m.set.Len() }
 
-// Missing returns the ranges that no part covers.
+// Missing returns the ranges of the key space that no part covers.
 func (m *Merge) Missing() []Range { return m.set.Missing(m.keySpace) }
 
 // Complete reports whether the parts cover the whole key space.
 func (m *Merge) Complete() bool { return m.Covered() == m.Expected() }
 
-// Rows returns a copy of the rows taken so far.
+// Rows returns a copy of the rows added so far.
 func (m *Merge) Rows() []Row { return slices.Clone(m.rows) }
--- a/coverage/merge_test.go
+++ b/coverage/merge_test.go
@@ -14,7 +14,8 @@
 	return rows
 }
 
-// TestMerge guards against mixed versions, keys counted twice and coverage that is not true.
+// TestMerge guards against mixed versions, keys counted twice and wrong coverage,
+// when parts overlap, repeat or exceed their ranges.
 func TestMerge(t *testing.T) {
 	r := func(from, to uint32) []coverage.Range { return []coverage.Range{{From: from, To: to}} }
 	tests := []struct {
@@ -24,15 +25,15 @@
 		rows    int
 		epoch   uint64
 	}{
-		{"other version", []coverage.Part{{Version: 6, Ranges: r(0, 5), Rows: rowsOf("6", 1)}}, 0, 0, 0},
+		{"another version", []coverage.Part{{Version: 6, Ranges: r(0, 5), Rows: rowsOf("6", 1)}}, 0, 0, 0},
 		{"unknown group", []coverage.Part{{Group: 2, Version: 7, Ranges: r(0, 5), Rows: rowsOf("7", 1)}}, 0, 0, 0},
 		{"outside the key space", []coverage.Part{{Version: 7, Epoch: 1, Ranges: r(8, 15), Rows: rowsOf("7", 9, 12)}}, 2, 1, 1},
-		{"row outside its ranges", []coverage.Part{{Version: 7, Epoch: 1, Ranges: r(0, 5), Rows: rowsOf("7", 4, 5)}}, 5, 1, 1},
+		{"row outside the ranges of its part", []coverage.Part{{Version: 7, Epoch: 1, Ranges: r(0, 5), Rows: rowsOf("7", 4, 5)}}, 5, 1, 1},
 		{"overlap", []coverage.Part{
 			{Group: 0, Version: 7, Epoch: 1, Ranges: r(0, 6), Rows: rowsOf("a", 4, 5)},
 			{Group: 1, Version: 7, Epoch: 3, Ranges: r(4, 10), Rows: rowsOf("b", 4, 5, 9)},
 		}, 10, 3, 3},
-		{"repeat", []coverage.Part{
+		{"duplicate with an older epoch", []coverage.Part{
 			{Version: 7, Epoch: 2, Ranges: r(0, 6), Rows: rowsOf("a", 4)},
 			{Version: 7, Epoch: 1, Ranges: r(0, 6), Rows: rowsOf("a", 4)},
 		}, 6, 1, 2},
@@ -60,7 +61,7 @@
 				missing += g.Len()
 			}
 			if got, want := missing, m.Expected()-m.Covered(); got != want {
-				t.Errorf("missing %d keys, want %d", got, want)
+				t.Errorf("Missing() has %d keys, want %d", got, want)
 			}
 		})
 	}
--- a/coverage/range.go
+++ b/coverage/range.go
@@ -17,7 +17,7 @@
 // Contains reports whether key lies in r.
 func (r Range) Contains(key uint32) bool { return key >= r.From && key < r.To }
 
-// Row is one result row. Key says which plot or pond it belongs to.
+// Row is one result row. Key is the plot or pond that it belongs to.
 type Row struct {
 	Key   uint32 `json:"key"`
 	Value string `json:"value"`
--- a/coverage/set.go
+++ b/coverage/set.go
@@ -8,7 +8,7 @@
 	ranges []Range
 }
 
-// Add inserts r and returns the parts of r that were not in the set before.
+// Add adds r to the set and returns the ranges of r that were not in it before.
 func (s *Set) Add(r Range) []Range {
 	if r.Len() == 0 {
 		return nil
@@ -31,7 +31,7 @@
 	return added
 }
 
-// Missing returns the parts of r that are not in the set.
+// Missing returns the ranges of r that are not in the set.
 func (s *Set) Missing(r Range) []Range {
 	var missing []Range
 	from := r.From
--- a/coverage/set_test.go
+++ b/coverage/set_test.go
@@ -9,8 +9,9 @@
 	"lentillink.example/lentillink/coverage"
 )
 
-// TestSetMatchesModel guards against double-counted keys and unreported gaps.
-func TestSetMatchesModel(t *testing.T) {
+// TestSetMatchesReference guards against keys counted twice and missing ranges
+// that are not reported. It compares a Set with a map of single keys.
+func TestSetMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keys = 64
 		var set coverage.Set
