--- a/rank/doc.go
+++ b/rank/doc.go
@@ -1,2 +1,3 @@
-// Package rank defines the three ranks of work and a table with one value per rank.
+// Package rank defines the three priority classes of requests, called ranks,
+// and a table with one value per rank.
 package rank
--- a/rank/rank.go
+++ b/rank/rank.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Rank orders work by importance. A lower value is more important.
+// Rank is the priority class of a request. A lower value is more important.
 type Rank uint8
 
-// Urgent, Ordinary and Patient are the ranks.
+// The ranks, most important first. Patient requests tolerate the longest waits.
 const (
 	Urgent Rank = iota
 	Ordinary
@@ -41,7 +41,7 @@
 // MarshalText encodes r as its name.
 func (r Rank) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
-// UnmarshalText decodes a name.
+// UnmarshalText decodes the name of a rank.
 func (r *Rank) UnmarshalText(b []byte) error {
 	v, err := Parse(string(b))
 	if err != nil {
--- a/rank/table.go
+++ b/rank/table.go
@@ -5,7 +5,7 @@
 	values [Count]T
 }
 
-// NewTable returns a table with the given values.
+// NewTable returns a table with the value of each rank.
 func NewTable[T any](urgent, ordinary, patient T) Table[T] {
 	return Table[T]{values: [Count]T{urgent, ordinary, patient}}
 }
