--- a/quantile/estimate.go
+++ b/quantile/estimate.go
@@ -2,7 +2,8 @@
 
 import "lentillink.example/lentillink/clock"
 
-// Estimate returns the estimate at now; it is 0 if there was no sample for a second.
+// Estimate returns the estimated quantile, or 0 if no sample was added in the
+// second before now.
 func (w *Window) Estimate(now clock.Millis) clock.Millis {
 	if w.count == 0 || now-w.lastAt > staleMs {
 		return 0
--- a/quantile/window.go
+++ b/quantile/window.go
@@ -7,16 +7,18 @@
 )
 
 const (
-	windowSize     = 64
-	updateInterval = 8
+	windowSize     = 64 // samples
+	updateInterval = 8  // samples
 
-	// staleMs bounds how long an estimate outlives its last sample. Without it
-	// an estimate that refuses all work would never see a sample that corrects it.
+	// staleMs is the time after the last sample at which an estimate expires.
+	// Otherwise an estimate that causes all work to be rejected would never get
+	// a sample that corrects it.
 	staleMs = clock.Second
 )
 
-// Window estimates one quantile of the last 64 samples. It sorts once in
-// eight samples, so that a sample costs little on average.
+// Window estimates one quantile of the last 64 samples. After the first eight
+// it sorts them only once in eight samples, which keeps the average cost of a
+// sample low.
 type Window struct {
 	samples     [windowSize]clock.Millis
 	count       int
@@ -26,7 +28,7 @@
 	lastAt      clock.Millis
 }
 
-// NewWindow returns a window that estimates the quantile share, 0 to 1.
+// NewWindow returns a window that estimates the given quantile, from 0 to 1.
 func NewWindow(quantile float64) Window { return Window{quantile: quantile} }
 
 // Add records a sample.
--- a/quantile/window_test.go
+++ b/quantile/window_test.go
@@ -7,12 +7,13 @@
 	"lentillink.example/lentillink/quantile"
 )
 
-// TestWindow guards against estimates of samples that are no longer recent.
+// TestWindow guards against wrong quantiles and against estimates that do not
+// expire after the last sample.
 func TestWindow(t *testing.T) {
 	tests := []struct {
 		name     string
 		quantile float64
-		samples  []clock.Millis // one each ms, repeated 64 times
+		samples  []clock.Millis // added one per ms, repeated 64 times
 		age      clock.Millis
 		want     clock.Millis
 	}{
@@ -40,8 +41,9 @@
 	}
 }
 
-// TestWindowFollows guards against an estimate that keeps old samples.
-func TestWindowFollows(t *testing.T) {
+// TestWindowDropsOldSamples guards against samples that stay in the estimate
+// after 64 newer ones.
+func TestWindowDropsOldSamples(t *testing.T) {
 	w := quantile.NewWindow(0.5)
 	for i := range clock.Millis(200) {
 		w.Add(i, 100)
