--- a/entry/perform.go
+++ b/entry/perform.go
@@ -96,7 +96,7 @@
 	defer ticker.Stop()
 	for {
 		if list, err := v.roster.VMs(ctx); err == nil {
-			v.post(vm.VMListMsg{VMs: convertRoster(list)})
+			v.post(vm.ListedVMsMsg{VMs: convertRoster(list)})
 		}
 		select {
 		case <-ctx.Done():
--- a/experiment/fleet.go
+++ b/experiment/fleet.go
@@ -82,7 +82,7 @@
 	n.Leaving = make(map[upstream.ID]bool)
 	opts := append([]fleet.Option{fleet.WithSelf(n.VM), fleet.WithSeed(f.rng.Uint64())}, f.Options...)
 	n.Model = fleet.New(opts...)
-	f.Deliver(n, fleet.VMListMsg{VMs: f.roster()})
+	f.Deliver(n, fleet.ListedVMsMsg{VMs: f.roster()})
 }
 
 // StartAll starts every VM within the given time.
--- a/experiment/tier.go
+++ b/experiment/tier.go
@@ -163,7 +163,7 @@
 				list = append(list, v)
 			}
 		}
-		n.update(vm.VMListMsg{VMs: t.Config.Hooks.roster(n.self.ID, list)})
+		n.update(vm.ListedVMsMsg{VMs: t.Config.Hooks.roster(n.self.ID, list)})
 		t.pollRoster(n)
 	})
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -17,8 +17,8 @@
 	Payload []byte
 }
 
-// VMListMsg delivers the VM list. The list can be outdated, so it only provides contact hints.
-type VMListMsg struct{ VMs []VM }
+// ListedVMsMsg delivers the VM list. The list can be outdated, so it only provides contact hints.
+type ListedVMsMsg struct{ VMs []VM }
 
 // RecordMsg delivers a record that this VM has committed to the store.
 type RecordMsg struct{ Record preset.Record }
@@ -40,7 +40,7 @@
 type TickMsg struct{}
 
 func (PeerMsg) fleetMsg()            {}
-func (VMListMsg) fleetMsg()          {}
+func (ListedVMsMsg) fleetMsg()       {}
 func (RecordMsg) fleetMsg()          {}
 func (StoreMsg) fleetMsg()           {}
 func (UpstreamLeavingMsg) fleetMsg() {}
--- a/fleet/model.go
+++ b/fleet/model.go
@@ -84,7 +84,7 @@
 	switch msg := msg.(type) {
 	case PeerMsg:
 		m.handlePeer(now, msg)
-	case VMListMsg:
+	case ListedVMsMsg:
 		m.sync.hints, m.sync.haveVMList = msg.VMs[:min(len(msg.VMs), maxMembers)], true
 	case RecordMsg:
 		m.applyRecord(now, msg.Record, compressedRecord{})
--- a/fleet/ready_test.go
+++ b/fleet/ready_test.go
@@ -20,7 +20,7 @@
 	}
 	m := fleet.New(fleet.WithSelf(fleet.VM{ID: "vm-1", Address: "a:1", Incarnation: 2}), fleet.WithSeed(1))
 	for now := start; now < start+10*clock.Second; now += 10 {
-		inbox := []fleet.Msg{fleet.VMListMsg{VMs: vmList}, fleet.TickMsg{}}
+		inbox := []fleet.Msg{fleet.ListedVMsMsg{VMs: vmList}, fleet.TickMsg{}}
 		for ; len(inbox) > 0; inbox = inbox[1:] {
 			for _, cmd := range m.Update(now, inbox[0]) {
 				switch c := cmd.(type) {
--- a/vm/handle.go
+++ b/vm/handle.go
@@ -40,8 +40,8 @@
 		c.handleLoad(now, m)
 	case StoreMsg:
 		c.handleStoreReply(m)
-	case VMListMsg:
-		c.enqueue(fleet.VMListMsg{VMs: m.VMs})
+	case ListedVMsMsg:
+		c.enqueue(fleet.ListedVMsMsg{VMs: m.VMs})
 	case PresetRecordMsg:
 		c.enqueue(fleet.RecordMsg{Record: m.Record})
 	case PresetSwitchedMsg:
--- a/vm/message.go
+++ b/vm/message.go
@@ -55,8 +55,8 @@
 // StoreMsg is the result of a StoreCmd.
 type StoreMsg struct{ Reply store.Reply }
 
-// VMListMsg is the VM list as read most recently.
-type VMListMsg struct{ VMs []fleet.VM }
+// ListedVMsMsg is the VM list as read most recently.
+type ListedVMsMsg struct{ VMs []fleet.VM }
 
 // PresetRecordMsg is a preset record that this VM has just committed to the store.
 type PresetRecordMsg struct{ Record preset.Record }
@@ -77,7 +77,7 @@
 func (AbortedMsg) vmMsg()            {}
 func (LoadMsg) vmMsg()               {}
 func (StoreMsg) vmMsg()              {}
-func (VMListMsg) vmMsg()             {}
+func (ListedVMsMsg) vmMsg()          {}
 func (PresetRecordMsg) vmMsg()       {}
 func (PresetSwitchedMsg) vmMsg()     {}
 func (StopMsg) vmMsg()               {}
