--- a/pool/bench_test.go
+++ b/pool/bench_test.go
@@ -11,7 +11,7 @@
 
 // BenchmarkAttempt measures one attempt that waits behind 200 others and then runs.
 func BenchmarkAttempt(b *testing.B) {
-	m := pool.New(pool.WithUpstream(up, 1))
+	m := pool.New(pool.WithUpstream(upstreamID, 1))
 	const waiting = 200
 	for i := range uint64(waiting) {
 		m.Update(0, request(i, rank.Urgent, 0, 1<<40))
--- a/pool/connections.go
+++ b/pool/connections.go
@@ -10,8 +10,8 @@
 	opened int
 }
 
-// take makes a connection busy and reports whether it had to be opened.
-func (c *connections) take() bool {
+// acquire makes a connection busy and reports whether it had to be opened.
+func (c *connections) acquire() bool {
 	c.busy++
 	if n := len(c.idle); n > 0 {
 		c.idle = c.idle[:n-1]
@@ -28,11 +28,11 @@
 	}
 }
 
-// trim closes idle connections that have expired or exceed limit, and reports
+// closeExcess closes idle connections that have expired or exceed limit, and reports
 // whether it closed any.
-func (c *connections) trim(now, idleMs clock.Millis, limit int) bool {
+func (c *connections) closeExcess(now, idleTimeoutMs clock.Millis, limit int) bool {
 	n := 0
-	for n < len(c.idle) && (now-c.idle[n] >= idleMs || c.open()-n > limit) {
+	for n < len(c.idle) && (now-c.idle[n] >= idleTimeoutMs || c.open()-n > limit) {
 		n++
 	}
 	if n > 0 {
--- a/pool/heap.go
+++ b/pool/heap.go
@@ -4,50 +4,50 @@
 
 // An item lies in several heaps at once, one per slot.
 const (
-	slotOrder = iota // service order while queued, end of the wait while running
-	slotWorst        // reverse service order while queued
-	slotDue          // deadline while queued
-	slotTurn         // end of giving way while queued
-	slotCount
+	heapOrder    = iota // service order while queued, end of the wait while running
+	heapReverse         // reverse service order while queued
+	heapDeadline        // deadline while queued
+	heapYield           // end of giving way while queued
+	heapCount
 )
 
-// itemHeap is a heap of items that supports removal from the middle.
-type itemHeap struct {
-	items []*item
-	slot  int
-	less  func(a, b *item) bool
+// attemptHeap is a heap of items that supports removal from the middle.
+type attemptHeap struct {
+	attempts []*pendingAttempt
+	heapID   int
+	less     func(a, b *pendingAttempt) bool
 }
 
-func (h *itemHeap) Len() int           { return len(h.items) }
-func (h *itemHeap) Less(i, j int) bool { return h.less(h.items[i], h.items[j]) }
-func (h *itemHeap) Swap(i, j int) {
-	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].index[h.slot] = i
-	h.items[j].index[h.slot] = j
+func (h *attemptHeap) Len() int           { return len(h.attempts) }
+func (h *attemptHeap) Less(i, j int) bool { return h.less(h.attempts[i], h.attempts[j]) }
+func (h *attemptHeap) Swap(i, j int) {
+	h.attempts[i], h.attempts[j] = h.attempts[j], h.attempts[i]
+	h.attempts[i].heapIndex[h.heapID] = i
+	h.attempts[j].heapIndex[h.heapID] = j
 }
 
 // Push implements heap.Interface.
-func (h *itemHeap) Push(x any) {
-	it := x.(*item)
-	it.index[h.slot] = len(h.items)
-	h.items = append(h.items, it)
+func (h *attemptHeap) Push(x any) {
+	a := x.(*pendingAttempt)
+	a.heapIndex[h.heapID] = len(h.attempts)
+	h.attempts = append(h.attempts, a)
 }
 
 // Pop implements heap.Interface.
-func (h *itemHeap) Pop() any {
-	n := len(h.items) - 1
-	it := h.items[n]
-	h.items[n] = nil
-	h.items = h.items[:n]
-	return it
+func (h *attemptHeap) Pop() any {
+	n := len(h.attempts) - 1
+	a := h.attempts[n]
+	h.attempts[n] = nil
+	h.attempts = h.attempts[:n]
+	return a
 }
 
-func (h *itemHeap) add(it *item)    { heap.Push(h, it) }
-func (h *itemHeap) remove(it *item) { heap.Remove(h, it.index[h.slot]) }
-func (h *itemHeap) fix(it *item)    { heap.Fix(h, it.index[h.slot]) }
-func (h *itemHeap) top() *item      { return h.items[0] }
+func (h *attemptHeap) add(a *pendingAttempt)    { heap.Push(h, a) }
+func (h *attemptHeap) remove(a *pendingAttempt) { heap.Remove(h, a.heapIndex[h.heapID]) }
+func (h *attemptHeap) fix(a *pendingAttempt)    { heap.Fix(h, a.heapIndex[h.heapID]) }
+func (h *attemptHeap) top() *pendingAttempt     { return h.attempts[0] }
 
-func servedBefore(a, b *item) bool {
+func servedBefore(a, b *pendingAttempt) bool {
 	if a.req.Priority != b.req.Priority {
 		return a.req.Priority > b.req.Priority
 	}
@@ -57,15 +57,15 @@
 	return a.seq < b.seq
 }
 
-func servedAfter(a, b *item) bool { return servedBefore(b, a) }
+func servedAfter(a, b *pendingAttempt) bool { return servedBefore(b, a) }
 
-func turnBefore(a, b *item) bool {
-	if a.turn != b.turn {
-		return a.turn < b.turn
+func yieldEndsBefore(a, b *pendingAttempt) bool {
+	if a.yieldUntil != b.yieldUntil {
+		return a.yieldUntil < b.yieldUntil
 	}
 	return servedBefore(a, b)
 }
 
-func dueBefore(a, b *item) bool { return a.req.Deadline < b.req.Deadline }
+func deadlineBefore(a, b *pendingAttempt) bool { return a.req.Deadline < b.req.Deadline }
 
-func endsBefore(a, b *item) bool { return a.ends < b.ends }
+func expiresBefore(a, b *pendingAttempt) bool { return a.expiresAt < b.expiresAt }
--- a/pool/model.go
+++ b/pool/model.go
@@ -8,20 +8,20 @@
 
 // Model decides which attempt uses which connection. It is a pure state machine.
 type Model struct {
-	cfg      config
-	seq      uint64
-	lanes    map[string]*lane
-	ordered  []*lane // fixed order, so that runs repeat
-	attempts map[attempt.ID]*item
-	free     []*item
-	stray    int
+	cfg       config
+	seq       uint64
+	upstreams map[string]*upstreamState
+	ordered   []*upstreamState // fixed order, so that runs repeat
+	attempts  map[attempt.ID]*pendingAttempt
+	free      []*pendingAttempt
+	unmatched int
 }
 
 // New returns a model.
 func New(opts ...Option) *Model {
-	m := &Model{cfg: newConfig(opts), lanes: make(map[string]*lane), attempts: make(map[attempt.ID]*item)}
-	for _, l := range m.cfg.limits {
-		m.lane(l.Upstream).setLimit(l.Connections)
+	m := &Model{cfg: newConfig(opts), upstreams: make(map[string]*upstreamState), attempts: make(map[attempt.ID]*pendingAttempt)}
+	for _, limit := range m.cfg.limits {
+		m.upstreamFor(limit.Upstream).setLimit(limit.Connections)
 	}
 	return m
 }
@@ -38,37 +38,37 @@
 	case CancelMsg:
 		return m.cancel(now, v)
 	case LimitMsg:
-		l := m.lane(v.Upstream)
-		l.setLimit(v.Connections)
-		return m.pump(now, l, nil)
+		u := m.upstreamFor(v.Upstream)
+		u.setLimit(v.Connections)
+		return m.schedule(now, u, nil)
 	case LeavingMsg:
-		l := m.lane(v.Upstream)
-		l.leaving = true
-		return m.pump(now, l, nil)
+		u := m.upstreamFor(v.Upstream)
+		u.leaving = true
+		return m.schedule(now, u, nil)
 	case AvailableMsg:
-		l := m.lane(v.Upstream)
-		l.leaving = false
-		return m.pump(now, l, nil)
+		u := m.upstreamFor(v.Upstream)
+		u.leaving = false
+		return m.schedule(now, u, nil)
 	case PolicyMsg:
 		m.setShares(v)
 	case TickMsg:
 		var cmds []Cmd
-		for _, l := range m.ordered {
-			cmds = m.pump(now, l, cmds)
+		for _, u := range m.ordered {
+			cmds = m.schedule(now, u, cmds)
 		}
 		return cmds
 	}
 	return nil
 }
 
-func (m *Model) lane(id string) *lane {
-	l := m.lanes[id]
-	if l == nil {
-		l = newLane(id)
-		m.lanes[id] = l
-		m.ordered = append(m.ordered, l)
-	}
-	return l
+func (m *Model) upstreamFor(id string) *upstreamState {
+	u := m.upstreams[id]
+	if u == nil {
+		u = newUpstreamState(id)
+		m.upstreams[id] = u
+		m.ordered = append(m.ordered, u)
+	}
+	return u
 }
 
 func (m *Model) setShares(msg PolicyMsg) {
@@ -79,59 +79,59 @@
 
 func (m *Model) enqueue(now clock.Millis, msg EnqueueMsg) []Cmd {
 	if m.attempts[msg.ID] != nil {
-		m.stray++
+		m.unmatched++
 		return nil
 	}
-	l := m.lanes[msg.Upstream]
-	if l == nil {
+	u := m.upstreams[msg.Upstream]
+	if u == nil {
 		reply := attempt.Reply{ID: msg.ID, Upstream: msg.Upstream, Status: attempt.NotSent, Execution: attempt.NotExecuted}
 		return []Cmd{ReturnCmd{To: msg.From, Reply: reply}}
 	}
-	it := m.newItem()
+	a := m.newAttempt()
 	m.seq++
-	*it = item{req: msg.Request, from: msg.From, lane: l, seq: m.seq, enqueued: now, turn: turnOf(now, msg.Request)}
-	m.attempts[msg.ID] = it
-	l.queue.add(it)
+	*a = pendingAttempt{req: msg.Request, from: msg.From, upstream: u, seq: m.seq, enqueuedAt: now, yieldUntil: yieldEnd(now, msg.Request)}
+	m.attempts[msg.ID] = a
+	u.queue.add(a)
 	var cmds []Cmd
-	if q := l.queue.ranks.Ref(msg.Rank); q.len() > m.cfg.queue.At(msg.Rank) && !l.room(now) {
-		cmds = m.notRun(now, q.worst.top(), attempt.Shed, cmds)
+	if q := u.queue.ranks.Ref(msg.Rank); q.len() > m.cfg.queueLimits.At(msg.Rank) && !u.hasCapacity(now) {
+		cmds = m.returnNotExecuted(now, q.reverse.top(), attempt.Shed, cmds)
 	}
-	return m.pump(now, l, cmds)
+	return m.schedule(now, u, cmds)
 }
 
 func (m *Model) reply(now clock.Millis, r attempt.Reply) []Cmd {
-	it := m.attempts[r.ID]
-	if it == nil || !it.running {
-		m.stray++
+	a := m.attempts[r.ID]
+	if a == nil || !a.running {
+		m.unmatched++
 		return nil
 	}
-	l := it.lane
-	l.running.remove(it)
-	l.conns.release(now, reusable(r.Status))
-	m.learn(now, it, r)
+	u := a.upstream
+	u.running.remove(a)
+	u.conns.release(now, reusable(r.Status))
+	m.updateState(now, a, r)
 	var cmds []Cmd
-	if !it.returned {
-		cmds = m.giveBack(now, it, r, cmds)
+	if !a.resultSent {
+		cmds = m.returnResult(now, a, r, cmds)
 	}
-	m.release(it)
-	return m.pump(now, l, cmds)
+	m.recycle(a)
+	return m.schedule(now, u, cmds)
 }
 
-// learn updates what is known of the upstream from the reply to it.
-func (m *Model) learn(now clock.Millis, it *item, r attempt.Reply) {
-	l := it.lane
+// updateState updates what is known of the upstream from the reply to it.
+func (m *Model) updateState(now clock.Millis, a *pendingAttempt, r attempt.Reply) {
+	u := a.upstream
 	if r.Leaving || r.Status == attempt.Leaving {
-		l.leaving = true
+		u.leaving = true
 	}
 	if r.Status == attempt.ConnRefused {
-		l.refused(now)
+		u.connRefused(now)
 		return
 	}
 	if reusable(r.Status) {
-		l.failures, l.backoffs = 0, 0
+		u.refusals, u.backoffs = 0, 0
 	}
 	if r.Status == attempt.OK {
-		l.service.Add(now, now-it.dispatched)
+		u.serviceTimes.Add(now, now-a.dispatchedAt)
 	}
 }
 
@@ -147,51 +147,51 @@
 }
 
 func (m *Model) cancel(now clock.Millis, msg CancelMsg) []Cmd {
-	it := m.attempts[msg.ID]
+	a := m.attempts[msg.ID]
 	switch {
-	case it == nil:
+	case a == nil:
 		return nil
-	case !it.running:
-		l := it.lane
-		cmds := m.notRun(now, it, attempt.Cancelled, nil)
-		return m.pump(now, l, cmds)
-	case it.aborted:
+	case !a.running:
+		u := a.upstream
+		cmds := m.returnNotExecuted(now, a, attempt.Cancelled, nil)
+		return m.schedule(now, u, cmds)
+	case a.aborted:
 		return nil
 	}
-	cmds := m.abort(now, it, nil)
-	return m.pump(now, it.lane, cmds)
+	cmds := m.abort(now, a, nil)
+	return m.schedule(now, a.upstream, cmds)
 }
 
 // abort asks the runtime to give up a running attempt. Its slot stays busy.
-func (m *Model) abort(now clock.Millis, it *item, cmds []Cmd) []Cmd {
-	it.aborted = true
-	it.abortedAt = now
-	bound := now + m.cfg.boundMs
-	if it.returned || bound < it.ends {
-		it.ends = bound
-		it.lane.running.fix(it)
-	}
-	return append(cmds, AbortCmd{ID: it.req.ID, Upstream: it.lane.id})
+func (m *Model) abort(now clock.Millis, a *pendingAttempt, cmds []Cmd) []Cmd {
+	a.aborted = true
+	a.abortedAt = now
+	timeoutAt := now + m.cfg.abortTimeoutMs
+	if a.resultSent || timeoutAt < a.expiresAt {
+		a.expiresAt = timeoutAt
+		a.upstream.running.fix(a)
+	}
+	return append(cmds, AbortCmd{ID: a.req.ID, Upstream: a.upstream.id})
 }
 
 func (m *Model) abortConfirmed(now clock.Millis, msg AbortedMsg) []Cmd {
-	it := m.attempts[msg.ID]
-	if it == nil || !it.running {
-		m.stray++
+	a := m.attempts[msg.ID]
+	if a == nil || !a.running {
+		m.unmatched++
 		return nil
 	}
-	l := it.lane
-	cmds := m.closeRunning(now, it, attempt.Cancelled, nil)
-	return m.pump(now, l, cmds)
+	u := a.upstream
+	cmds := m.closeRunning(now, a, attempt.Cancelled, nil)
+	return m.schedule(now, u, cmds)
 }
 
 // closeRunning frees the slot of an attempt whose connection is closed.
-func (m *Model) closeRunning(now clock.Millis, it *item, status attempt.Status, cmds []Cmd) []Cmd {
-	it.lane.running.remove(it)
-	it.lane.conns.release(now, false)
-	if !it.returned {
-		cmds = m.giveBack(now, it, attempt.Reply{ID: it.req.ID, Upstream: it.lane.id, Status: status}, cmds)
+func (m *Model) closeRunning(now clock.Millis, a *pendingAttempt, status attempt.Status, cmds []Cmd) []Cmd {
+	a.upstream.running.remove(a)
+	a.upstream.conns.release(now, false)
+	if !a.resultSent {
+		cmds = m.returnResult(now, a, attempt.Reply{ID: a.req.ID, Upstream: a.upstream.id, Status: status}, cmds)
 	}
-	m.release(it)
+	m.recycle(a)
 	return cmds
 }
--- a/pool/model_test.go
+++ b/pool/model_test.go
@@ -9,17 +9,17 @@
 	"lentillink.example/lentillink/rank"
 )
 
-const up = "search/g1/a"
+const upstreamID = "search/g1/a"
 
 func request(seq uint64, r rank.Rank, priority uint32, deadline clock.Millis) pool.EnqueueMsg {
 	id := attempt.ID{VM: "vm1", Incarnation: 1, Seq: seq}
 	return pool.EnqueueMsg{From: "vm2", Request: attempt.Request{
-		ID: id, Upstream: up, Rank: r, Priority: priority, Deadline: deadline,
+		ID: id, Upstream: upstreamID, Rank: r, Priority: priority, Deadline: deadline,
 	}}
 }
 
 func reply(seq uint64, s attempt.Status) pool.ReplyMsg {
-	return pool.ReplyMsg{Reply: attempt.Reply{ID: request(seq, 0, 0, 0).ID, Upstream: up, Status: s, Execution: attempt.Executed}}
+	return pool.ReplyMsg{Reply: attempt.Reply{ID: request(seq, 0, 0, 0).ID, Upstream: upstreamID, Status: s, Execution: attempt.Executed}}
 }
 
 func returned(cmds []pool.Cmd) map[uint64]attempt.Reply {
@@ -50,55 +50,55 @@
 
 // TestReturns guards against a wrong or missing proof of what happened to an attempt.
 func TestReturns(t *testing.T) {
-	long := clock.Millis(1000)
-	busy := step{0, request(1, rank.Urgent, 9, long)}
-	waits := step{0, request(2, rank.Urgent, 5, long)}
+	deadline := clock.Millis(1000)
+	first := step{0, request(1, rank.Urgent, 9, deadline)}
+	second := step{0, request(2, rank.Urgent, 5, deadline)}
 	id := func(seq uint64) attempt.ID { return request(seq, 0, 0, 0).ID }
 	tests := []struct {
-		name    string
-		steps   []step
-		seq     uint64
-		status  attempt.Status
-		ran     attempt.Execution
-		queueMs clock.Millis
-		running int
+		name      string
+		steps     []step
+		seq       uint64
+		status    attempt.Status
+		execution attempt.Execution
+		queueMs   clock.Millis
+		running   int
 	}{
-		{"reply", []step{busy, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Executed, 0, 0},
-		{"queued, then reply", []step{busy, waits, {7, reply(1, attempt.OK)}, {9, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Executed, 7, 0},
-		{"cancelled while queued", []step{busy, waits, {3, pool.CancelMsg{ID: id(2)}}}, 2, attempt.Cancelled, attempt.NotExecuted, 3, 1},
-		{"cancelled while running", []step{busy, {3, pool.CancelMsg{ID: id(1)}}, {4, pool.AbortedMsg{ID: id(1)}}}, 1, attempt.Cancelled, attempt.ExecutionUnknown, 0, 0},
-		{"cancelled while running, not confirmed by the deadline", []step{busy, {3, pool.CancelMsg{ID: id(1)}}, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 1},
+		{"reply", []step{first, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Executed, 0, 0},
+		{"queued, then reply", []step{first, second, {7, reply(1, attempt.OK)}, {9, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Executed, 7, 0},
+		{"cancelled while queued", []step{first, second, {3, pool.CancelMsg{ID: id(2)}}}, 2, attempt.Cancelled, attempt.NotExecuted, 3, 1},
+		{"cancelled while running", []step{first, {3, pool.CancelMsg{ID: id(1)}}, {4, pool.AbortedMsg{ID: id(1)}}}, 1, attempt.Cancelled, attempt.ExecutionUnknown, 0, 0},
+		{"cancelled while running, not confirmed by the deadline", []step{first, {3, pool.CancelMsg{ID: id(1)}}, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 1},
 		{"cancelled while running, not confirmed by the bound", []step{{0, request(1, rank.Urgent, 9, 90_000)}, {3, pool.CancelMsg{ID: id(1)}}, {5003, pool.TickMsg{}}}, 1, attempt.Cancelled, attempt.ExecutionUnknown, 0, 0},
-		{"limit falls to 0", []step{busy, waits, {3, pool.LimitMsg{Upstream: up}}}, 2, attempt.NotSent, attempt.NotExecuted, 3, 1},
-		{"upstream leaves", []step{busy, waits, {3, pool.LeavingMsg{Upstream: up}}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 1},
-		{"upstream says that it leaves", []step{busy, waits, {3, reply(1, attempt.Leaving)}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 0},
-		{"deadline passes in the queue", []step{busy, {0, request(2, rank.Urgent, 5, 50)}, {50, pool.TickMsg{}}}, 2, attempt.NotSent, attempt.NotExecuted, 50, 1},
-		{"no reply", []step{busy, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 1},
-		{"no reply and no abort", []step{busy, {1020, pool.TickMsg{}}, {6020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
-		{"late reply frees the slot", []step{busy, {1020, pool.TickMsg{}}, {1500, reply(1, attempt.OK)}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
-		{"forwarded twice", []step{busy, busy, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Executed, 0, 0},
-		{"less time than service takes", []step{busy, {40, reply(1, attempt.OK)}, {40, request(2, rank.Urgent, 5, 70)}}, 2, attempt.NotSent, attempt.NotExecuted, 0, 0},
-		{"service times forgotten after a second", []step{busy, {40, reply(1, attempt.OK)}, {1041, request(2, rank.Urgent, 5, 1071)}, {1050, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Executed, 0, 0},
-		{"queue full, lowest priority leaves", []step{busy, waits, {0, request(3, rank.Urgent, 1, long)}, {0, request(4, rank.Urgent, 7, long)}}, 3, attempt.Shed, attempt.NotExecuted, 0, 1},
+		{"limit falls to 0", []step{first, second, {3, pool.LimitMsg{Upstream: upstreamID}}}, 2, attempt.NotSent, attempt.NotExecuted, 3, 1},
+		{"upstream leaves", []step{first, second, {3, pool.LeavingMsg{Upstream: upstreamID}}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 1},
+		{"upstream says that it leaves", []step{first, second, {3, reply(1, attempt.Leaving)}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 0},
+		{"deadline passes in the queue", []step{first, {0, request(2, rank.Urgent, 5, 50)}, {50, pool.TickMsg{}}}, 2, attempt.NotSent, attempt.NotExecuted, 50, 1},
+		{"no reply", []step{first, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 1},
+		{"no reply and no abort", []step{first, {1020, pool.TickMsg{}}, {6020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
+		{"late reply frees the slot", []step{first, {1020, pool.TickMsg{}}, {1500, reply(1, attempt.OK)}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
+		{"forwarded twice", []step{first, first, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Executed, 0, 0},
+		{"less time than service takes", []step{first, {40, reply(1, attempt.OK)}, {40, request(2, rank.Urgent, 5, 70)}}, 2, attempt.NotSent, attempt.NotExecuted, 0, 0},
+		{"service times forgotten after a second", []step{first, {40, reply(1, attempt.OK)}, {1041, request(2, rank.Urgent, 5, 1071)}, {1050, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Executed, 0, 0},
+		{"queue full, lowest priority leaves", []step{first, second, {0, request(3, rank.Urgent, 1, deadline)}, {0, request(4, rank.Urgent, 7, deadline)}}, 3, attempt.Shed, attempt.NotExecuted, 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m := pool.New(pool.WithUpstream(up, 1), pool.WithQueueLimits(rank.NewTable(2, 2, 2)))
+			m := pool.New(pool.WithUpstream(upstreamID, 1), pool.WithQueueLimits(rank.NewTable(2, 2, 2)))
 			got := make(map[uint64]attempt.Reply)
 			for _, s := range tt.steps {
 				for seq, r := range returned(m.Update(s.at, s.msg)) {
-					if _, twice := got[seq]; twice {
+					if _, duplicate := got[seq]; duplicate {
 						t.Errorf("attempt %d returned twice", seq)
 					}
 					got[seq] = r
 				}
 			}
 			r, ok := got[tt.seq]
-			if !ok || r.Status != tt.status || r.Execution != tt.ran || r.QueueMs != tt.queueMs {
+			if !ok || r.Status != tt.status || r.Execution != tt.execution || r.QueueMs != tt.queueMs {
 				t.Errorf("got %v %s ran %s queue %d, want %s ran %s queue %d",
-					ok, r.Status, r.Execution, r.QueueMs, tt.status, tt.ran, tt.queueMs)
+					ok, r.Status, r.Execution, r.QueueMs, tt.status, tt.execution, tt.queueMs)
 			}
-			if got := m.BusyConns(up); got != tt.running {
+			if got := m.BusyConns(upstreamID); got != tt.running {
 				t.Errorf("got %d running, want %d", got, tt.running)
 			}
 		})
@@ -107,7 +107,7 @@
 
 // TestOrder guards against work of low rank or priority overtaking other work.
 func TestOrder(t *testing.T) {
-	m := pool.New(pool.WithUpstream(up, 1), pool.WithShares(rank.NewTable(0.0, 0, 0)))
+	m := pool.New(pool.WithUpstream(upstreamID, 1), pool.WithShares(rank.NewTable(0.0, 0, 0)))
 	m.Update(0, request(1, rank.Patient, 0, 1000))
 	m.Update(0, request(2, rank.Patient, 9, 1000))
 	m.Update(0, request(3, rank.Urgent, 1, 1000))
@@ -128,7 +128,7 @@
 // TestYield guards against an attempt of low priority that gives way to others
 // until its deadline while the connections are fully used.
 func TestYield(t *testing.T) {
-	m := pool.New(pool.WithUpstream(up, 1))
+	m := pool.New(pool.WithUpstream(upstreamID, 1))
 	m.Update(0, request(1, rank.Urgent, 5, 1000))
 	m.Update(0, request(2, rank.Urgent, 0, 400))
 	last := uint64(1)
@@ -148,7 +148,7 @@
 
 // TestShares guards against a flood of one rank starving the others at a carrier.
 func TestShares(t *testing.T) {
-	m := pool.New(pool.WithUpstream(up, 1), pool.WithShares(rank.NewTable(0.5, 0.25, 0.1)))
+	m := pool.New(pool.WithUpstream(upstreamID, 1), pool.WithShares(rank.NewTable(0.5, 0.25, 0.1)))
 	var last uint64
 	ranks := make(map[uint64]rank.Rank)
 	var seq uint64
@@ -176,16 +176,16 @@
 
 // TestRefusedConnections guards against storming an upstream that refuses connections.
 func TestRefusedConnections(t *testing.T) {
-	m := pool.New(pool.WithUpstream(up, 4))
+	m := pool.New(pool.WithUpstream(upstreamID, 4))
 	for seq := range uint64(4) {
 		m.Update(0, request(seq, rank.Urgent, 0, 100_000))
 	}
 	m.Update(1, reply(0, attempt.ConnRefused))
-	if got := m.Limit(up); got != 3 {
+	if got := m.Limit(upstreamID); got != 3 {
 		t.Errorf("got limit %d after a refusal, want 3", got)
 	}
 	m.Update(1001, pool.TickMsg{})
-	if got := m.Limit(up); got != 4 {
+	if got := m.Limit(upstreamID); got != 4 {
 		t.Errorf("got limit %d after a second, want 4", got)
 	}
 	for seq := uint64(1); seq < 4; seq++ {
@@ -197,19 +197,19 @@
 	}
 	m.Update(1200, request(11, rank.Urgent, 0, 100_000))
 	m.Update(1200, request(12, rank.Urgent, 0, 100_000))
-	if got := m.BusyConns(up); got != 1 {
+	if got := m.BusyConns(upstreamID); got != 1 {
 		t.Errorf("got %d running after the backoff, want 1 probe", got)
 	}
 }
 
 // TestConnectionsAreReused guards against opening connections while idle ones exist.
 func TestConnectionsAreReused(t *testing.T) {
-	m := pool.New(pool.WithUpstream(up, 4))
+	m := pool.New(pool.WithUpstream(upstreamID, 4))
 	for i := range uint64(10) {
 		m.Update(clock.Millis(i), request(i, rank.Urgent, 0, 100_000))
 		m.Update(clock.Millis(i)+1, reply(i, attempt.OK))
 	}
-	if got := m.OpenedConns(up); got != 1 {
+	if got := m.OpenedConns(upstreamID); got != 1 {
 		t.Errorf("got %d opened, want 1", got)
 	}
 	at, ok := m.NextWake()
@@ -217,7 +217,7 @@
 		t.Fatalf("got wake %d %v, want 30010", at, ok)
 	}
 	cmds := m.Update(at, pool.TickMsg{})
-	if got := m.OpenConns(up); got != 0 || len(cmds) != 1 {
+	if got := m.OpenConns(upstreamID); got != 0 || len(cmds) != 1 {
 		t.Errorf("got %d open and %d commands after the idle timeout, want 0 and 1", got, len(cmds))
 	}
 }
--- a/pool/options.go
+++ b/pool/options.go
@@ -6,12 +6,12 @@
 )
 
 type config struct {
-	limits  []LimitMsg
-	shares  rank.Table[float64]
-	queue   rank.Table[int]
-	idleMs  clock.Millis
-	graceMs clock.Millis
-	boundMs clock.Millis
+	limits         []LimitMsg
+	shares         rank.Table[float64]
+	queueLimits    rank.Table[int]
+	idleTimeoutMs  clock.Millis
+	replyGraceMs   clock.Millis
+	abortTimeoutMs clock.Millis
 }
 
 // Option configures a Model.
@@ -26,26 +26,28 @@
 func WithShares(shares rank.Table[float64]) Option { return func(c *config) { c.shares = shares } }
 
 // WithQueueLimits bounds the queue of each rank at one upstream.
-func WithQueueLimits(bounds rank.Table[int]) Option { return func(c *config) { c.queue = bounds } }
+func WithQueueLimits(bounds rank.Table[int]) Option {
+	return func(c *config) { c.queueLimits = bounds }
+}
 
 // WithIdleTimeout sets how long an unused connection is kept.
-func WithIdleTimeout(ms clock.Millis) Option { return func(c *config) { c.idleMs = ms } }
+func WithIdleTimeout(ms clock.Millis) Option { return func(c *config) { c.idleTimeoutMs = ms } }
 
 // WithReplyGrace sets how long after its deadline a dispatched attempt is returned
 // as timed out.
-func WithReplyGrace(ms clock.Millis) Option { return func(c *config) { c.graceMs = ms } }
+func WithReplyGrace(ms clock.Millis) Option { return func(c *config) { c.replyGraceMs = ms } }
 
 // WithAbortTimeout sets how long the connection of an aborted attempt counts as
 // busy if neither a reply nor an AbortedMsg comes.
-func WithAbortTimeout(ms clock.Millis) Option { return func(c *config) { c.boundMs = ms } }
+func WithAbortTimeout(ms clock.Millis) Option { return func(c *config) { c.abortTimeoutMs = ms } }
 
 func newConfig(opts []Option) config {
 	c := config{
-		shares:  rank.NewTable(0.5, 0.25, 0.1),
-		queue:   rank.NewTable(512, 512, 512),
-		idleMs:  30 * clock.Second,
-		graceMs: 20,
-		boundMs: 5 * clock.Second,
+		shares:         rank.NewTable(0.5, 0.25, 0.1),
+		queueLimits:    rank.NewTable(512, 512, 512),
+		idleTimeoutMs:  30 * clock.Second,
+		replyGraceMs:   20,
+		abortTimeoutMs: 5 * clock.Second,
 	}
 	for _, opt := range opts {
 		opt(&c)
--- a/pool/property_test.go
+++ b/pool/property_test.go
@@ -11,8 +11,8 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// history drives a model with random messages and keeps what it must conserve.
-type history struct {
+// modelChecker drives a model with random messages and keeps what it must conserve.
+type modelChecker struct {
 	t        *rapid.T
 	m        *pool.Model
 	now      clock.Millis
@@ -28,10 +28,10 @@
 // the limit of connections, and against wrong claims that nothing was sent.
 func TestExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{
+		h := &modelChecker{
 			t: t, limit: 3, running: map[uint64]bool{}, aborted: map[uint64]bool{},
 			returned: map[uint64]int{}, sent: map[uint64]bool{},
-			m: pool.New(pool.WithUpstream(up, 3), pool.WithQueueLimits(rank.NewTable(3, 3, 3))),
+			m: pool.New(pool.WithUpstream(upstreamID, 3), pool.WithQueueLimits(rank.NewTable(3, 3, 3))),
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			h.now += clock.Millis(rapid.IntRange(0, 30).Draw(t, "dt"))
@@ -43,8 +43,8 @@
 	})
 }
 
-func (h *history) step() {
-	known := rapid.Uint64Range(0, h.seq).Draw(h.t, "known")
+func (h *modelChecker) step() {
+	seq := rapid.Uint64Range(0, h.seq).Draw(h.t, "known")
 	switch rapid.IntRange(0, 9).Draw(h.t, "kind") {
 	case 0, 1, 2, 3:
 		h.seq++
@@ -52,27 +52,27 @@
 		h.update(request(h.seq, r, rapid.Uint32Range(0, 3).Draw(h.t, "priority"),
 			h.now+clock.Millis(rapid.IntRange(-5, 200).Draw(h.t, "budget"))))
 	case 4, 5, 6:
-		delete(h.running, known)
-		h.update(reply(known, attempt.Status(rapid.IntRange(0, 9).Draw(h.t, "status"))))
+		delete(h.running, seq)
+		h.update(reply(seq, attempt.Status(rapid.IntRange(0, 9).Draw(h.t, "status"))))
 	case 7:
-		h.update(pool.CancelMsg{ID: request(known, 0, 0, 0).ID})
+		h.update(pool.CancelMsg{ID: request(seq, 0, 0, 0).ID})
 	case 8:
-		if h.aborted[known] {
-			delete(h.running, known)
-			h.update(pool.AbortedMsg{ID: request(known, 0, 0, 0).ID})
+		if h.aborted[seq] {
+			delete(h.running, seq)
+			h.update(pool.AbortedMsg{ID: request(seq, 0, 0, 0).ID})
 		}
 	case 9:
 		h.limit = rapid.IntRange(0, 4).Draw(h.t, "limit")
-		h.update(pool.LimitMsg{Upstream: up, Connections: h.limit})
-		h.update(pool.AvailableMsg{Upstream: up})
+		h.update(pool.LimitMsg{Upstream: upstreamID, Connections: h.limit})
+		h.update(pool.AvailableMsg{Upstream: upstreamID})
 	}
 }
 
-func (h *history) update(msg pool.Msg) {
+func (h *modelChecker) update(msg pool.Msg) {
 	h.perform(h.m.Update(h.now, msg))
 }
 
-func (h *history) perform(cmds []pool.Cmd) {
+func (h *modelChecker) perform(cmds []pool.Cmd) {
 	for _, c := range cmds {
 		switch c := c.(type) {
 		case pool.DispatchCmd:
@@ -80,7 +80,7 @@
 				h.t.Fatalf("attempt %d dispatched after it was sent or returned", c.ID.Seq)
 			}
 			h.sent[c.ID.Seq], h.running[c.ID.Seq] = true, true
-			if got := h.m.BusyConns(up); got > h.limit {
+			if got := h.m.BusyConns(upstreamID); got > h.limit {
 				h.t.Fatalf("got %d running after a dispatch, want at most %d", got, h.limit)
 			}
 		case pool.AbortCmd:
@@ -97,7 +97,7 @@
 	}
 }
 
-func (h *history) check() {
+func (h *modelChecker) check() {
 	for seq, n := range h.returned {
 		if n > 1 {
 			h.t.Fatalf("attempt %d returned %d times", seq, n)
@@ -109,7 +109,7 @@
 }
 
 // finish lets all deadlines and bounds pass by following NextWake alone.
-func (h *history) finish() {
+func (h *modelChecker) finish() {
 	for range 1000 {
 		at, ok := h.m.NextWake()
 		if !ok {
@@ -123,7 +123,7 @@
 			h.t.Fatalf("attempt %d returned %d times, want once", seq, h.returned[seq])
 		}
 	}
-	if got := h.m.BusyConns(up); got != 0 || !h.m.Idle() {
+	if got := h.m.BusyConns(upstreamID); got != 0 || !h.m.Idle() {
 		h.t.Fatalf("got %d running at the end, want 0", got)
 	}
 }
