--- a/pool/accessors.go
+++ b/pool/accessors.go
@@ -10,7 +10,7 @@
 	return 0
 }
 
-// Queued returns the number of waiting attempts of an upstream.
+// Queued returns the number of queued attempts of an upstream.
 func (m *Model) Queued(upstream string) int {
 	if u := m.upstreams[upstream]; u != nil {
 		return u.queue.size
@@ -18,7 +18,8 @@
 	return 0
 }
 
-// Limit returns the limit of connections that is in effect for an upstream.
+// Limit returns the effective connection limit of an upstream. Refused
+// connections lower it below the configured one.
 func (m *Model) Limit(upstream string) int {
 	if u := m.upstreams[upstream]; u != nil {
 		return u.effectiveLimit
@@ -34,7 +35,7 @@
 	return 0
 }
 
-// OpenedConns returns how many connections were opened to an upstream so far.
+// OpenedConns returns the total number of connections opened to an upstream.
 func (m *Model) OpenedConns(upstream string) int {
 	if u := m.upstreams[upstream]; u != nil {
 		return u.conns.opened
@@ -42,14 +43,15 @@
 	return 0
 }
 
-// Unmatched returns the number of messages about unknown or doubled attempts.
+// Unmatched returns the number of ignored messages: duplicate requests, and
+// results of attempts that are not running.
 func (m *Model) Unmatched() int { return m.unmatched }
 
 // Idle reports whether no attempt is queued or running.
 func (m *Model) Idle() bool { return len(m.attempts) == 0 }
 
-// NextWake returns when the model wants a TickMsg. It takes time in the number
-// of upstreams.
+// NextWake returns the time of the next TickMsg, and false if nothing is
+// scheduled. Its cost is linear in the number of upstreams.
 func (m *Model) NextWake() (clock.Millis, bool) {
 	wake := never
 	for _, u := range m.ordered {
--- a/pool/bench_test.go
+++ b/pool/bench_test.go
@@ -9,7 +9,7 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// BenchmarkAttempt measures one attempt that waits behind 200 others and then runs.
+// BenchmarkAttempt measures one attempt that is queued behind 200 others and then dispatched.
 func BenchmarkAttempt(b *testing.B) {
 	m := pool.New(pool.WithUpstream(upstreamID, 1))
 	const waiting = 200
--- a/pool/connections.go
+++ b/pool/connections.go
@@ -2,15 +2,16 @@
 
 import "lentillink.example/lentillink/clock"
 
-// connections models the connections to one upstream. Idle ones are used last
-// in, first out, so that a low load keeps few of them warm and the others expire.
+// connections tracks the connections to one upstream. Idle ones are reused last
+// in, first out, so that at low load only a few stay in use and the others
+// reach their idle timeout.
 type connections struct {
 	busy   int
 	idle   []clock.Millis // when each became idle, oldest first
-	opened int
+	opened int            // total number opened
 }
 
-// acquire makes a connection busy and reports whether it had to be opened.
+// acquire marks a connection as busy and reports whether it must be opened.
 func (c *connections) acquire() bool {
 	c.busy++
 	if n := len(c.idle); n > 0 {
@@ -28,8 +29,8 @@
 	}
 }
 
-// closeExcess closes idle connections that have expired or exceed limit, and reports
-// whether it closed any.
+// closeExcess closes idle connections that reached the idle timeout or exceed the
+// limit. It reports whether it closed any.
 func (c *connections) closeExcess(now, idleTimeoutMs clock.Millis, limit int) bool {
 	n := 0
 	for n < len(c.idle) && (now-c.idle[n] >= idleTimeoutMs || c.open()-n > limit) {
--- a/pool/doc.go
+++ b/pool/doc.go
@@ -1,5 +1,7 @@
-// Package pool owns the connections of the upstreams that one VM carries.
+// Package pool schedules attempts on the connections that one VM owns. A VM that
+// owns connections to an upstream is a carrier of it; other VMs forward their
+// attempts to the carrier.
 //
-// Each upstream has a limit of connections and bounded queues ordered by rank,
+// Each upstream has a connection limit and bounded queues ordered by rank,
 // priority and deadline. Every enqueued attempt is returned exactly once.
 package pool
--- a/pool/heap.go
+++ b/pool/heap.go
@@ -2,16 +2,17 @@
 
 import "container/heap"
 
-// An item lies in several heaps at once, one per slot.
+// An attempt is in several heaps at once. The constants name the heaps and index
+// the attempt's positions in them.
 const (
-	heapOrder    = iota // service order while queued, end of the wait while running
-	heapReverse         // reverse service order while queued
+	heapOrder    = iota // dispatch order while queued, expiry while running
+	heapReverse         // reverse dispatch order while queued
 	heapDeadline        // deadline while queued
-	heapYield           // end of giving way while queued
+	heapYield           // end of yielding while queued
 	heapCount
 )
 
-// attemptHeap is a heap of items that supports removal from the middle.
+// attemptHeap is a heap of attempts that supports removal from the middle.
 type attemptHeap struct {
 	attempts []*pendingAttempt
 	heapID   int
--- a/pool/message.go
+++ b/pool/message.go
@@ -8,8 +8,8 @@
 // Msg is an input of a Model.
 type Msg interface{ poolMsg() }
 
-// EnqueueMsg asks to run an attempt for the VM named From. An attempt that is
-// already known is ignored, so a forward that arrives twice runs once.
+// EnqueueMsg queues an attempt of the VM named From. It is ignored if the attempt
+// is queued or running, so that a duplicate message does not run it twice.
 type EnqueueMsg struct {
 	attempt.Request
 	From string
@@ -21,27 +21,28 @@
 // AbortedMsg reports that the connection of an aborted attempt is closed.
 type AbortedMsg struct{ ID attempt.ID }
 
-// CancelMsg cancels an attempt. Queued work is returned at once; running work
-// is aborted.
+// CancelMsg cancels an attempt. A queued attempt is returned at once; a running
+// one is aborted.
 type CancelMsg struct{ ID attempt.ID }
 
-// LimitMsg sets how many connections this VM may open to an upstream. At 0
-// running work finishes and queued work is returned.
+// LimitMsg sets the number of connections that this VM may open to an upstream.
+// At 0 running attempts finish and queued ones are returned.
 type LimitMsg struct {
 	Upstream    string
 	Connections int
 }
 
-// LeavingMsg says that an upstream takes no new work.
+// LeavingMsg reports that an upstream accepts no new attempts. Queued ones are returned.
 type LeavingMsg struct{ Upstream string }
 
-// AvailableMsg says that an upstream takes work again.
+// AvailableMsg reports that an upstream accepts attempts again.
 type AvailableMsg struct{ Upstream string }
 
-// PolicyMsg sets the guaranteed shares of dispatches from the floors of a preset.
+// PolicyMsg sets the guaranteed share of dispatches of each rank to the rank's
+// FloorPercent in the preset.
 type PolicyMsg struct{ Preset preset.Preset }
 
-// TickMsg lets time pass.
+// TickMsg runs what is due. The runtime sends it at the time returned by NextWake.
 type TickMsg struct{}
 
 func (EnqueueMsg) poolMsg()   {}
--- a/pool/model.go
+++ b/pool/model.go
@@ -6,18 +6,19 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// Model decides which attempt uses which connection. It is a pure state machine.
+// Model queues attempts and dispatches them to connections. It is a pure state
+// machine without I/O.
 type Model struct {
 	cfg       config
 	seq       uint64
 	upstreams map[string]*upstreamState
-	ordered   []*upstreamState // fixed order, so that runs repeat
+	ordered   []*upstreamState // in order of creation, so that runs are deterministic
 	attempts  map[attempt.ID]*pendingAttempt
-	free      []*pendingAttempt
+	free      []*pendingAttempt // for reuse
 	unmatched int
 }
 
-// New returns a model.
+// New returns a Model with the upstreams and limits of the options.
 func New(opts ...Option) *Model {
 	m := &Model{cfg: newConfig(opts), upstreams: make(map[string]*upstreamState), attempts: make(map[attempt.ID]*pendingAttempt)}
 	for _, limit := range m.cfg.limits {
@@ -26,7 +27,7 @@
 	return m
 }
 
-// Update applies msg at now and returns the commands that follow from it.
+// Update handles a message and returns the resulting commands.
 func (m *Model) Update(now clock.Millis, msg Msg) []Cmd {
 	switch v := msg.(type) {
 	case EnqueueMsg:
@@ -117,7 +118,8 @@
 	return m.schedule(now, u, cmds)
 }
 
-// updateState updates what is known of the upstream from the reply to it.
+// updateState updates the state of the upstream from a reply: whether it is
+// leaving, its effective limit, its backoff and its service times.
 func (m *Model) updateState(now clock.Millis, a *pendingAttempt, r attempt.Reply) {
 	u := a.upstream
 	if r.Leaving || r.Status == attempt.Leaving {
@@ -135,8 +137,8 @@
 	}
 }
 
-// reusable reports whether a connection can carry another request after a
-// reply. After any doubt about the stream it is closed.
+// reusable reports whether a connection can be reused after a reply. It is closed
+// if the state of the stream is uncertain.
 func reusable(s attempt.Status) bool {
 	switch s {
 	case attempt.OK, attempt.VersionGone, attempt.Shed, attempt.Leaving:
@@ -162,7 +164,8 @@
 	return m.schedule(now, a.upstream, cmds)
 }
 
-// abort asks the runtime to give up a running attempt. Its slot stays busy.
+// abort requests the cancellation of a running attempt. Its connection counts as
+// busy until the abort is confirmed or times out.
 func (m *Model) abort(now clock.Millis, a *pendingAttempt, cmds []Cmd) []Cmd {
 	a.aborted = true
 	a.abortedAt = now
@@ -185,7 +188,8 @@
 	return m.schedule(now, u, cmds)
 }
 
-// closeRunning frees the slot of an attempt whose connection is closed.
+// closeRunning releases the connection of a running attempt as closed and returns
+// the attempt if its result was not sent yet.
 func (m *Model) closeRunning(now clock.Millis, a *pendingAttempt, status attempt.Status, cmds []Cmd) []Cmd {
 	a.upstream.running.remove(a)
 	a.upstream.conns.release(now, false)
--- a/pool/model_test.go
+++ b/pool/model_test.go
@@ -42,13 +42,14 @@
 	return got
 }
 
-// step is one message at a time.
+// step is a message and the time at which it is handled.
 type step struct {
 	at  clock.Millis
 	msg pool.Msg
 }
 
-// TestReturns guards against a wrong or missing proof of what happened to an attempt.
+// TestReturns guards against a missing result and a wrong status or execution
+// state of an attempt.
 func TestReturns(t *testing.T) {
 	deadline := clock.Millis(1000)
 	first := step{0, request(1, rank.Urgent, 9, deadline)}
@@ -67,19 +68,19 @@
 		{"queued, then reply", []step{first, second, {7, reply(1, attempt.OK)}, {9, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Executed, 7, 0},
 		{"cancelled while queued", []step{first, second, {3, pool.CancelMsg{ID: id(2)}}}, 2, attempt.Cancelled, attempt.NotExecuted, 3, 1},
 		{"cancelled while running", []step{first, {3, pool.CancelMsg{ID: id(1)}}, {4, pool.AbortedMsg{ID: id(1)}}}, 1, attempt.Cancelled, attempt.ExecutionUnknown, 0, 0},
-		{"cancelled while running, not confirmed by the deadline", []step{first, {3, pool.CancelMsg{ID: id(1)}}, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 1},
-		{"cancelled while running, not confirmed by the bound", []step{{0, request(1, rank.Urgent, 9, 90_000)}, {3, pool.CancelMsg{ID: id(1)}}, {5003, pool.TickMsg{}}}, 1, attempt.Cancelled, attempt.ExecutionUnknown, 0, 0},
+		{"cancelled while running, abort not confirmed by the deadline", []step{first, {3, pool.CancelMsg{ID: id(1)}}, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 1},
+		{"cancelled while running, abort times out", []step{{0, request(1, rank.Urgent, 9, 90_000)}, {3, pool.CancelMsg{ID: id(1)}}, {5003, pool.TickMsg{}}}, 1, attempt.Cancelled, attempt.ExecutionUnknown, 0, 0},
 		{"limit falls to 0", []step{first, second, {3, pool.LimitMsg{Upstream: upstreamID}}}, 2, attempt.NotSent, attempt.NotExecuted, 3, 1},
-		{"upstream leaves", []step{first, second, {3, pool.LeavingMsg{Upstream: upstreamID}}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 1},
-		{"upstream says that it leaves", []step{first, second, {3, reply(1, attempt.Leaving)}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 0},
+		{"upstream is leaving", []step{first, second, {3, pool.LeavingMsg{Upstream: upstreamID}}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 1},
+		{"reply says that the upstream is leaving", []step{first, second, {3, reply(1, attempt.Leaving)}}, 2, attempt.Leaving, attempt.NotExecuted, 3, 0},
 		{"deadline passes in the queue", []step{first, {0, request(2, rank.Urgent, 5, 50)}, {50, pool.TickMsg{}}}, 2, attempt.NotSent, attempt.NotExecuted, 50, 1},
 		{"no reply", []step{first, {1020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 1},
-		{"no reply and no abort", []step{first, {1020, pool.TickMsg{}}, {6020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
-		{"late reply frees the slot", []step{first, {1020, pool.TickMsg{}}, {1500, reply(1, attempt.OK)}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
-		{"forwarded twice", []step{first, first, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Executed, 0, 0},
-		{"less time than service takes", []step{first, {40, reply(1, attempt.OK)}, {40, request(2, rank.Urgent, 5, 70)}}, 2, attempt.NotSent, attempt.NotExecuted, 0, 0},
-		{"service times forgotten after a second", []step{first, {40, reply(1, attempt.OK)}, {1041, request(2, rank.Urgent, 5, 1071)}, {1050, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Executed, 0, 0},
-		{"queue full, lowest priority leaves", []step{first, second, {0, request(3, rank.Urgent, 1, deadline)}, {0, request(4, rank.Urgent, 7, deadline)}}, 3, attempt.Shed, attempt.NotExecuted, 0, 1},
+		{"no reply and no confirmation of the abort", []step{first, {1020, pool.TickMsg{}}, {6020, pool.TickMsg{}}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
+		{"late reply frees the connection", []step{first, {1020, pool.TickMsg{}}, {1500, reply(1, attempt.OK)}}, 1, attempt.TimedOut, attempt.ExecutionUnknown, 0, 0},
+		{"enqueued twice", []step{first, first, {7, reply(1, attempt.OK)}}, 1, attempt.OK, attempt.Executed, 0, 0},
+		{"less remaining time than the service time", []step{first, {40, reply(1, attempt.OK)}, {40, request(2, rank.Urgent, 5, 70)}}, 2, attempt.NotSent, attempt.NotExecuted, 0, 0},
+		{"service times expire after a second", []step{first, {40, reply(1, attempt.OK)}, {1041, request(2, rank.Urgent, 5, 1071)}, {1050, reply(2, attempt.OK)}}, 2, attempt.OK, attempt.Executed, 0, 0},
+		{"queue full, lowest priority is shed", []step{first, second, {0, request(3, rank.Urgent, 1, deadline)}, {0, request(4, rank.Urgent, 7, deadline)}}, 3, attempt.Shed, attempt.NotExecuted, 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -95,17 +96,18 @@
 			}
 			r, ok := got[tt.seq]
 			if !ok || r.Status != tt.status || r.Execution != tt.execution || r.QueueMs != tt.queueMs {
-				t.Errorf("got %v %s ran %s queue %d, want %s ran %s queue %d",
+				t.Errorf("got %v %s execution %s queue %d ms, want %s execution %s queue %d ms",
 					ok, r.Status, r.Execution, r.QueueMs, tt.status, tt.execution, tt.queueMs)
 			}
 			if got := m.BusyConns(upstreamID); got != tt.running {
-				t.Errorf("got %d running, want %d", got, tt.running)
+				t.Errorf("got %d busy connections, want %d", got, tt.running)
 			}
 		})
 	}
 }
 
-// TestOrder guards against work of low rank or priority overtaking other work.
+// TestOrder guards against attempts of lower rank or priority that are dispatched
+// before others.
 func TestOrder(t *testing.T) {
 	m := pool.New(pool.WithUpstream(upstreamID, 1), pool.WithShares(rank.NewTable(0.0, 0, 0)))
 	m.Update(0, request(1, rank.Patient, 0, 1000))
@@ -125,8 +127,8 @@
 	}
 }
 
-// TestYield guards against an attempt of low priority that gives way to others
-// until its deadline while the connections are fully used.
+// TestYield guards against starvation of an attempt of low priority: it must not
+// yield to others until its deadline while all connections are busy.
 func TestYield(t *testing.T) {
 	m := pool.New(pool.WithUpstream(upstreamID, 1))
 	m.Update(0, request(1, rank.Urgent, 5, 1000))
@@ -146,7 +148,8 @@
 	t.Error("not dispatched within 200 ms")
 }
 
-// TestShares guards against a flood of one rank starving the others at a carrier.
+// TestShares guards against starvation of the lower ranks when every rank's queue
+// is long.
 func TestShares(t *testing.T) {
 	m := pool.New(pool.WithUpstream(upstreamID, 1), pool.WithShares(rank.NewTable(0.5, 0.25, 0.1)))
 	var last uint64
@@ -174,7 +177,8 @@
 	}
 }
 
-// TestRefusedConnections guards against storming an upstream that refuses connections.
+// TestRefusedConnections guards against repeated connection attempts without a
+// backoff to an upstream that refuses them.
 func TestRefusedConnections(t *testing.T) {
 	m := pool.New(pool.WithUpstream(upstreamID, 4))
 	for seq := range uint64(4) {
@@ -182,7 +186,7 @@
 	}
 	m.Update(1, reply(0, attempt.ConnRefused))
 	if got := m.Limit(upstreamID); got != 3 {
-		t.Errorf("got limit %d after a refusal, want 3", got)
+		t.Errorf("got limit %d after a refused connection, want 3", got)
 	}
 	m.Update(1001, pool.TickMsg{})
 	if got := m.Limit(upstreamID); got != 4 {
@@ -193,7 +197,7 @@
 	}
 	cmds := m.Update(1003, request(10, rank.Urgent, 0, 100_000))
 	if r := returned(cmds)[10]; r.Status != attempt.ConnRefused || r.Execution != attempt.NotExecuted || r.RetryAfter <= 0 {
-		t.Errorf("got %s ran %s retry %d during backoff, want refused, no, positive", r.Status, r.Execution, r.RetryAfter)
+		t.Errorf("got %s, execution %s, retry after %d during backoff, want refused, no, positive", r.Status, r.Execution, r.RetryAfter)
 	}
 	m.Update(1200, request(11, rank.Urgent, 0, 100_000))
 	m.Update(1200, request(12, rank.Urgent, 0, 100_000))
@@ -202,7 +206,8 @@
 	}
 }
 
-// TestConnectionsAreReused guards against opening connections while idle ones exist.
+// TestConnectionsAreReused guards against opening a connection while one is idle,
+// and against idle connections that outlive the idle timeout.
 func TestConnectionsAreReused(t *testing.T) {
 	m := pool.New(pool.WithUpstream(upstreamID, 4))
 	for i := range uint64(10) {
@@ -210,7 +215,7 @@
 		m.Update(clock.Millis(i)+1, reply(i, attempt.OK))
 	}
 	if got := m.OpenedConns(upstreamID); got != 1 {
-		t.Errorf("got %d opened, want 1", got)
+		t.Errorf("got %d connections opened, want 1", got)
 	}
 	at, ok := m.NextWake()
 	if !ok || at != 30_010 {
--- a/pool/options.go
+++ b/pool/options.go
@@ -17,28 +17,28 @@
 // Option configures a Model.
 type Option func(*config)
 
-// WithUpstream adds an upstream with a limit of connections.
+// WithUpstream adds an upstream with a connection limit.
 func WithUpstream(id string, connections int) Option {
 	return func(c *config) { c.limits = append(c.limits, LimitMsg{Upstream: id, Connections: connections}) }
 }
 
-// WithShares sets the guaranteed share of dispatches of each rank, 0 to 1.
+// WithShares sets the guaranteed share of dispatches of each rank, from 0 to 1.
 func WithShares(shares rank.Table[float64]) Option { return func(c *config) { c.shares = shares } }
 
-// WithQueueLimits bounds the queue of each rank at one upstream.
+// WithQueueLimits sets the maximum queue length of each rank per upstream.
 func WithQueueLimits(bounds rank.Table[int]) Option {
 	return func(c *config) { c.queueLimits = bounds }
 }
 
-// WithIdleTimeout sets how long an unused connection is kept.
+// WithIdleTimeout sets how long an idle connection stays open.
 func WithIdleTimeout(ms clock.Millis) Option { return func(c *config) { c.idleTimeoutMs = ms } }
 
-// WithReplyGrace sets how long after its deadline a dispatched attempt is returned
-// as timed out.
+// WithReplyGrace sets how long after its deadline a dispatched attempt without a
+// reply is returned as timed out.
 func WithReplyGrace(ms clock.Millis) Option { return func(c *config) { c.replyGraceMs = ms } }
 
 // WithAbortTimeout sets how long the connection of an aborted attempt counts as
-// busy if neither a reply nor an AbortedMsg comes.
+// busy without a reply or an AbortedMsg.
 func WithAbortTimeout(ms clock.Millis) Option { return func(c *config) { c.abortTimeoutMs = ms } }
 
 func newConfig(opts []Option) config {
--- a/pool/property_test.go
+++ b/pool/property_test.go
@@ -11,7 +11,8 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// modelChecker drives a model with random messages and keeps what it must conserve.
+// modelChecker sends random messages to a Model and tracks the attempts to check
+// its invariants.
 type modelChecker struct {
 	t        *rapid.T
 	m        *pool.Model
@@ -24,8 +25,8 @@
 	sent     map[uint64]bool
 }
 
-// TestExactlyOnce guards against lost or doubled results, against exceeding
-// the limit of connections, and against wrong claims that nothing was sent.
+// TestExactlyOnce guards against lost or duplicate results, an exceeded connection
+// limit and attempts that are returned as not executed although they were sent.
 func TestExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &modelChecker{
@@ -81,17 +82,17 @@
 			}
 			h.sent[c.ID.Seq], h.running[c.ID.Seq] = true, true
 			if got := h.m.BusyConns(upstreamID); got > h.limit {
-				h.t.Fatalf("got %d running after a dispatch, want at most %d", got, h.limit)
+				h.t.Fatalf("got %d busy connections after a dispatch, want at most %d", got, h.limit)
 			}
 		case pool.AbortCmd:
 			h.aborted[c.ID.Seq] = true
 		case pool.ReturnCmd:
 			h.returned[c.ID.Seq]++
 			if !h.sent[c.ID.Seq] && c.Execution != attempt.NotExecuted {
-				h.t.Fatalf("attempt %d was not sent, got ran %s", c.ID.Seq, c.Execution)
+				h.t.Fatalf("attempt %d was not sent, got execution %s", c.ID.Seq, c.Execution)
 			}
 			if h.sent[c.ID.Seq] && c.Status == attempt.TimedOut && c.Execution == attempt.NotExecuted {
-				h.t.Fatalf("attempt %d was sent, got ran no", c.ID.Seq)
+				h.t.Fatalf("attempt %d was sent, got execution no", c.ID.Seq)
 			}
 		}
 	}
@@ -104,11 +105,12 @@
 		}
 	}
 	if at, ok := h.m.NextWake(); ok && at < h.now {
-		h.t.Fatalf("got wake %d in the past of %d", at, h.now)
+		h.t.Fatalf("NextWake returned %d, which is before now, %d", at, h.now)
 	}
 }
 
-// finish lets all deadlines and bounds pass by following NextWake alone.
+// finish advances the time with NextWake until nothing is scheduled, and checks
+// that every attempt was returned.
 func (h *modelChecker) finish() {
 	for range 1000 {
 		at, ok := h.m.NextWake()
@@ -124,6 +126,6 @@
 		}
 	}
 	if got := h.m.BusyConns(upstreamID); got != 0 || !h.m.Idle() {
-		h.t.Fatalf("got %d running at the end, want 0", got)
+		h.t.Fatalf("got %d busy connections at the end, want 0 and no attempts", got)
 	}
 }
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -6,16 +6,16 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// pendingAttempt is one attempt that has not left the pool.
+// pendingAttempt is an attempt that is queued or running.
 type pendingAttempt struct {
 	req          attempt.Request
 	from         string
 	upstream     *upstreamState
 	seq          uint64
 	enqueuedAt   clock.Millis
-	yieldUntil   clock.Millis // from then on it no longer gives way to higher priorities
+	yieldUntil   clock.Millis // end of yielding to higher priorities of its rank
 	dispatchedAt clock.Millis
-	expiresAt    clock.Millis // when a running attempt is given up or its slot is freed
+	expiresAt    clock.Millis // when a running attempt is timed out or its connection released
 	running      bool
 	resultSent   bool
 	aborted      bool
@@ -23,17 +23,17 @@
 	heapIndex    [heapCount]int
 }
 
-// yieldDivisor is the part of its remaining time, as a divisor, for which an
-// attempt gives way to higher priorities of its rank. Without a bound the lowest
-// priorities wait until their deadline while the connections are fully used,
-// and their queries end partial.
+// yieldDivisor bounds the time for which an attempt yields to higher priorities
+// of its rank to this part of its remaining time. Without a bound the lowest
+// priorities would be queued until their deadline while all connections are
+// busy, and the answers of their queries would be partial.
 const yieldDivisor = 4
 
 func yieldEnd(now clock.Millis, req attempt.Request) clock.Millis {
 	return now + max(req.Deadline-now, 0)/yieldDivisor
 }
 
-// rankQueue holds the waiting attempts of one rank.
+// rankQueue holds the queued attempts of one rank.
 type rankQueue struct {
 	order      attemptHeap
 	reverse    attemptHeap
@@ -66,8 +66,8 @@
 	q.byYieldEnd.remove(a)
 }
 
-// next returns the attempt to serve next: the one of the highest priority, but
-// first those that have given way for long enough.
+// next returns the attempt to dispatch next: one whose time of yielding has ended,
+// or else the one of the highest priority.
 func (q *rankQueue) next(now clock.Millis) *pendingAttempt {
 	if a := q.byYieldEnd.top(); a.yieldUntil <= now {
 		return a
@@ -75,11 +75,12 @@
 	return q.order.top()
 }
 
-// maxCredit bounds the dispatches that a rank can save up.
+// maxCredit limits the credit of a rank, in dispatches.
 const maxCredit = 2
 
-// queue holds the waiting attempts of one upstream. A rank earns credit for
-// each dispatch while it waits; a whole credit puts it before more urgent ranks.
+// queue holds the queued attempts of one upstream. While a rank has queued
+// attempts, each dispatch adds the rank's share to its credit. A credit of 1 or
+// more gives it precedence over more urgent ranks, and its dispatch costs 1.
 type queue struct {
 	ranks  rank.Table[rankQueue]
 	credit rank.Table[float64]
@@ -104,7 +105,8 @@
 	}
 }
 
-// takeNext removes the attempt to dispatch next. The queue must not be empty.
+// takeNext removes and returns the attempt to dispatch next. The queue must not be
+// empty.
 func (q *queue) takeNext(now clock.Millis, shares *rank.Table[float64]) *pendingAttempt {
 	chosen := q.nextRank()
 	for _, r := range rank.All() {
@@ -134,7 +136,7 @@
 	return first
 }
 
-// earliestDeadline returns the waiting attempt with the earliest deadline, or nil.
+// earliestDeadline returns the queued attempt with the earliest deadline, or nil.
 func (q *queue) earliestDeadline() *pendingAttempt {
 	var earliest *pendingAttempt
 	for _, r := range rank.All() {
--- a/pool/schedule.go
+++ b/pool/schedule.go
@@ -6,7 +6,8 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// schedule applies all that is due at one upstream, then dispatches what fits.
+// schedule handles what is due at one upstream: it expires attempts, dispatches
+// queued ones up to the limit and closes idle connections.
 func (m *Model) schedule(now clock.Millis, u *upstreamState, cmds []Cmd) []Cmd {
 	u.raiseLimit(now)
 	cmds = m.expireRunning(now, u, cmds)
@@ -34,8 +35,8 @@
 	return DispatchCmd{Request: a.req, NewConn: u.conns.acquire()}
 }
 
-// expireRunning returns attempts whose reply is overdue, and frees the slots
-// of those whose abort was never confirmed.
+// expireRunning returns and aborts attempts whose reply is overdue, and releases
+// the connections of those whose abort was not confirmed in time.
 func (m *Model) expireRunning(now clock.Millis, u *upstreamState, cmds []Cmd) []Cmd {
 	for u.running.Len() > 0 && u.running.top().expiresAt <= now {
 		a := u.running.top()
@@ -74,7 +75,7 @@
 	return cmds
 }
 
-// returnNotExecuted returns a queued attempt as not run.
+// returnNotExecuted removes an attempt from its queue and returns it as not executed.
 func (m *Model) returnNotExecuted(now clock.Millis, a *pendingAttempt, status attempt.Status, cmds []Cmd) []Cmd {
 	u := a.upstream
 	u.queue.remove(a)
--- a/pool/upstream_state.go
+++ b/pool/upstream_state.go
@@ -8,40 +8,42 @@
 	"lentillink.example/lentillink/quantile"
 )
 
-// never is later than every time at which something is due.
+// never is later than any scheduled time.
 const never = clock.Millis(math.MaxInt64)
 
 const (
-	// serviceQuantile is low, so that only work which almost surely misses its
-	// deadline is dropped.
+	// serviceQuantile is the quantile of the service times that decides whether an
+	// attempt can meet its deadline. It is low, so that only attempts that almost
+	// certainly miss it are dropped.
 	serviceQuantile = 0.1
 
-	// limitRecoveryMs is the time after which a shrunken limit grows by one connection.
+	// limitRecoveryMs is the time after which a lowered limit rises by one connection.
 	limitRecoveryMs = clock.Second
 
-	// refusalsBeforeBackoff is the number of successive refused connections that start a
-	// backoff. A single one usually means that the upstream is at its limit.
+	// refusalsBeforeBackoff is the number of consecutive refused connections that
+	// start a backoff. A single one usually means that the upstream has reached
+	// its connection limit.
 	refusalsBeforeBackoff              = 2
 	minBackoffMs          clock.Millis = 50
 	maxBackoffMs          clock.Millis = 2 * clock.Second
 	maxBackoffExp                      = 6
 )
 
-// upstreamState is the state of one upstream.
+// upstreamState is the queue, the connections and the limits of one upstream.
 type upstreamState struct {
 	id              string
 	configuredLimit int // as set by LimitMsg
-	effectiveLimit  int // at most limit; shrunk by refused connections
+	effectiveLimit  int // at most configuredLimit; lowered by refused connections
 	raiseLimitAt    clock.Millis
 	leaving         bool
-	refusals        int // successive refused connections
-	backoffs        int // successive backoffs
+	refusals        int // consecutive refused connections
+	backoffs        int // consecutive backoffs
 	backoffUntil    clock.Millis
 	queue           queue
 	running         attemptHeap
 	conns           connections
 	serviceTimes    quantile.Window
-	nextDueAt       clock.Millis // when something is due next
+	nextDueAt       clock.Millis // when schedule must be called next
 }
 
 func newUpstreamState(id string) *upstreamState {
@@ -53,8 +55,8 @@
 	}
 }
 
-// setLimit changes the configured limit. A shrunken effective limit does not
-// jump back up, because the upstream refused connections above it.
+// setLimit changes the configured limit. It does not raise an effective limit that
+// was lowered, because the upstream refused connections above it.
 func (u *upstreamState) setLimit(n int) {
 	n = max(n, 0)
 	if u.effectiveLimit < u.configuredLimit {
@@ -65,7 +67,9 @@
 	u.configuredLimit = n
 }
 
-// connRefused shrinks the limit to what the upstream has just accepted.
+// connRefused lowers the effective limit to the connections that the upstream
+// currently accepts. It starts a backoff after repeated refusals without any busy
+// connection.
 func (u *upstreamState) connRefused(now clock.Millis) {
 	u.effectiveLimit = min(u.effectiveLimit, max(u.conns.busy, 1))
 	u.raiseLimitAt = now + limitRecoveryMs
@@ -84,8 +88,8 @@
 	}
 }
 
-// hasCapacity reports whether an attempt may be dispatched. After a backoff a single
-// attempt probes the upstream.
+// hasCapacity reports whether an attempt may be dispatched. After a backoff only
+// one attempt may run, as a probe of the upstream.
 func (u *upstreamState) hasCapacity(now clock.Millis) bool {
 	if u.inBackoff(now) {
 		return false
@@ -99,13 +103,15 @@
 
 func (u *upstreamState) inBackoff(now clock.Millis) bool { return now < u.backoffUntil }
 
-// cannotMeetDeadline reports whether the attempt can no longer finish by its deadline.
+// cannotMeetDeadline reports whether a queued attempt would miss its deadline even
+// if it were dispatched now.
 func (u *upstreamState) cannotMeetDeadline(now clock.Millis, a *pendingAttempt) bool {
 	remaining := a.req.Deadline - now
 	return remaining <= 0 || remaining < u.serviceTimes.Estimate(now)
 }
 
-// rejectStatus returns the status of work that the upstream cannot take now.
+// rejectStatus reports whether the upstream accepts no attempts at all, and the
+// status with which they are returned.
 func (u *upstreamState) rejectStatus(now clock.Millis) (attempt.Status, bool) {
 	switch {
 	case u.leaving:
@@ -118,13 +124,13 @@
 	return attempt.OK, false
 }
 
-// drainMs estimates how long the queue takes, so that work that was shed does
-// not come back before there is room for it.
+// drainMs estimates how long it takes to drain the queue, so that attempts that
+// were shed are not retried before there is capacity for them.
 func (u *upstreamState) drainMs(now clock.Millis) clock.Millis {
 	return clock.Millis(u.queue.size) * u.serviceTimes.Estimate(now) / clock.Millis(max(u.effectiveLimit, 1))
 }
 
-// nextDue returns when the lane has to be pumped next if no message comes before.
+// nextDue returns when schedule must be called next if no message arrives before.
 func (u *upstreamState) nextDue(now, idleTimeoutMs clock.Millis) clock.Millis {
 	at := never
 	if a := u.queue.earliestDeadline(); a != nil {
@@ -142,7 +148,7 @@
 	return at
 }
 
-// maxOpen is the number of connections that may stay open.
+// maxOpen returns the number of connections that may stay open.
 func (u *upstreamState) maxOpen() int {
 	if u.leaving {
 		return 0
