--- a/order/fault_test.go
+++ b/order/fault_test.go
@@ -17,7 +17,7 @@
 	steps  = []string{stepClaim, stepRead, stepSeal, stepWrite, stepWriteListing, stepConfirm, stepSend, stepReply, stepRelease, stepConfirmRelease}
 	faults = []string{
 		faultNone, faultLost, faultDuplicated, faultDelayed, faultUnavailable, faultUnknownApplied, faultUnknownNotApplied,
-		faultUnknownAppliedLate, faultConflict, faultKillEntry, faultKillOwner, faultPauseEntry, faultPauseOwner, faultKillOwnerLateWrite, faultShedWithoutProof, faultFailedWithProof, faultReplyPastDeadline,
+		faultUnknownAppliedLate, faultConflict, faultKillEntry, faultKillOwner, faultPauseEntry, faultPauseOwner, faultKillOwnerLateWrite, faultShedWithoutProof, faultContradictoryReply, faultReplyPastDeadline,
 	}
 )
 
--- a/order/harness_store_test.go
+++ b/order/harness_store_test.go
@@ -37,7 +37,7 @@
 	case faultUnavailable:
 		reply.Kind = store.KindUnavailable
 		done(2)
-	case faultUnknownNotApplied, faultLost, faultShedWithoutProof, faultFailedWithProof, faultReplyPastDeadline:
+	case faultUnknownNotApplied, faultLost, faultShedWithoutProof, faultContradictoryReply, faultReplyPastDeadline:
 		reply.Kind = store.KindUnknown
 		done(200)
 	case faultUnknownApplied, faultUnknownAppliedLate, faultKillOwnerLateWrite:
--- a/order/harness_test.go
+++ b/order/harness_test.go
@@ -44,7 +44,7 @@
 	faultPauseOwner         = "owner paused"
 	faultKillOwnerLateWrite = "owner killed, write applied late"
 	faultShedWithoutProof   = "shed without proof"
-	faultFailedWithProof    = "failed, contradictory proof"
+	faultContradictoryReply = "failed, reported as not executed"
 	faultReplyPastDeadline  = "reply after the deadline"
 )
 
@@ -287,7 +287,7 @@
 	switch fault {
 	case faultShedWithoutProof:
 		reply.Status, reply.Execution, copies = attempt.Shed, attempt.ExecutionUnknown, 1
-	case faultFailedWithProof:
+	case faultContradictoryReply:
 		reply.Status, reply.Execution, copies = attempt.Failed, attempt.NotExecuted, 1
 	case faultReplyPastDeadline:
 		after, copies = max(req.Deadline-h.now-vm.clockAhead, 0)+20, 1
--- a/order/load.go
+++ b/order/load.go
@@ -72,8 +72,8 @@
 func (p *partition) setHead(h Head, revision uint64) {
 	p.head, p.revision = h, revision
 	clear(p.headClaims)
-	for _, call := range h.Claims {
-		p.headClaims[call.ID] = call
+	for _, claim := range h.Claims {
+		p.headClaims[claim.ID] = claim
 	}
 }
 
@@ -120,8 +120,8 @@
 }
 
 func (p *partition) cacheSegment(number uint64, claims []Claim) {
-	for _, call := range claims {
-		p.segmentClaims[call.ID] = call
+	for _, claim := range claims {
+		p.segmentClaims[claim.ID] = claim
 	}
 	p.cachedSegments[number] = true
 }
