--- a/admission/credit_test.go
+++ b/admission/credit_test.go
@@ -45,6 +45,6 @@
 		t.Errorf("patient got %d%% of the queries, want at least nine tenths of its floor of 20%%", got)
 	}
 	if got := 100 * started.At(rank.Urgent) / total; got < 70 {
-		t.Errorf("urgent got %d%% of the queries, want the rest", got)
+		t.Errorf("urgent got %d%% of the queries, want at least 70%%", got)
 	}
 }
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -29,10 +29,11 @@
 // limit adapts the number of concurrent sub-requests of one service.
 //
 // It is adjusted once per interval, with a multiplicative decrease and an additive
-// increase. It decreases if the mean wait of some rank exceeds the target: carriers
-// serve ranks in order of priority, so queueing shows first in the least urgent
-// rank with running queries. Only queries admitted after the last decrease count,
-// because older ones waited behind the load that the decrease removed.
+// increase. It decreases if too many queries had refused sub-requests, or if the
+// mean wait of some rank exceeds the target: carriers serve ranks in order of
+// priority, so queueing shows first in the least urgent rank with running queries.
+// Only queries admitted after the last decrease count, because older ones waited
+// behind the load that the decrease removed.
 type limit struct {
 	current       float64
 	maximum       float64
--- a/admission/service.go
+++ b/admission/service.go
@@ -135,7 +135,7 @@
 // its floor goes first, then one with enough credit. The remaining capacity is lent
 // in order of urgency.
 func (s *service) nextRank(p preset.Preset) int {
-	first, credited := -1, -1
+	mostUrgent, credited := -1, -1
 	for _, r := range rank.All() {
 		queue := s.queues.Ref(r)
 		if queue.len() == 0 {
@@ -147,14 +147,14 @@
 		if credited < 0 && s.credit.At(r) >= s.limit.meanCost {
 			credited = int(r)
 		}
-		if first < 0 {
-			first = int(r)
+		if mostUrgent < 0 {
+			mostUrgent = int(r)
 		}
 	}
 	if credited >= 0 {
 		return credited
 	}
-	return first
+	return mostUrgent
 }
 
 func (s *service) belowFloor(r rank.Rank, p preset.Preset) bool {
