--- a/order/harness_test.go
+++ b/order/harness_test.go
@@ -116,10 +116,10 @@
 	violations      []string
 }
 
-func newHarness(fault func(step string) string) *harness {
+func newHarness(nextFault func(step string) string) *harness {
 	h := &harness{
 		now: start, vms: make(map[string]*testVM), entries: make(map[string]store.Entry),
-		runs: make(map[string]int), nextFault: fault,
+		runs: make(map[string]int), nextFault: nextFault,
 		releasedAt: make(map[order.Hash]clock.Millis), lastWriteSealed: make(map[*testVM]bool),
 	}
 	for _, name := range []string{"entry", "owner", "other"} {
--- a/order/partition.go
+++ b/order/partition.go
@@ -115,10 +115,10 @@
 	m.setPartitionTimer(p, now+storeCallTimeoutMs)
 }
 
-func (m *Model) issueCall(p *partition, r store.Request, collects bool) {
+func (m *Model) issueCall(p *partition, r store.Request, garbageCollection bool) {
 	m.lastStoreTag++
 	r.Owner, r.Tag = "order", m.lastStoreTag
-	m.storeCalls[m.lastStoreTag] = storeCall{partition: p.index, garbageCollection: collects}
+	m.storeCalls[m.lastStoreTag] = storeCall{partition: p.index, garbageCollection: garbageCollection}
 	m.emit(StoreCmd{Request: r})
 }
 
