--- a/cmd/lentillink/answer.go
+++ b/cmd/lentillink/answer.go
@@ -25,7 +25,7 @@
 }
 
 // printOrigin prints where an answer was made, and why it is not whole.
-func printOrigin(tw *tabwriter.Writer, o entry.Origin) {
+func printOrigin(tw *tabwriter.Writer, o entry.AnswerInfo) {
 	pair(tw, "preset", fmt.Sprintf("%s, revision %d", o.Preset, o.Revision))
 	pair(tw, "vm", o.VM)
 	pair(tw, "took", fmt.Sprintf("%d ms", o.TookMs))
--- a/cmd/lentillink/daemon_test.go
+++ b/cmd/lentillink/daemon_test.go
@@ -140,7 +140,7 @@
 	for id, answers := range l.orders {
 		n, notRun, ran := p.runs(id), true, false
 		for _, a := range answers {
-			notRun = notRun && a.Ran == attempt.NotExecuted
+			notRun = notRun && a.Execution == attempt.NotExecuted
 			ran = ran || a.Outcome == "done"
 		}
 		if n > 1 || notRun && n > 0 || ran && n != 1 {
--- a/cmd/lentillink/order.go
+++ b/cmd/lentillink/order.go
@@ -49,10 +49,10 @@
 		return printJSON(a)
 	}
 	return table(os.Stdout, func(tw *tabwriter.Writer) {
-		printOutcome(tw, a.ID, a.Outcome, a.Ran)
+		printOutcome(tw, a.ID, a.Outcome, a.Execution)
 		if len(a.Body) > 0 {
 			pair(tw, "body", string(a.Body))
 		}
-		printOrigin(tw, a.Origin)
+		printOrigin(tw, a.AnswerInfo)
 	})
 }
--- a/cmd/lentillink/preset.go
+++ b/cmd/lentillink/preset.go
@@ -241,7 +241,7 @@
 		if err != nil {
 			return &exitError{code: exitChange, err: err}
 		}
-		confirmed, missing := 0, append([]string{}, doc.Silent...)
+		confirmed, missing := 0, append([]string{}, doc.Unresponsive...)
 		for _, v := range doc.VMs {
 			if v.Revision >= revision {
 				confirmed++
--- a/cmd/lentillink/query.go
+++ b/cmd/lentillink/query.go
@@ -52,13 +52,13 @@
 		return printJSON(a)
 	}
 	return table(os.Stdout, func(tw *tabwriter.Writer) {
-		printOutcome(tw, a.ID, a.Outcome, a.Ran)
+		printOutcome(tw, a.ID, a.Outcome, a.Execution)
 		pair(tw, "snapshot", a.Snapshot)
 		pair(tw, "coverage", fmt.Sprintf("%d of %d keys", a.Coverage.Covered, a.Coverage.Expected))
 		for _, gap := range a.Coverage.Missing {
 			pair(tw, "missing", fmt.Sprintf("keys %d to %d", gap.From, gap.To-1))
 		}
 		pair(tw, "rows", len(a.Rows))
-		printOrigin(tw, a.Origin)
+		printOrigin(tw, a.AnswerInfo)
 	})
 }
--- a/cmd/lentillink/status.go
+++ b/cmd/lentillink/status.go
@@ -44,7 +44,7 @@
 		_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n",
 			v.VM, v.DataCentre, ready, v.Preset, v.Revision, running, queued, v.OpenOrders)
 	}
-	for _, id := range doc.Silent {
+	for _, id := range doc.Unresponsive {
 		_, _ = fmt.Fprintf(tw, "%s\t?\tno answer\t?\t?\t?\t?\t?\n", id)
 	}
 }
--- a/cmd/lentillink/timeline.go
+++ b/cmd/lentillink/timeline.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, after, err
 	}
-	for _, id := range doc.Silent {
+	for _, id := range doc.Unresponsive {
 		fmt.Fprintln(os.Stderr, "lentillink: no events from", id+": it did not answer")
 	}
 	if n := len(doc.Events); n > 0 {
--- a/cmd/lentillinkd/gateway.go
+++ b/cmd/lentillinkd/gateway.go
@@ -57,21 +57,21 @@
 	st := platform.NewStore(s.Store)
 	defer st.Close()
 	g := gateway.New(
-		gateway.WithFeed(st, platform.Translator{}), gateway.WithHeaders(platform.Headers()),
+		gateway.WithPrefixWatcher(st, platform.ItemDecoder{}), gateway.WithHeaders(platform.Headers()),
 		gateway.WithLeases(st), gateway.WithStore(st), gateway.WithSelf(relay.VM{
 			ID: s.VM, Address: s.Peers, DataCentre: s.DataCentre, CPUMilli: int(s.CPUShare * milli),
 		}),
-		gateway.WithAddresses(s.Callers, s.Ready), gateway.WithReadyPath(platform.ReadyPath), gateway.WithMetrics(s.Metrics),
-		gateway.WithLogger(logger), gateway.WithLimits(reloadable(s)), gateway.WithSeed(rand.Uint64()), gateway.WithPace(watchPace(s)),
-		gateway.WithRelay(relay.WithVMs(s.ExpectedVMs)),
+		gateway.WithAddresses(s.Callers, s.Ready), gateway.WithReadyPath(platform.ReadyPath), gateway.WithMetricsAddress(s.Metrics),
+		gateway.WithLogger(logger), gateway.WithLimits(reloadable(s)), gateway.WithSeed(rand.Uint64()), gateway.WithWatchInterval(watchPace(s)),
+		gateway.WithRelayOptions(relay.WithVMs(s.ExpectedVMs)),
 	)
 	followEnd := make(chan error, 1)
 	follow, stopFollow := context.WithCancel(ctx)
 	go func() {
-		followEnd <- settings.Follow(follow, path, hup, func(next *settings.Gateway) {
+		followEnd <- settings.Watch(follow, path, hup, func(next *settings.Gateway) {
 			_ = logger.Log("event", "settings_reloaded", "restart_needed", restartNeeded(s, next))
 			st.SetAddress(next.Store)
-			g.Reload(reloadable(next))
+			g.SetLimits(reloadable(next))
 		}, func(err error) { _ = logger.Log("event", "settings_refused", "file", path, "err", err) })
 	}()
 	err = g.Run(ctx)
@@ -98,8 +98,8 @@
 // reloadable returns the settings that apply while the VM runs.
 func reloadable(s *settings.Gateway) gateway.Limits {
 	return gateway.Limits{
-		Grace:  clock.Millis(s.GraceSeconds) * clock.Second,
-		Budget: relay.BudgetMsg{Ratio: s.Retry.Ratio, Extra: s.Retry.Extra, WindowMs: clock.Millis(s.Retry.WindowSeconds) * clock.Second},
+		GracePeriod: clock.Millis(s.GraceSeconds) * clock.Second,
+		Budget:      relay.BudgetMsg{Ratio: s.Retry.Ratio, Extra: s.Retry.Extra, WindowMs: clock.Millis(s.Retry.WindowSeconds) * clock.Second},
 	}
 }
 
--- a/cmd/lentillinkd/main.go
+++ b/cmd/lentillinkd/main.go
@@ -73,7 +73,7 @@
 		httpup.WithIdleTimeout(timeouts.IdleConnectionMs),
 	)
 	defer ups.Close()
-	v, err := entry.New(s, entry.WithStore(st), entry.WithRoster(list), entry.WithUpstreams(ups),
+	v, err := entry.New(s, entry.WithStore(st), entry.WithVMList(list), entry.WithUpstreams(ups),
 		entry.WithLogger(logger), entry.WithDrainLimit(drainLimit))
 	if err != nil {
 		return err
--- a/demo/check.go
+++ b/demo/check.go
@@ -71,7 +71,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	said, seen := c.notRun[o.ID]
-	c.notRun[o.ID] = a.Ran == attempt.NotExecuted && (said || !seen)
+	c.notRun[o.ID] = a.Execution == attempt.NotExecuted && (said || !seen)
 	if a.Outcome == "done" {
 		c.done[o.ID] = true
 	}
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -105,7 +105,7 @@
 	st, list := httpstore.New(doc.Store), httproster.New(doc.VMList)
 	ups := httpup.New(httpup.WithServices(cfg.Services()...))
 	opts := append([]entry.Option{
-		entry.WithStore(st), entry.WithRoster(list), entry.WithUpstreams(ups), entry.WithLogger(f.logger),
+		entry.WithStore(st), entry.WithVMList(list), entry.WithUpstreams(ups), entry.WithLogger(f.logger),
 		entry.WithListeners(peers, callers), entry.WithBalancerWait(200),
 		entry.WithMeshOptions(peer.WithDialer(socks.dial)),
 	}, f.options...)
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -19,9 +19,9 @@
 	Missing  []coverage.Range `json:"missing"`
 }
 
-// Origin says under which preset and on which VM an answer was made, and why
+// AnswerInfo says under which preset and on which VM an answer was made, and why
 // it is not whole.
-type Origin struct {
+type AnswerInfo struct {
 	Preset       string       `json:"preset"`
 	Revision     uint64       `json:"revision"`
 	VM           string       `json:"vm"`
@@ -32,37 +32,37 @@
 
 // QueryDocument is the answer to POST /v1/query.
 type QueryDocument struct {
-	ID       string            `json:"id"`
-	Outcome  string            `json:"outcome"`
-	Ran      attempt.Execution `json:"ran"`
-	Snapshot uint64            `json:"snapshot"`
-	Coverage CoverageDocument  `json:"coverage"`
-	Rows     []coverage.Row    `json:"rows"`
-	Origin
+	ID        string            `json:"id"`
+	Outcome   string            `json:"outcome"`
+	Execution attempt.Execution `json:"ran"`
+	Snapshot  uint64            `json:"snapshot"`
+	Coverage  CoverageDocument  `json:"coverage"`
+	Rows      []coverage.Row    `json:"rows"`
+	AnswerInfo
 }
 
 // OrderDocument is the answer to POST /v1/order.
 type OrderDocument struct {
-	ID      string            `json:"id"`
-	Outcome string            `json:"outcome"`
-	Ran     attempt.Execution `json:"ran"`
-	Body    json.RawMessage   `json:"body,omitempty"`
-	Origin
+	ID        string            `json:"id"`
+	Outcome   string            `json:"outcome"`
+	Execution attempt.Execution `json:"ran"`
+	Body      json.RawMessage   `json:"body,omitempty"`
+	AnswerInfo
 }
 
 // ErrorDocument is the answer to a request that cannot be accepted.
 type ErrorDocument struct {
-	Error string            `json:"error"`
-	Field string            `json:"field,omitempty"`
-	Ran   attempt.Execution `json:"ran"`
+	Error     string            `json:"error"`
+	Field     string            `json:"field,omitempty"`
+	Execution attempt.Execution `json:"ran"`
 }
 
 func (v *VM) queryDocument(a vm.QueryAnswer) QueryDocument {
 	doc := QueryDocument{
-		ID: a.ID, Outcome: string(a.Outcome), Ran: a.Execution, Snapshot: a.Snapshot,
+		ID: a.ID, Outcome: string(a.Outcome), Execution: a.Execution, Snapshot: a.Snapshot,
 		Coverage: CoverageDocument{Expected: a.Expected, Covered: a.Covered, Missing: a.Missing},
 		Rows:     a.Rows,
-		Origin: Origin{
+		AnswerInfo: AnswerInfo{
 			Preset: a.Preset, Revision: a.Revision, VM: v.self.ID, TookMs: a.TookMs,
 			Reason: a.Reason, RetryAfterMs: a.RetryAfterMs,
 		},
@@ -79,8 +79,8 @@
 
 func (v *VM) orderDocument(a vm.OrderAnswer) OrderDocument {
 	doc := OrderDocument{
-		ID: a.ID, Outcome: string(a.Outcome), Ran: a.Execution,
-		Origin: Origin{
+		ID: a.ID, Outcome: string(a.Outcome), Execution: a.Execution,
+		AnswerInfo: AnswerInfo{
 			Preset: a.Preset, Revision: a.Revision, VM: v.self.ID, TookMs: a.TookMs,
 			Reason: a.Reason, RetryAfterMs: a.RetryAfterMs,
 		},
--- a/entry/change.go
+++ b/entry/change.go
@@ -36,7 +36,7 @@
 	}
 	var known preset.Record
 	if err := v.view(func(core *vm.Core, _ clock.Millis) { known = core.Record() }); err != nil {
-		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: err.Error(), Ran: attempt.NotExecuted})
+		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: err.Error(), Execution: attempt.NotExecuted})
 		return
 	}
 	change.At = v.clock.Now()
--- a/entry/helper_test.go
+++ b/entry/helper_test.go
@@ -210,7 +210,7 @@
 	for id, answers := range l.answers {
 		n, notRun, ran := runs(f, id), true, false
 		for _, a := range answers {
-			notRun = notRun && a.Ran == attempt.NotExecuted
+			notRun = notRun && a.Execution == attempt.NotExecuted
 			ran = ran || a.Outcome == "done"
 			if a.ID != id {
 				t.Errorf("order %s received the answer to %s", id, a.ID)
--- a/entry/http.go
+++ b/entry/http.go
@@ -39,7 +39,7 @@
 		Handler: func(r *fasthttp.RequestCtx) {
 			h, ok := routes[string(r.Method())+" "+string(r.Path())]
 			if !ok {
-				writeJSON(r, fasthttp.StatusNotFound, ErrorDocument{Error: "no such method and path", Ran: attempt.NotExecuted})
+				writeJSON(r, fasthttp.StatusNotFound, ErrorDocument{Error: "no such method and path", Execution: attempt.NotExecuted})
 				return
 			}
 			h(r)
@@ -71,7 +71,7 @@
 			c.unread = true
 		}
 	}
-	writeJSON(r, fasthttp.StatusBadRequest, ErrorDocument{Error: text, Field: "body", Ran: attempt.NotExecuted})
+	writeJSON(r, fasthttp.StatusBadRequest, ErrorDocument{Error: text, Field: "body", Execution: attempt.NotExecuted})
 }
 
 func (v *VM) serveQuery(r *fasthttp.RequestCtx) {
@@ -95,7 +95,7 @@
 	}
 	a, ok := v.call(msg.CallID, msg).(vm.AnswerQueryCmd)
 	if !ok {
-		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: "the VM has stopped", Ran: attempt.ExecutionUnknown})
+		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: "the VM has stopped", Execution: attempt.ExecutionUnknown})
 		return
 	}
 	setRetryAfter(r, a.Answer.RetryAfterMs)
@@ -115,7 +115,7 @@
 	msg := vm.OrderMsg{CallID: v.calls.Add(1), ID: o.ID, Rank: rk, Service: o.Service, Group: o.Group, Body: o.Body}
 	a, ok := v.call(msg.CallID, msg).(vm.AnswerOrderCmd)
 	if !ok {
-		writeJSON(r, fasthttp.StatusBadGateway, ErrorDocument{Error: "the VM has stopped", Ran: attempt.ExecutionUnknown})
+		writeJSON(r, fasthttp.StatusBadGateway, ErrorDocument{Error: "the VM has stopped", Execution: attempt.ExecutionUnknown})
 		return
 	}
 	setRetryAfter(r, a.Answer.RetryAfterMs)
@@ -186,7 +186,7 @@
 	ready, reason := false, "stopped"
 	_ = v.view(func(core *vm.Core, _ clock.Millis) { ready, reason = core.Ready() })
 	if !ready {
-		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: reason, Ran: attempt.NotExecuted})
+		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: reason, Execution: attempt.NotExecuted})
 		return
 	}
 	r.SetBodyString("ready\n")
@@ -205,7 +205,7 @@
 }
 
 func writeInvalid(r *fasthttp.RequestCtx, err error) {
-	doc := ErrorDocument{Error: err.Error(), Ran: attempt.NotExecuted}
+	doc := ErrorDocument{Error: err.Error(), Execution: attempt.NotExecuted}
 	var failed *Error
 	if errors.As(err, &failed) {
 		doc.Field = failed.Field()
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -15,14 +15,14 @@
 
 // FleetStatus is the answer to GET /v1/status?fleet=1.
 type FleetStatus struct {
-	VMs    []vm.Status `json:"vms"`
-	Silent []string    `json:"silent"` // members that did not answer in time
+	VMs          []vm.Status `json:"vms"`
+	Unresponsive []string    `json:"silent"` // members that did not answer in time
 }
 
 // EventsDocument is the answer to GET /v1/events.
 type EventsDocument struct {
-	Events []timeline.Event `json:"events"`
-	Silent []string         `json:"silent"`
+	Events       []timeline.Event `json:"events"`
+	Unresponsive []string         `json:"silent"`
 }
 
 // serveStatus reports this VM, or with fleet=1 all VMs.
@@ -37,9 +37,9 @@
 		return
 	}
 	others, silent := askMembers[vm.Status](r, v, own.Members, vm.AdminStatus, nil)
-	doc := FleetStatus{VMs: append(others, own), Silent: append([]string{}, silent...)}
+	doc := FleetStatus{VMs: append(others, own), Unresponsive: append([]string{}, silent...)}
 	slices.SortFunc(doc.VMs, func(a, b vm.Status) int { return strings.Compare(a.VM, b.VM) })
-	slices.Sort(doc.Silent)
+	slices.Sort(doc.Unresponsive)
 	writeJSON(r, fasthttp.StatusOK, doc)
 }
 
@@ -57,7 +57,7 @@
 		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: err.Error()})
 		return
 	}
-	doc := EventsDocument{Events: own, Silent: []string{}}
+	doc := EventsDocument{Events: own, Unresponsive: []string{}}
 	if stringArg(r, "fleet") == "1" {
 		payload, err := json.Marshal(f)
 		if err != nil {
@@ -66,7 +66,7 @@
 		}
 		others, silent := askMembers[[]timeline.Event](r, v, status.Members, vm.AdminEvents, payload)
 		doc.Events = timeline.Merge(append(others, own)...)
-		doc.Silent = append(doc.Silent, silent...)
+		doc.Unresponsive = append(doc.Unresponsive, silent...)
 	}
 	if doc.Events == nil {
 		doc.Events = []timeline.Event{}
@@ -110,7 +110,7 @@
 		}
 	})
 	if err != nil || doc == nil {
-		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: "no preset record yet", Ran: attempt.NotExecuted})
+		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: "no preset record yet", Execution: attempt.NotExecuted})
 		return
 	}
 	writeJSON(r, fasthttp.StatusOK, doc)
--- a/entry/options.go
+++ b/entry/options.go
@@ -26,8 +26,8 @@
 // WithStore sets the configuration store.
 func WithStore(s store.Store) Option { return func(v *VM) { v.store = s } }
 
-// WithRoster sets the VM list.
-func WithRoster(l roster.List) Option { return func(v *VM) { v.roster = l } }
+// WithVMList sets the VM list.
+func WithVMList(l roster.List) Option { return func(v *VM) { v.roster = l } }
 
 // WithUpstreams sets the client of the upstreams.
 func WithUpstreams(c upstream.Client) Option { return func(v *VM) { v.upstreams = c } }
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -70,7 +70,7 @@
 		var a entry.OrderDocument
 		status, head := postJSON(t, f.Address(1), "/v1/order", o, &a)
 		took := time.Since(begin)
-		if a.Outcome != "refused" || a.Ran != attempt.NotExecuted || status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
+		if a.Outcome != "refused" || a.Execution != attempt.NotExecuted || status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 			t.Errorf("%s: got %d %+v, want 503, ran: no and Retry-After", tt.preset, status, a)
 		}
 		if took < tt.least {
--- a/entry/perform.go
+++ b/entry/perform.go
@@ -25,7 +25,7 @@
 	case vm.AbortCmd:
 		go v.abort(io, m)
 	case vm.ConnectionLimitCmd:
-		v.upstreams.SetConnections(m.Upstream, m.Connections)
+		v.upstreams.SetConnectionLimit(m.Upstream, m.Connections)
 	case vm.PollLoadCmd:
 		go v.pollLoad(io, m.Upstream)
 	case vm.StoreCmd:
@@ -71,17 +71,17 @@
 
 // callStore performs one call and turns its error into a kind.
 func callStore(ctx context.Context, s store.Store, req store.Request) store.Reply {
-	reply := store.Reply{Owner: req.Owner, Tag: req.Tag, Op: req.Op}
+	reply := store.Reply{Requester: req.Requester, Tag: req.Tag, Op: req.Op}
 	var err error
 	switch req.Op {
 	case store.OpGet:
 		reply.Entry, err = s.Get(ctx, req.Key)
 	case store.OpSwap:
-		reply.Entry, err = s.Swap(ctx, req.Key, req.Value, req.Expect)
+		reply.Entry, err = s.Swap(ctx, req.Key, req.Value, req.Revision)
 	case store.OpDelete:
-		err = s.Delete(ctx, req.Key, req.Expect)
+		err = s.Delete(ctx, req.Key, req.Revision)
 	case store.OpWatch:
-		reply.Entry, err = s.Watch(ctx, req.Key, req.Expect)
+		reply.Entry, err = s.Watch(ctx, req.Key, req.Revision)
 	}
 	reply.Kind = store.KindOf(err)
 	return reply
@@ -131,5 +131,5 @@
 	go h.v.post(vm.PeerUnsentMsg{To: to, Body: body})
 }
 
-// Down reports a broken stream.
-func (h meshHandler) Down(peer string) { h.v.post(vm.PeerDownMsg{VM: peer}) }
+// Disconnected reports a broken stream.
+func (h meshHandler) Disconnected(peer string) { h.v.post(vm.PeerDownMsg{VM: peer}) }
--- a/entry/query_test.go
+++ b/entry/query_test.go
@@ -84,7 +84,7 @@
 		if err := json.Unmarshal(data, &doc); err != nil {
 			t.Errorf("%s: answer %q: %v", tt.name, data, err)
 		}
-		if status != http.StatusBadRequest || doc.Field != tt.field || doc.Ran != attempt.NotExecuted || doc.Error == "" {
+		if status != http.StatusBadRequest || doc.Field != tt.field || doc.Execution != attempt.NotExecuted || doc.Error == "" {
 			t.Errorf("%s: got status %d, %+v, want 400 naming %s", tt.name, status, doc, tt.field)
 		}
 	}
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -130,11 +130,11 @@
 	before := received(f, "")
 	q, o := newQuery(), newOrder()
 	a, err := f.Caller(0).Query(q)
-	if err != nil || a.Outcome != "refused" || a.Ran != attempt.NotExecuted || a.RetryAfterMs == 0 {
+	if err != nil || a.Outcome != "refused" || a.Execution != attempt.NotExecuted || a.RetryAfterMs == 0 {
 		t.Errorf("query: got %+v, %v, want refused, ran: no", a, err)
 	}
 	oa, err := f.Caller(0).Order(o)
-	if err != nil || oa.Outcome != "refused" || oa.Ran != attempt.NotExecuted {
+	if err != nil || oa.Outcome != "refused" || oa.Execution != attempt.NotExecuted {
 		t.Errorf("order: got %+v, %v, want refused, ran: no", oa, err)
 	}
 	for _, id := range []string{q.ID, o.ID} {
--- a/examples/library/main.go
+++ b/examples/library/main.go
@@ -50,7 +50,7 @@
 	client := httpup.New(httpup.WithServices(cfg.Services()...))
 	defer client.Close()
 	vm, err := entry.New(cfg, entry.WithStore(&memory{entries: make(map[string]store.Entry)}), entry.WithUpstreams(client),
-		entry.WithRoster(fixed{roster.VM{ID: cfg.VM(), Address: peers.Addr().String(), DataCentre: cfg.DataCentre()}}),
+		entry.WithVMList(fixed{roster.VM{ID: cfg.VM(), Address: peers.Addr().String(), DataCentre: cfg.DataCentre()}}),
 		entry.WithListeners(peers, callers), entry.WithBalancerWait(0))
 	if err != nil {
 		return err
--- a/examples/order/main.go
+++ b/examples/order/main.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := fmt.Fprintf(out, "%s: ran %s\n", answer.Outcome, answer.Ran); err != nil {
+		if _, err := fmt.Fprintf(out, "%s: ran %s\n", answer.Outcome, answer.Execution); err != nil {
 			return err
 		}
 	}
--- a/exchange/client.go
+++ b/exchange/client.go
@@ -39,13 +39,13 @@
 
 // Call is one request to one upstream.
 type Call struct {
-	Attempt  uint64
-	Upstream string
-	Address  string
-	Request  *Request
-	LeftMs   clock.Millis
-	Fresh    bool // must not repeat: use a connection that is surely open
-	WithHead bool // the reply's headers are needed
+	Attempt       uint64
+	Upstream      string
+	Address       string
+	Request       *Request
+	RemainingMs   clock.Millis
+	NonIdempotent bool // must not repeat: use a connection that is surely open
+	NeedHeader    bool // the reply's headers are needed
 }
 
 // Result reports the end of a call: a Reply, or an Error.
@@ -190,7 +190,7 @@
 	h := c.host(call.Upstream, call.Address)
 	j := &job{call: call}
 	c.jobs[call.Attempt] = j
-	if cn := h.take(c.clock.Now(), call.Fresh); cn != nil {
+	if cn := h.take(c.clock.Now(), call.NonIdempotent); cn != nil {
 		j.conn = cn
 		cn.job = j
 		c.write(cn, j)
@@ -228,8 +228,8 @@
 	}
 }
 
-// Forget closes the idle connections to an upstream that is gone.
-func (c *Client) Forget(upstream string) {
+// CloseIdle closes the idle connections to an upstream that is gone.
+func (c *Client) CloseIdle(upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h := c.hosts[upstream]; h != nil {
@@ -314,7 +314,7 @@
 
 // write sends the request of j. The caller holds c.mu.
 func (c *Client) write(cn *conn, j *job) {
-	b := j.call.Request.appendTo(nil, c.headers, j.call.Upstream, j.call.LeftMs)
+	b := j.call.Request.appendTo(nil, c.headers, j.call.Upstream, j.call.RemainingMs)
 	j.sent = true
 	if len(b) <= inlineBytes {
 		n, err := cn.nc.Write(b)
--- a/exchange/client_test.go
+++ b/exchange/client_test.go
@@ -62,7 +62,7 @@
 	t.Helper()
 	r.next++
 	req := exchange.NewRequest(headers, http.MethodGet, "/p", "h", "id", nil, nil)
-	r.client.Send(exchange.Call{Attempt: r.next, Upstream: "u", Address: r.address, Request: req, LeftMs: 100, Fresh: fresh})
+	r.client.Send(exchange.Call{Attempt: r.next, Upstream: "u", Address: r.address, Request: req, RemainingMs: 100, NonIdempotent: fresh})
 	select {
 	case res := <-r.results:
 		return res
@@ -131,7 +131,7 @@
 		ended <- struct{}{}
 	})
 	req := exchange.NewRequest(headers, http.MethodGet, "/p", "h", "id", nil, nil)
-	r.client.Send(exchange.Call{Attempt: 1, Upstream: "u", Address: r.address, Request: req, LeftMs: 100})
+	r.client.Send(exchange.Call{Attempt: 1, Upstream: "u", Address: r.address, Request: req, RemainingMs: 100})
 	await(t, "begun", func() bool { return len(begun) == 1 })
 	r.client.Cancel(1)
 	await(t, "ended", func() bool { return len(ended) == 1 })
@@ -151,7 +151,7 @@
 	if err := lis.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if res := r.call(t, false); res.Err == nil || res.Err.Kind() != exchange.KindDial || res.Err.Kind().Sent() {
+	if res := r.call(t, false); res.Err == nil || res.Err.Kind() != exchange.KindDial || res.Err.Kind().MaybeSent() {
 		t.Errorf("got %v, want a dial failure that proves that nothing was sent", res.Err)
 	}
 }
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -25,12 +25,12 @@
 
 // Reply is a whole reply.
 type Reply struct {
-	Status  int
-	Receipt string
-	Body    []byte
-	NotRun  bool
-	Closing bool    // the upstream closes the connection
-	Fields  []Field // headers that concern more than one connection
+	Status    int
+	Receipt   string
+	Body      []byte
+	NotRun    bool
+	CloseConn bool    // the upstream closes the connection
+	Fields    []Field // headers that concern more than one connection
 }
 
 // conn is one connection to an upstream.
@@ -46,7 +46,7 @@
 func (cn *conn) good(now clock.Millis, fresh bool) bool {
 	idle := now - cn.usedAt
 	if fresh {
-		return idle < min(freshIdleMs, cn.idleMs) && httpcall.Quiet(cn.nc)
+		return idle < min(freshIdleMs, cn.idleMs) && httpcall.Reusable(cn.nc)
 	}
 	return idle < cn.idleMs
 }
@@ -101,9 +101,9 @@
 	case !sent:
 		kind = KindNotSent
 	case errors.Is(reason, errForeign):
-		kind = KindForeign
+		kind = KindWrongRequest
 	case errors.Is(reason, errNotWhole) && errors.Is(cause, io.ErrUnexpectedEOF):
-		kind = KindCut
+		kind = KindTruncated
 	case errors.Is(reason, errNotWhole):
 		kind = KindInvalid
 	}
@@ -119,17 +119,17 @@
 		return false
 	}
 	reply := Reply{
-		Status:  resp.StatusCode(),
-		Receipt: string(resp.Header.Peek(c.headers.Receipt)),
-		Body:    append([]byte(nil), resp.Body()...),
-		NotRun:  len(resp.Header.Peek(c.headers.NotRun)) > 0 || resp.StatusCode() == fasthttp.StatusMisdirectedRequest,
-		Closing: resp.ConnectionClose(),
+		Status:    resp.StatusCode(),
+		Receipt:   string(resp.Header.Peek(c.headers.Receipt)),
+		Body:      append([]byte(nil), resp.Body()...),
+		NotRun:    len(resp.Header.Peek(c.headers.NotRun)) > 0 || resp.StatusCode() == fasthttp.StatusMisdirectedRequest,
+		CloseConn: resp.ConnectionClose(),
 	}
-	if j.call.WithHead {
+	if j.call.NeedHeader {
 		reply.Fields = fieldsOf(resp)
 	}
 	const noLength = -2 // fasthttp's mark of a body that ends with its connection
-	keep := !reply.Closing && surplus == 0 && (resp.Header.ContentLength() > noLength || resp.SkipBody)
+	keep := !reply.CloseConn && surplus == 0 && (resp.Header.ContentLength() > noLength || resp.SkipBody)
 	c.mu.Lock()
 	keep = keep && j.wrote && c.hosts[cn.host.upstream] == cn.host
 	cn.job = nil
@@ -168,14 +168,14 @@
 	"trailer": true, "transfer-encoding": true, "upgrade": true, "proxy-authorization": true, "content-length": true,
 }
 
-// ConnectionOnly reports whether a header concerns one connection only, or the
+// IsHopByHop reports whether a header concerns one connection only, or the
 // length of its body, so that it is not passed on.
-func ConnectionOnly(name string) bool { return connectionOnly[strings.ToLower(name)] }
+func IsHopByHop(name string) bool { return connectionOnly[strings.ToLower(name)] }
 
 func fieldsOf(resp *fasthttp.Response) []Field {
 	var out []Field
 	for name, value := range resp.Header.All() {
-		if n := string(name); !ConnectionOnly(n) {
+		if n := string(name); !IsHopByHop(n) {
 			out = append(out, Field{Name: n, Value: string(value)})
 		}
 	}
--- a/exchange/error.go
+++ b/exchange/error.go
@@ -7,12 +7,12 @@
 
 // KindNotSent and KindDial prove that no byte of the request left.
 const (
-	KindNotSent Kind = iota // the connection was closed before the first byte
-	KindDial                // no connection could be opened
-	KindBroken              // the connection broke before a reply began
-	KindCut                 // the reply ended early
-	KindForeign             // the reply belongs to another request
-	KindInvalid             // the bytes are no reply
+	KindNotSent      Kind = iota // the connection was closed before the first byte
+	KindDial                     // no connection could be opened
+	KindBroken                   // the connection broke before a reply began
+	KindTruncated                // the reply ended early
+	KindWrongRequest             // the reply belongs to another request
+	KindInvalid                  // the bytes are no reply
 )
 
 var kindNames = [...]string{"not_sent", "dial", "broken", "cut", "foreign", "invalid"}
@@ -25,8 +25,8 @@
 	return "unknown"
 }
 
-// Sent reports whether a byte of the request may have left.
-func (k Kind) Sent() bool { return k > KindDial }
+// MaybeSent reports whether a byte of the request may have left.
+func (k Kind) MaybeSent() bool { return k > KindDial }
 
 // Error reports an exchange without a whole reply.
 type Error struct {
--- a/exchange/options.go
+++ b/exchange/options.go
@@ -11,8 +11,8 @@
 // WithConnectTimeout bounds the opening of a connection.
 func WithConnectTimeout(d clock.Millis) Option { return func(c *Client) { c.connectTimeout = d } }
 
-// WithReplyBytes bounds the body of a reply.
-func WithReplyBytes(n int) Option { return func(c *Client) { c.replyBytes = n } }
+// WithMaxReplyBytes bounds the body of a reply.
+func WithMaxReplyBytes(n int) Option { return func(c *Client) { c.replyBytes = n } }
 
 // WithClock sets the clock that measures idle times.
 func WithClock(cl clock.Clock) Option { return func(c *Client) { c.clock = cl } }
--- a/exchange/request.go
+++ b/exchange/request.go
@@ -53,8 +53,10 @@
 	}
 }
 
-// Handed returns a request that another VM has prepared with NewRequest.
-func Handed(id string, head, body []byte) *Request { return &Request{id: id, head: head, body: body} }
+// NewDelegatedRequest returns a request that another VM has prepared with NewRequest.
+func NewDelegatedRequest(id string, head, body []byte) *Request {
+	return &Request{id: id, head: head, body: body}
+}
 
 // Head returns the request line and the headers. The caller must not change it.
 func (r *Request) Head() []byte { return r.head }
--- a/experiment/capacity_order.go
+++ b/experiment/capacity_order.go
@@ -107,11 +107,11 @@
 }
 
 func (c *claimRig) call(r store.Request) store.Reply {
-	reply := store.Reply{Owner: r.Owner, Tag: r.Tag, Op: r.Op, Kind: store.KindOK}
+	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op, Kind: store.KindOK}
 	switch {
 	case r.Op == store.OpGet:
 		c.reads++
-	case r.Expect != c.entries[r.Key].Revision:
+	case r.Revision != c.entries[r.Key].Revision:
 		c.writes++
 		reply.Kind = store.KindConflict
 		return reply
--- a/experiment/capacity_query.go
+++ b/experiment/capacity_query.go
@@ -52,7 +52,7 @@
 	}
 	book := upstream.New(upstream.WithUpstreams(list), upstream.WithSeed(seed))
 	for _, u := range list {
-		book.Observe(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: rig.held})
+		book.RecordReply(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: rig.held})
 	}
 	for i, g := range svc.Groups {
 		from := uint32(i * capacityKeys)
--- a/experiment/capacity_table.go
+++ b/experiment/capacity_table.go
@@ -14,7 +14,7 @@
 func (c *capacityCosts) tables(r *Report, m meter, seed uint64) {
 	for _, n := range []int{1000, int(targetUpstreams)} {
 		ups, _ := capacityUpstreams(n / 2)
-		grew, _ := grown(func() *upstream.Book {
+		grew, _ := grown(func() *upstream.Balancer {
 			return upstream.New(upstream.WithUpstreams(ups), upstream.WithSeed(seed))
 		})
 		c.bookBytes = grew / float64(n)
--- a/experiment/kv.go
+++ b/experiment/kv.go
@@ -46,16 +46,16 @@
 // Call performs r and calls done, which may never happen if the answer is lost.
 func (k *KV) Call(caller *Node, r store.Request, done func(store.Reply)) {
 	k.count(r.Op)
-	reply := store.Reply{Owner: r.Owner, Tag: r.Tag, Op: r.Op}
+	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
 	k.loop.After(k.delay(), func() {
 		if k.Down || k.Unreachable != nil && k.Unreachable(caller) {
 			reply.Kind = store.KindUnavailable
 			k.loop.After(storeMs, func() { done(reply) })
 			return
 		}
-		if r.Op == store.OpWatch && k.entry.Revision <= r.Expect {
-			k.watches = append(k.watches, waiting{r.Expect, r.Tag, func(reply store.Reply) {
-				reply.Owner, reply.Tag, reply.Op = r.Owner, r.Tag, r.Op
+		if r.Op == store.OpWatch && k.entry.Revision <= r.Revision {
+			k.watches = append(k.watches, waiting{r.Revision, r.Tag, func(reply store.Reply) {
+				reply.Requester, reply.Tag, reply.Op = r.Requester, r.Tag, r.Op
 				k.answer(reply, done)
 			}})
 			return
@@ -69,7 +69,7 @@
 	if r.Op != store.OpSwap {
 		return store.KindOK, k.entry
 	}
-	if r.Expect != k.entry.Revision && !k.Unconditional {
+	if r.Revision != k.entry.Revision && !k.Unconditional {
 		return store.KindConflict, store.Entry{}
 	}
 	// The store's revision moves by more than one, as if it counted all keys.
--- a/experiment/matrix_fault_upstream.go
+++ b/experiment/matrix_fault_upstream.go
@@ -139,7 +139,7 @@
 	heal := c.faults.load.add(func(of upstream.ID, load upstream.Load) upstream.Load {
 		if string(of) == id {
 			s.effects++
-			load = upstream.Load{Healthy: true, Held: []uint64{1, 99}}
+			load = upstream.Load{Healthy: true, HeldVersions: []uint64{1, 99}}
 		}
 		return load
 	})
--- a/experiment/orders_store.go
+++ b/experiment/orders_store.go
@@ -35,7 +35,7 @@
 	if r.Op == store.OpSwap {
 		s.writes++
 	}
-	reply := store.Reply{Owner: r.Owner, Tag: r.Tag, Op: r.Op}
+	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
 	if s.loop.Now() < s.downUntil {
 		s.refuse(reply, done)
 		return
@@ -81,7 +81,7 @@
 func (s *orderStore) apply(r store.Request, reply *store.Reply) {
 	entry := s.entries[r.Key]
 	entry.Key = r.Key
-	if r.Op != store.OpGet && entry.Revision != r.Expect {
+	if r.Op != store.OpGet && entry.Revision != r.Revision {
 		reply.Kind = store.KindConflict
 		return
 	}
--- a/experiment/querysystem.go
+++ b/experiment/querysystem.go
@@ -39,7 +39,7 @@
 type querySystem struct {
 	loop      *Loop
 	rng       *rand.Rand
-	book      *upstream.Book
+	book      *upstream.Balancer
 	model     *query.Model
 	upstreams [][]*Upstream // by group and replica
 	carriers  map[string]*queryCarrier
--- a/experiment/tier.go
+++ b/experiment/tier.go
@@ -103,7 +103,7 @@
 		for r := range t.Config.Replicas {
 			id := upstream.ID(fmt.Sprintf("search/%s/%d", name, r))
 			group.Replicas = append(group.Replicas, upstream.Upstream{
-				ID: id, Service: "search", Group: name, Connections: t.Config.Connections, ConnectMs: tierOpenMs,
+				ID: id, Service: "search", Group: name, ConnectionLimit: t.Config.Connections, ConnectMs: tierOpenMs,
 			})
 			up := NewUpstream(t.Loop, rand.New(rand.NewPCG(t.Config.Seed, uint64(1000+g*10+r))), keys)
 			up.MedianMs = t.Config.MedianMs
@@ -277,7 +277,7 @@
 			return
 		}
 		up := t.Upstreams[string(id)]
-		load := upstream.Load{Healthy: true, Leaving: up.Leaving, Held: up.Held}
+		load := upstream.Load{Healthy: true, Leaving: up.Leaving, HeldVersions: up.Held}
 		n.update(vm.LoadMsg{Upstream: id, OK: !up.Dead, Load: t.Config.Hooks.load(id, load)})
 	})
 }
--- a/experiment/tier_hooks.go
+++ b/experiment/tier_hooks.go
@@ -78,7 +78,7 @@
 		for r := range t.Config.Replicas {
 			id := upstream.ID(fmt.Sprintf("orders/%s/%d", group.Name, r))
 			group.Replicas = append(group.Replicas, upstream.Upstream{
-				ID: id, Service: svc.Name, Group: group.Name, Connections: t.Config.Connections, ConnectMs: tierOpenMs,
+				ID: id, Service: svc.Name, Group: group.Name, ConnectionLimit: t.Config.Connections, ConnectMs: tierOpenMs,
 			})
 			up := NewUpstream(t.Loop, rand.New(rand.NewPCG(t.Config.Seed, uint64(5000+g*10+r))), coverage.Range{})
 			up.MedianMs, up.Ranges, up.Held = t.Config.MedianMs, nil, nil
--- a/experiment/tier_store.go
+++ b/experiment/tier_store.go
@@ -31,7 +31,7 @@
 
 // Call performs r and calls done with its reply 2 to 5 ms later.
 func (s *TierStore) Call(r store.Request, done func(store.Reply)) {
-	reply := store.Reply{Owner: r.Owner, Tag: r.Tag, Op: r.Op}
+	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
 	s.loop.After(s.half(), func() {
 		if s.Down {
 			s.Failed++
@@ -39,7 +39,7 @@
 			s.loop.After(s.half(), func() { done(reply) })
 			return
 		}
-		if e := s.entries[r.Key]; r.Op == store.OpWatch && e.Revision <= r.Expect {
+		if e := s.entries[r.Key]; r.Op == store.OpWatch && e.Revision <= r.Revision {
 			s.watches[r.Key] = append(s.watches[r.Key], func(e store.Entry) {
 				reply.Entry = e
 				s.loop.After(s.half(), func() { done(reply) })
@@ -61,7 +61,7 @@
 	switch r.Op {
 	case store.OpSwap:
 		s.Writes++
-		if old.Revision != r.Expect {
+		if old.Revision != r.Revision {
 			return store.KindConflict, store.Entry{}
 		}
 		e := store.Entry{Key: r.Key, Value: r.Value, Revision: old.Revision + 1}
@@ -74,7 +74,7 @@
 		return store.KindOK, e
 	case store.OpDelete:
 		s.Writes++
-		if old.Revision != r.Expect {
+		if old.Revision != r.Revision {
 			return store.KindConflict, store.Entry{}
 		}
 		delete(s.entries, r.Key)
--- a/fleet/storesync.go
+++ b/fleet/storesync.go
@@ -80,9 +80,9 @@
 func (m *Model) startCall(now clock.Millis, c *storeCall, op store.Op) {
 	m.store.lastTag++
 	c.tag, c.sentAt = m.store.lastTag, now
-	req := store.Request{Owner: "fleet", Tag: c.tag, Op: op, Key: preset.StoreKey}
+	req := store.Request{Requester: "fleet", Tag: c.tag, Op: op, Key: preset.StoreKey}
 	if op == store.OpWatch {
-		req.Expect = m.store.entryRevision
+		req.Revision = m.store.entryRevision
 	}
 	m.emit(StoreCmd{req})
 }
@@ -173,7 +173,7 @@
 	m.store.lastTag++
 	m.store.writeTag = m.store.lastTag
 	m.emit(StoreCmd{store.Request{
-		Owner: "fleet", Tag: m.store.lastTag, Op: store.OpSwap, Key: preset.StoreKey, Value: value, Expect: expect,
+		Requester: "fleet", Tag: m.store.lastTag, Op: store.OpSwap, Key: preset.StoreKey, Value: value, Revision: expect,
 	}})
 }
 
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -35,7 +35,7 @@
 		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeaderBytes,
 		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: quietLog(),
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-			way, _ := socket.RoundTrip(nc)
+			way, _ := socket.RoundTripTime(nc)
 			return context.WithValue(ctx, callerKey{}, &callerConn{wayMs: way})
 		},
 	}
@@ -179,7 +179,7 @@
 	}
 	var out []exchange.Field
 	for name, values := range h {
-		if dropped[name] || exchange.ConnectionOnly(name) || g.own(name) {
+		if dropped[name] || exchange.IsHopByHop(name) || g.own(name) {
 			continue
 		}
 		for _, v := range values {
@@ -224,7 +224,7 @@
 	case relay.Gathered:
 		h["Content-Type"] = nil
 		h[g.headers.Receipts] = []string{strings.Join(a.Receipts, ", ")}
-		h[g.headers.Missing] = []string{strconv.Itoa(a.Missing)}
+		h[g.headers.MissingShards] = []string{strconv.Itoa(a.Missing)}
 		h.Set("Content-Length", strconv.Itoa(len(a.Body)))
 		w.WriteHeader(http.StatusOK)
 		_, _ = w.Write(a.Body)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -26,8 +26,8 @@
 
 // Gateway runs one VM.
 type Gateway struct {
-	feed         store.Feed
-	translator   Translator
+	feed         store.PrefixWatcher
+	translator   ItemDecoder
 	leases       store.Leases
 	store        store.Store
 	self         relay.VM
@@ -88,14 +88,14 @@
 // New returns a Gateway.
 func New(opts ...Option) *Gateway {
 	g := &Gateway{
-		logger: log.NewNopLogger(), clock: clock.NewMonotonic(), limits: Limits{Grace: defaultGraceMs}, readyPath: "/ready",
+		logger: log.NewNopLogger(), clock: clock.NewMonotonic(), limits: Limits{GracePeriod: defaultGraceMs}, readyPath: "/ready",
 		inbox: make(chan item, inboxLen), stopped: make(chan struct{}), ends: make(chan error, endsLen),
 		waiters: make(map[uint64]*call), handed: make(map[handedKey]uint64), vms: make(map[string]relay.VM),
 	}
 	for _, opt := range opts {
 		opt(g)
 	}
-	g.graceMs.Store(int64(g.limits.Grace))
+	g.graceMs.Store(int64(g.limits.GracePeriod))
 	g.core = relay.New(append([]relay.Option{relay.WithSeed(g.seed), relay.WithSelf(g.self.ID, g.self.DataCentre), relay.WithBudget(g.limits.Budget)}, g.relayOptions...)...)
 	shipped := preset.GatewayDefault()
 	g.presets.Store(&shipped)
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -7,12 +7,12 @@
 
 // Limits can change while the VM runs.
 type Limits struct {
-	Grace  clock.Millis // time between the order to stop and the kill
-	Budget relay.BudgetMsg
+	GracePeriod clock.Millis // time between the order to stop and the kill
+	Budget      relay.BudgetMsg
 }
 
-// Reload puts other limits in force.
-func (g *Gateway) Reload(l Limits) {
-	g.graceMs.Store(int64(l.Grace))
+// SetLimits puts other limits in force.
+func (g *Gateway) SetLimits(l Limits) {
+	g.graceMs.Store(int64(l.GracePeriod))
 	g.post(item{relay: l.Budget})
 }
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -77,12 +77,12 @@
 // resultMsg turns the end of an exchange into a message.
 func resultMsg(r exchange.Result) relay.Msg {
 	if r.Err != nil {
-		return relay.AttemptFailedMsg{Attempt: r.Attempt, NotSent: !r.Err.Kind().Sent(), Cause: r.Err.Kind().String()}
+		return relay.AttemptFailedMsg{Attempt: r.Attempt, NotSent: !r.Err.Kind().MaybeSent(), Cause: r.Err.Kind().String()}
 	}
 	rep := r.Reply
 	return relay.ReplyMsg{Attempt: r.Attempt, Reply: relay.Reply{
 		Status: rep.Status, Receipt: rep.Receipt, Body: rep.Body, NotRun: rep.NotRun,
-		WrongUpstream: rep.Status == statusMisdirected, Leaving: rep.Closing, Header: rep.Fields,
+		WrongUpstream: rep.Status == statusMisdirected, Leaving: rep.CloseConn, Header: rep.Fields,
 	}}
 }
 
@@ -133,7 +133,7 @@
 		}
 		g.client.Send(exchange.Call{
 			Attempt: c.Attempt, Upstream: c.Upstream, Address: c.Address, Request: w.request,
-			LeftMs: c.RemainingMs, Fresh: c.NonIdempotent, WithHead: !c.Gather,
+			RemainingMs: c.RemainingMs, NonIdempotent: c.NonIdempotent, NeedHeader: !c.Gather,
 		})
 	case relay.CancelCmd:
 		g.client.Cancel(c.Attempt)
@@ -155,11 +155,11 @@
 	case relay.CancelDelegationCmd:
 		g.tell(c.To, "", relay.DelegationCancel{ID: c.ID})
 	case relay.ConnectPeerCmd:
-		g.mesh.Open(c.VM, c.Address)
+		g.mesh.Connect(c.VM, c.Address)
 	case relay.ConnectUpstreamCmd:
 		g.client.Connect(c.Upstream, c.Address)
 	case relay.CloseIdleCmd:
-		g.client.Forget(c.Upstream)
+		g.client.CloseIdle(c.Upstream)
 	case relay.EventCmd:
 		g.logEvent(c.Event)
 	}
@@ -196,14 +196,14 @@
 			}
 		case catalog.PublisherCmd:
 			_ = g.logger.Log("event", "catalog_feeder", "feeder", c.VM)
-			g.stepRegister(io, roster.FedMsg{Fed: c.VM != ""})
+			g.stepRegister(io, roster.SubscriptionMsg{Subscribed: c.VM != ""})
 		case catalog.PutCmd:
 			g.put(c.Item)
 		case catalog.DeleteCmd:
-			if id, ok := g.translator.Upstream(c.Key); ok {
+			if id, ok := g.translator.UpstreamID(c.Key); ok {
 				g.step(relay.UpstreamRemovedMsg{ID: id})
 			}
-			if id, ok := g.translator.VM(c.Key); ok {
+			if id, ok := g.translator.VMID(c.Key); ok {
 				g.setVM(id, nil)
 			}
 		case catalog.StoreStatusCmd:
@@ -225,10 +225,10 @@
 // put applies an item. One that cannot be decoded names no upstream, and
 // leaves the configuration as it is.
 func (g *Gateway) put(it store.Item) {
-	change, err := g.translator.Translate(it)
+	change, err := g.translator.Decode(it)
 	if err != nil {
 		_ = g.logger.Log("event", "item_skipped", "key", it.Key, "revision", it.Revision, "err", err)
-		if id, ok := g.translator.Upstream(it.Key); ok {
+		if id, ok := g.translator.UpstreamID(it.Key); ok {
 			g.step(relay.UpstreamRemovedMsg{ID: id})
 		}
 		return
@@ -242,7 +242,7 @@
 	case change.Presets != nil:
 		g.setPresets(*change.Presets)
 	case change.VM != nil:
-		if id, ok := g.translator.VM(it.Key); ok && id == change.VM.ID {
+		if id, ok := g.translator.VMID(it.Key); ok && id == change.VM.ID {
 			g.setVM(id, change.VM)
 		}
 	case change.Upstream != nil:
@@ -251,7 +251,7 @@
 }
 
 func (g *Gateway) list(ctx context.Context, stale bool) {
-	batch, err := g.feed.List(ctx, g.translator.Prefix(), stale)
+	batch, err := g.feed.ListPrefix(ctx, g.translator.Prefix(), stale)
 	if err != nil {
 		g.post(item{catalog: g.failedCall(err)})
 		return
@@ -260,7 +260,7 @@
 }
 
 func (g *Gateway) follow(ctx context.Context, c catalog.WatchCmd) {
-	batch, err := g.feed.Follow(ctx, g.translator.Prefix(), c.After, c.WaitMs)
+	batch, err := g.feed.WatchPrefix(ctx, g.translator.Prefix(), c.After, c.WaitMs)
 	if err != nil {
 		g.post(item{catalog: g.failedCall(err)})
 		return
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -13,8 +13,8 @@
 // Option configures a Gateway.
 type Option func(*Gateway)
 
-// WithFeed sets the store that is followed, and how its items are decoded.
-func WithFeed(f store.Feed, t Translator) Option {
+// WithPrefixWatcher sets the store that is followed, and how its items are decoded.
+func WithPrefixWatcher(f store.PrefixWatcher, t ItemDecoder) Option {
 	return func(g *Gateway) { g.feed, g.translator = f, t }
 }
 
@@ -43,8 +43,8 @@
 	}
 }
 
-// WithMetrics sets the address that serves /metrics; none if it is empty.
-func WithMetrics(address string) Option { return func(g *Gateway) { g.metricsAddr = address } }
+// WithMetricsAddress sets the address that serves /metrics; none if it is empty.
+func WithMetricsAddress(address string) Option { return func(g *Gateway) { g.metricsAddr = address } }
 
 // WithReadyPath sets the path of the balancer's question.
 func WithReadyPath(path string) Option { return func(g *Gateway) { g.readyPath = path } }
@@ -55,13 +55,13 @@
 // WithLimits sets the limits that can change while the VM runs.
 func WithLimits(l Limits) Option { return func(g *Gateway) { g.limits = l } }
 
-// WithPace sets the least time between two watches of the store; 0 takes the default.
-func WithPace(ms clock.Millis) Option { return func(g *Gateway) { g.pace = ms } }
+// WithWatchInterval sets the least time between two watches of the store; 0 takes the default.
+func WithWatchInterval(ms clock.Millis) Option { return func(g *Gateway) { g.pace = ms } }
 
 // WithSeed seeds the random choices.
 func WithSeed(seed uint64) Option { return func(g *Gateway) { g.seed = seed } }
 
-// WithRelay passes options to the state machine.
-func WithRelay(opts ...relay.Option) Option {
+// WithRelayOptions passes options to the state machine.
+func WithRelayOptions(opts ...relay.Option) Option {
 	return func(g *Gateway) { g.relayOptions = append(g.relayOptions, opts...) }
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -39,8 +39,8 @@
 	h.g.post(item{peer: &peerMsg{vm: to, body: body, unsent: true}})
 }
 
-// Down reports that a stream broke.
-func (h meshHandler) Down(peer string) { h.g.post(item{peer: &peerMsg{vm: peer}}) }
+// Disconnected reports that a stream broke.
+func (h meshHandler) Disconnected(peer string) { h.g.post(item{peer: &peerMsg{vm: peer}}) }
 
 // acceptPeer handles what happened on a stream.
 func (g *Gateway) acceptPeer(io context.Context, m *peerMsg) {
@@ -90,7 +90,7 @@
 	}
 	n := g.calls.Add(1)
 	g.handed[key] = n
-	g.waiters[n] = &call{request: exchange.Handed(h.Name, h.Head, h.Body), handed: &key}
+	g.waiters[n] = &call{request: exchange.NewDelegatedRequest(h.Name, h.Head, h.Body), handed: &key}
 	g.step(relay.ArrivalMsg{ID: n, Name: h.Name, Host: h.Host, Path: h.Path, RemainingMs: h.RemainingMs, Delegation: &h})
 }
 
@@ -180,12 +180,12 @@
 			err = g.leases.Put(ctx, g.translator.VMKey(g.self.ID), value, c.Lease)
 		}
 		done = roster.WrittenMsg{}
-	case roster.KeepCmd:
+	case roster.RenewCmd:
 		err = g.leases.KeepAlive(ctx, c.Lease)
-		done = roster.KeptMsg{}
+		done = roster.RenewedMsg{}
 	case roster.RevokeCmd:
 		err = g.leases.Revoke(ctx, c.Lease)
-		done = roster.KeptMsg{}
+		done = roster.RenewedMsg{}
 	}
 	if err == nil {
 		return done
--- a/httpcall/do.go
+++ b/httpcall/do.go
@@ -24,12 +24,12 @@
 	Body   []byte // a copy that the caller owns
 }
 
-// Check decides whether a reply answers the call. A Reply whose Check fails is
+// CheckReply decides whether a reply answers the call. A Reply whose Check fails is
 // not returned, and its connection is closed.
-type Check func(Reply) error
+type CheckReply func(Reply) error
 
 // Do makes one call. Its errors are of type *Error. check may be nil.
-func (h *Host) Do(ctx context.Context, call Call, check Check) (Reply, error) {
+func (h *Host) Do(ctx context.Context, call Call, check CheckReply) (Reply, error) {
 	op := call.Method + " " + call.Path
 	timeout := call.Timeout
 	if deadline, ok := ctx.Deadline(); ok {
@@ -99,7 +99,7 @@
 	case isTimeout(err):
 		return KindTimeout
 	case c.received > 0:
-		return KindCut
+		return KindTruncated
 	default:
 		return KindBroken
 	}
@@ -121,19 +121,19 @@
 
 // receive reads and checks the body while the connection is still held, then
 // returns the connection to the pool or closes it.
-func (h *Host) receive(resp *fasthttp.Response, check Check) (Reply, Kind, error) {
+func (h *Host) receive(resp *fasthttp.Response, check CheckReply) (Reply, Kind, error) {
 	c := connOf(resp)
 	if resp.BodyStream() == nil || c == nil {
 		// fasthttp gave the connection back already, as it does for status 204 and 304.
 		if c != nil {
 			_ = c.Close()
 		}
-		return Reply{}, KindCut, errNoBody
+		return Reply{}, KindTruncated, errNoBody
 	}
 	reply, kind, err := h.read(resp, c)
 	if err == nil && check != nil {
 		if err = check(reply); err != nil {
-			kind = KindRefused
+			kind = KindRejected
 		}
 	}
 	end := err // an error closes the connection
@@ -153,7 +153,7 @@
 	length := resp.Header.ContentLength()
 	switch {
 	case length < 0:
-		return Reply{}, KindCut, errNoLength
+		return Reply{}, KindTruncated, errNoLength
 	case length > h.replyBytes:
 		return Reply{}, KindTooLarge, errTooLarge
 	}
@@ -162,11 +162,11 @@
 		if _, err := io.ReadFull(resp.BodyStream(), body); isTimeout(err) {
 			return Reply{}, KindTimeout, err
 		} else if err != nil {
-			return Reply{}, KindCut, errors.Join(errCut, err)
+			return Reply{}, KindTruncated, errors.Join(errCut, err)
 		}
 	}
 	if c.surplus(length) {
-		return Reply{}, KindDoubled, errDoubled
+		return Reply{}, KindTrailingData, errDoubled
 	}
 	return Reply{Status: resp.StatusCode(), Body: body}, 0, nil
 }
--- a/httpcall/error.go
+++ b/httpcall/error.go
@@ -7,15 +7,15 @@
 
 // The first three kinds prove that nothing was sent.
 const (
-	KindNotSent  Kind = iota // no time or no connection was left
-	KindDial                 // the connection was not opened, or closed before its first use
-	KindStale                // kept connections were closed or held further bytes
-	KindTimeout              // the deadline passed after the request may have left
-	KindBroken               // the connection broke after the request may have left
-	KindCut                  // the reply ended early, or its length was not given
-	KindTooLarge             // the reply exceeds the limit
-	KindDoubled              // further bytes followed the reply
-	KindRefused              // the caller's check refused the reply
+	KindNotSent      Kind = iota // no time or no connection was left
+	KindDial                     // the connection was not opened, or closed before its first use
+	KindStale                    // kept connections were closed or held further bytes
+	KindTimeout                  // the deadline passed after the request may have left
+	KindBroken                   // the connection broke after the request may have left
+	KindTruncated                // the reply ended early, or its length was not given
+	KindTooLarge                 // the reply exceeds the limit
+	KindTrailingData             // further bytes followed the reply
+	KindRejected                 // the caller's check refused the reply
 )
 
 var kindNames = [...]string{
--- a/httpcall/host.go
+++ b/httpcall/host.go
@@ -162,10 +162,10 @@
 	return len(h.open) > h.connections
 }
 
-// SetConnections changes the bound of open connections. Idle connections are
+// SetConnectionLimit changes the bound of open connections. Idle connections are
 // closed when the bound shrinks; busy ones finish their exchange first. With 0
 // no call is sent.
-func (h *Host) SetConnections(n int) {
+func (h *Host) SetConnectionLimit(n int) {
 	h.mu.Lock()
 	shrinks := n < h.connections
 	h.connections = n
--- a/httpcall/httpcall_test.go
+++ b/httpcall/httpcall_test.go
@@ -66,7 +66,7 @@
 	return h
 }
 
-func do(t *testing.T, h *httpcall.Host, check httpcall.Check) error {
+func do(t *testing.T, h *httpcall.Host, check httpcall.CheckReply) error {
 	t.Helper()
 	_, err := h.Do(t.Context(), httpcall.Call{Method: http.MethodPost, Path: "/x", Body: []byte("{}"), Timeout: long}, check)
 	return err
@@ -87,7 +87,7 @@
 	if got := requests.Load(); got > calls {
 		t.Errorf("host saw %d requests, want at most %d", got, calls)
 	}
-	if h.Stale() == 0 {
+	if h.StaleConns() == 0 {
 		t.Error("no closed connection was found before its next use")
 	}
 }
@@ -96,7 +96,7 @@
 func TestBound(t *testing.T) {
 	const bound = 4
 	address, _ := serve(t, always(whole), func(n int64) bool { return n%3 == 0 })
-	h := host(t, address, httpcall.WithConnections(bound), httpcall.WithWaitTimeout(long))
+	h := host(t, address, httpcall.WithMaxConns(bound), httpcall.WithWaitTimeout(long))
 	refuse := errors.New("refused by the test")
 	var wg sync.WaitGroup
 	for range 8 * bound {
@@ -116,14 +116,14 @@
 		})
 	}
 	wg.Wait()
-	if got := h.Peak(); got > bound {
+	if got := h.PeakConns(); got > bound {
 		t.Errorf("got %d connections at once, want at most %d", got, bound)
 	}
-	h.SetConnections(1)
+	h.SetConnectionLimit(1)
 	if err := do(t, h, nil); err != nil {
 		t.Errorf("Do after the bound shrank = %v", err)
 	}
-	if got := h.Open(); got > 1 {
+	if got := h.OpenConns(); got > 1 {
 		t.Errorf("got %d open connections, want at most 1", got)
 	}
 }
@@ -131,13 +131,13 @@
 // TestShrinkWhileBusy guards against a busy connection that is kept above a new bound.
 func TestShrinkWhileBusy(t *testing.T) {
 	address, _ := serve(t, always(whole), never)
-	h := host(t, address, httpcall.WithConnections(2))
+	h := host(t, address, httpcall.WithMaxConns(2))
 	err := do(t, h, func(httpcall.Reply) error {
-		h.SetConnections(0)
+		h.SetConnectionLimit(0)
 		return nil
 	})
-	if err != nil || h.Open() != 0 {
-		t.Errorf("Do = %v with %d open connections, want an answer and none", err, h.Open())
+	if err != nil || h.OpenConns() != 0 {
+		t.Errorf("Do = %v with %d open connections, want an answer and none", err, h.OpenConns())
 	}
 	var cerr *httpcall.Error
 	if err := do(t, h, nil); !errors.As(err, &cerr) || cerr.Kind() != httpcall.KindNotSent {
@@ -191,7 +191,7 @@
 			t.Fatalf("Do = %v, want kind dial or broken", err)
 		}
 	}
-	if got := h.Open(); got != 0 {
+	if got := h.OpenConns(); got != 0 {
 		t.Errorf("got %d open connections, want 0", got)
 	}
 }
--- a/httpcall/options.go
+++ b/httpcall/options.go
@@ -5,8 +5,8 @@
 // Option configures a Host.
 type Option func(*Host)
 
-// WithConnections bounds the connections that are open at once.
-func WithConnections(n int) Option { return func(h *Host) { h.connections = n } }
+// WithMaxConns bounds the connections that are open at once.
+func WithMaxConns(n int) Option { return func(h *Host) { h.connections = n } }
 
 // WithConnectTimeout bounds the opening of a connection.
 func WithConnectTimeout(d time.Duration) Option { return func(h *Host) { h.connectTimeout = d } }
@@ -17,5 +17,5 @@
 // WithWaitTimeout lets a call wait up to d for a free connection. The default is not to wait.
 func WithWaitTimeout(d time.Duration) Option { return func(h *Host) { h.waitTimeout = d } }
 
-// WithReplyBytes bounds the body of a reply.
-func WithReplyBytes(n int) Option { return func(h *Host) { h.replyBytes = n } }
+// WithMaxReplyBytes bounds the body of a reply.
+func WithMaxReplyBytes(n int) Option { return func(h *Host) { h.replyBytes = n } }
--- a/httpcall/stats.go
+++ b/httpcall/stats.go
@@ -1,20 +1,20 @@
 package httpcall
 
-// Opened returns how many connections were opened so far.
-func (h *Host) Opened() int { return int(h.opened.Load()) }
+// OpenedConns returns how many connections were opened so far.
+func (h *Host) OpenedConns() int { return int(h.opened.Load()) }
 
-// Stale returns how many kept connections were found closed or with further bytes.
-func (h *Host) Stale() int { return int(h.stale.Load()) }
+// StaleConns returns how many kept connections were found closed or with further bytes.
+func (h *Host) StaleConns() int { return int(h.stale.Load()) }
 
-// Open returns how many connections are open now.
-func (h *Host) Open() int {
+// OpenConns returns how many connections are open now.
+func (h *Host) OpenConns() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.open)
 }
 
-// Peak returns the most connections that were open or being opened at once.
-func (h *Host) Peak() int {
+// PeakConns returns the most connections that were open or being opened at once.
+func (h *Host) PeakConns() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.peak
--- a/order/harness_store_test.go
+++ b/order/harness_store_test.go
@@ -29,7 +29,7 @@
 	if req.Op != store.OpGet {
 		h.writes = append(h.writes, h.now)
 	}
-	reply := store.Reply{Owner: req.Owner, Tag: req.Tag, Op: req.Op}
+	reply := store.Reply{Requester: req.Requester, Tag: req.Tag, Op: req.Op}
 	done := func(after clock.Millis) {
 		h.schedule(after, func() { h.deliverTo(name, vm, order.StoreMsg{Reply: reply}) })
 	}
@@ -72,7 +72,7 @@
 		head.NewestIssued = max(head.NewestIssued, start)
 		e.Value = head.Encode()
 	}
-	h.apply(h.now, store.Request{Op: store.OpSwap, Key: key, Value: e.Value, Expect: e.Revision}, &store.Reply{})
+	h.apply(h.now, store.Request{Op: store.OpSwap, Key: key, Value: e.Value, Revision: e.Revision}, &store.Reply{})
 }
 
 // checkWrittenHead fails if a head that took effect contains a claim whose release
@@ -109,7 +109,7 @@
 func (h *harness) apply(issuedAt clock.Millis, req store.Request, reply *store.Reply) {
 	e := h.entries[req.Key]
 	e.Key = req.Key
-	if req.Op != store.OpGet && e.Revision != req.Expect {
+	if req.Op != store.OpGet && e.Revision != req.Revision {
 		reply.Kind = store.KindConflict
 		return
 	}
--- a/order/notcarrier_test.go
+++ b/order/notcarrier_test.go
@@ -33,7 +33,7 @@
 			for _, cmd := range m.Update(now, queue[0]) {
 				switch c := cmd.(type) {
 				case order.StoreCmd:
-					entry := store.Entry{Key: c.Request.Key, Revision: c.Request.Expect}
+					entry := store.Entry{Key: c.Request.Key, Revision: c.Request.Revision}
 					if c.Request.Op == store.OpSwap {
 						entry.Revision++
 					}
--- a/order/partition.go
+++ b/order/partition.go
@@ -117,7 +117,7 @@
 
 func (m *Model) issueCall(p *partition, r store.Request, garbageCollection bool) {
 	m.lastStoreTag++
-	r.Owner, r.Tag = "order", m.lastStoreTag
+	r.Requester, r.Tag = "order", m.lastStoreTag
 	m.storeCalls[m.lastStoreTag] = storeCall{partition: p.index, garbageCollection: garbageCollection}
 	m.emit(StoreCmd{Request: r})
 }
--- a/order/seal.go
+++ b/order/seal.go
@@ -82,6 +82,6 @@
 	if r.Op == store.OpGet && r.Kind == store.KindOK && r.Entry.Revision != 0 {
 		p.nextWriteAt = max(p.nextWriteAt, now) + m.cfg.writeInterval
 		m.stats.Writes++
-		m.issueCall(p, store.Request{Op: store.OpDelete, Key: r.Entry.Key, Expect: r.Entry.Revision}, true)
+		m.issueCall(p, store.Request{Op: store.OpDelete, Key: r.Entry.Key, Revision: r.Entry.Revision}, true)
 	}
 }
--- a/order/write.go
+++ b/order/write.go
@@ -44,7 +44,7 @@
 	p.nextWriteAt = now + m.cfg.writeInterval
 	m.stats.Writes++
 	m.startCall(now, p, phaseWrite, store.Request{
-		Op: store.OpSwap, Key: HeadKey(p.index), Value: b.encoded, Expect: p.revision,
+		Op: store.OpSwap, Key: HeadKey(p.index), Value: b.encoded, Revision: p.revision,
 	})
 }
 
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -28,8 +28,8 @@
 	Received(from string, stamp clock.Timestamp, body vm.PeerBody)
 	// Unsent reports a message that certainly never left this VM.
 	Unsent(to string, body vm.PeerBody)
-	// Down reports that a stream with a VM broke; what was sent may or may not have arrived.
-	Down(peer string)
+	// Disconnected reports that a stream with a VM broke; what was sent may or may not have arrived.
+	Disconnected(peer string)
 }
 
 // Mesh holds the streams between this VM and its peers.
@@ -91,9 +91,9 @@
 	}
 }
 
-// Open opens a stream to a peer if there is none, so that the first message
+// Connect opens a stream to a peer if there is none, so that the first message
 // does not wait for it.
-func (m *Mesh) Open(to, address string) {
+func (m *Mesh) Connect(to, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.link(to, address)
@@ -125,8 +125,8 @@
 	m.unsent(l.peer, rest)
 }
 
-// Connected returns the number of peers with an open or opening stream.
-func (m *Mesh) Connected() int {
+// NumStreams returns the number of peers with an open or opening stream.
+func (m *Mesh) NumStreams() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.links)
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -36,7 +36,7 @@
 	r.received <- fmt.Sprintf("%s:%s", from, payload(body))
 }
 func (r *recorder) Unsent(_ string, body vm.PeerBody) { r.unsent <- payload(body) }
-func (r *recorder) Down(peer string)                  { r.down <- peer }
+func (r *recorder) Disconnected(peer string)          { r.down <- peer }
 
 func payload(body vm.PeerBody) string {
 	if f, ok := body.(vm.FleetMessage); ok {
@@ -133,8 +133,8 @@
 // and against the loss of a peer that nothing was sent to yet.
 func TestMeshOpen(t *testing.T) {
 	a, b := startNode(t, "a"), startNode(t, "b")
-	a.mesh.Open("b", b.addr)
-	for end := time.Now().Add(waitLimit); b.mesh.Connected() == 0; time.Sleep(time.Millisecond) {
+	a.mesh.Connect("b", b.addr)
+	for end := time.Now().Add(waitLimit); b.mesh.NumStreams() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("got no stream within %s", waitLimit)
 		}
--- a/peer/options.go
+++ b/peer/options.go
@@ -17,8 +17,8 @@
 // it are reported as unsent.
 func WithQueueLen(n int) Option { return func(m *Mesh) { m.queueLen = n } }
 
-// WithIdle sets how long a stream without traffic stays open.
-func WithIdle(d clock.Millis) Option { return func(m *Mesh) { m.idle = d } }
+// WithIdleTimeout sets how long a stream without traffic stays open.
+func WithIdleTimeout(d clock.Millis) Option { return func(m *Mesh) { m.idle = d } }
 
 // WithDialTimeout bounds the time to open a connection.
 func WithDialTimeout(d clock.Millis) Option { return func(m *Mesh) { m.dialTimeout = d } }
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -123,7 +123,7 @@
 	if l != nil {
 		m.remove(l)
 	}
-	m.handler.Down(peer)
+	m.handler.Disconnected(peer)
 	return err
 }
 
--- a/preset/committer.go
+++ b/preset/committer.go
@@ -132,9 +132,9 @@
 func (c *Committer) startCall(now clock.Millis, s step) []Cmd {
 	c.step, c.sentAt, c.retryAt = s, now, 0
 	c.tag++
-	req := store.Request{Owner: "preset", Tag: c.tag, Op: store.OpGet, Key: StoreKey}
+	req := store.Request{Requester: "preset", Tag: c.tag, Op: store.OpGet, Key: StoreKey}
 	if s == stepSwap {
-		req.Op, req.Value, req.Expect = store.OpSwap, c.encoded, c.baseEntry.Revision
+		req.Op, req.Value, req.Revision = store.OpSwap, c.encoded, c.baseEntry.Revision
 		c.unresolvedSwaps++
 	}
 	return []Cmd{StoreCmd{req}}
--- a/preset/committer_test.go
+++ b/preset/committer_test.go
@@ -32,7 +32,7 @@
 	if fault == "rival" {
 		s.change(preset.Change{ID: "rival", Author: "eve", Reason: "first", SwitchTo: "maintenance"})
 	}
-	if r.Op == store.OpSwap && r.Expect != s.entry.Revision {
+	if r.Op == store.OpSwap && r.Revision != s.entry.Revision {
 		reply.Kind = store.KindConflict
 		return reply, true
 	}
--- a/query/model.go
+++ b/query/model.go
@@ -11,7 +11,7 @@
 
 // Model runs the open queries of one VM.
 type Model struct {
-	book        *upstream.Book
+	book        *upstream.Balancer
 	vm          string
 	incarnation uint64
 	services    map[string]*service
@@ -84,7 +84,7 @@
 }
 
 // New returns a Model that selects upstreams with book and reports the results of attempts to it.
-func New(book *upstream.Book, opts ...Option) *Model {
+func New(book *upstream.Balancer, opts ...Option) *Model {
 	m := &Model{
 		book:     book,
 		services: make(map[string]*service),
--- a/query/model_test.go
+++ b/query/model_test.go
@@ -17,7 +17,7 @@
 
 // harness drives a Model and records its commands.
 type harness struct {
-	book    *upstream.Book
+	book    *upstream.Balancer
 	model   *query.Model
 	now     clock.Millis
 	sent    []attempt.Request
@@ -42,7 +42,7 @@
 	}
 	book := upstream.New(upstream.WithUpstreams(list), upstream.WithSeed(1))
 	for _, u := range list {
-		book.Observe(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: held})
+		book.RecordReply(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: held})
 	}
 	return &harness{
 		book: book, events: make(map[timeline.Kind]int),
--- a/query/restart.go
+++ b/query/restart.go
@@ -52,7 +52,7 @@
 	if holders == 0 || version == q.version {
 		return false
 	}
-	if q.version != 0 && holders <= m.book.Holders(q.Service, q.version) {
+	if q.version != 0 && holders <= m.book.GroupsHolding(q.Service, q.version) {
 		return false
 	}
 	m.cancelAll(now, q)
@@ -74,7 +74,7 @@
 }
 
 func (m *Model) hasTimeForPass(now clock.Millis, q *openQuery) bool {
-	return now+latenciesPerPass*m.book.TypicalMs(q.Service) <= q.answerAt
+	return now+latenciesPerPass*m.book.LatencyP95(q.Service) <= q.answerAt
 }
 
 // scheduleEpochRetry schedules a retry to the groups on an older epoch. It
@@ -115,7 +115,7 @@
 		q.unsettled++
 	}
 	for _, g := range groups {
-		up, ok := m.book.PickVersion(now, q.Service, q.service.groups[g], q.version, nil)
+		up, ok := m.book.PickForVersion(now, q.Service, q.service.groups[g], q.version, nil)
 		if !ok {
 			m.failGroup(q, g, "no upstream")
 			continue
--- a/query/retry.go
+++ b/query/retry.go
@@ -94,7 +94,7 @@
 		return
 	}
 	group := q.service.groups[g]
-	up, ok := m.book.PickVersion(now, q.Service, group, q.version, sub.tried[:sub.triedCount])
+	up, ok := m.book.PickForVersion(now, q.Service, group, q.version, sub.tried[:sub.triedCount])
 	if !ok {
 		m.scheduleTriedUpstreamRetry(now, q, g)
 		return
@@ -108,7 +108,7 @@
 	sub := &q.subrequests[g]
 	group := q.service.groups[g]
 	last := sub.tried[max(sub.triedCount-1, 0):sub.triedCount]
-	if _, ok := m.book.PickVersion(now, q.Service, group, q.version, last); !ok {
+	if _, ok := m.book.PickForVersion(now, q.Service, group, q.version, last); !ok {
 		m.failGroupAndAdvance(now, q, g, "no other upstream")
 		return
 	}
--- a/query/start.go
+++ b/query/start.go
@@ -68,7 +68,7 @@
 	}
 	for g := range q.subrequests {
 		q.subrequests[g] = subrequest{}
-		up, ok := m.book.PickVersion(now, q.Service, q.service.groups[g], version, nil)
+		up, ok := m.book.PickForVersion(now, q.Service, q.service.groups[g], version, nil)
 		if !ok {
 			m.failGroup(q, g, "no upstream")
 			continue
@@ -87,7 +87,7 @@
 	sub.recordTried(up)
 	q.attempts++
 	m.countAttempt(q, kind)
-	m.book.Sent(now, up)
+	m.book.RecordSent(now, up)
 	m.emit(SendCmd{attempt.Request{
 		ID: m.attemptID(a.seq), Upstream: string(up), Kind: attempt.Query, Service: q.Service, Group: q.service.groups[g],
 		Rank: q.Rank, Priority: q.Priority, Deadline: q.answerAt, Version: q.version, Body: q.Body,
--- a/roster/httproster/client.go
+++ b/roster/httproster/client.go
@@ -40,7 +40,7 @@
 	for _, opt := range opts {
 		opt(c)
 	}
-	c.host = httpcall.New(address, httpcall.WithConnections(1), httpcall.WithConnectTimeout(c.timeoutMs.Duration()),
+	c.host = httpcall.New(address, httpcall.WithMaxConns(1), httpcall.WithConnectTimeout(c.timeoutMs.Duration()),
 		httpcall.WithWaitTimeout(c.timeoutMs.Duration()))
 	return c
 }
--- a/roster/registrar.go
+++ b/roster/registrar.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// LeaseMs is how long the entry of a VM that is lost stays in the list. VMs
+	// LeaseTTL is how long the entry of a VM that is lost stays in the list. VMs
 	// notice the loss of a peer by their connections, much sooner.
-	LeaseMs = 15 * clock.Second
+	LeaseTTL = 15 * clock.Second
 
 	// keepMs is how often the lease is renewed. A renewal is the cheapest call, so
 	// it also shows whether the store still answers this VM: a watch that waits
@@ -38,14 +38,14 @@
 // WrittenMsg confirms the entry.
 type WrittenMsg struct{}
 
-// KeptMsg confirms a renewal.
-type KeptMsg struct{}
+// RenewedMsg confirms a renewal.
+type RenewedMsg struct{}
 
 // FailedMsg reports that the last call failed.
 type FailedMsg struct{ Kind store.Kind }
 
-// FedMsg says whether another VM tells this one of changes of the store.
-type FedMsg struct{ Fed bool }
+// SubscriptionMsg says whether another VM tells this one of changes of the store.
+type SubscriptionMsg struct{ Subscribed bool }
 
 // LeaveMsg ends the registration.
 type LeaveMsg struct{}
@@ -53,14 +53,14 @@
 // TickMsg lets time pass.
 type TickMsg struct{}
 
-func (ReadyMsg) registrarMsg()   {}
-func (GrantedMsg) registrarMsg() {}
-func (WrittenMsg) registrarMsg() {}
-func (KeptMsg) registrarMsg()    {}
-func (FailedMsg) registrarMsg()  {}
-func (FedMsg) registrarMsg()     {}
-func (LeaveMsg) registrarMsg()   {}
-func (TickMsg) registrarMsg()    {}
+func (ReadyMsg) registrarMsg()        {}
+func (GrantedMsg) registrarMsg()      {}
+func (WrittenMsg) registrarMsg()      {}
+func (RenewedMsg) registrarMsg()      {}
+func (FailedMsg) registrarMsg()       {}
+func (SubscriptionMsg) registrarMsg() {}
+func (LeaveMsg) registrarMsg()        {}
+func (TickMsg) registrarMsg()         {}
 
 // RegistrarCmd is an output of a Registrar.
 type RegistrarCmd interface{ registrarCmd() }
@@ -71,15 +71,15 @@
 // WriteCmd writes the VM's entry under a lease.
 type WriteCmd struct{ Lease store.LeaseID }
 
-// KeepCmd renews a lease.
-type KeepCmd struct{ Lease store.LeaseID }
+// RenewCmd renews a lease.
+type RenewCmd struct{ Lease store.LeaseID }
 
 // RevokeCmd ends a lease, which removes the entry.
 type RevokeCmd struct{ Lease store.LeaseID }
 
 func (GrantCmd) registrarCmd()  {}
 func (WriteCmd) registrarCmd()  {}
-func (KeepCmd) registrarCmd()   {}
+func (RenewCmd) registrarCmd()  {}
 func (RevokeCmd) registrarCmd() {}
 
 // Registrar keeps the entry of one VM in the list. It is a pure state machine
@@ -113,12 +113,12 @@
 	case WrittenMsg:
 		r.succeeded(now + r.keepEvery())
 		r.written = true
-	case KeptMsg:
+	case RenewedMsg:
 		r.succeeded(now + r.keepEvery())
 	case FailedMsg:
 		r.failed(now, m.Kind)
-	case FedMsg:
-		r.fed = m.Fed
+	case SubscriptionMsg:
+		r.fed = m.Subscribed
 		r.next = min(r.next, now+r.keepEvery())
 	case LeaveMsg:
 		r.leaving = true
@@ -161,11 +161,11 @@
 	r.calling = true
 	switch {
 	case r.lease == 0:
-		return []RegistrarCmd{GrantCmd{TTL: LeaseMs}}
+		return []RegistrarCmd{GrantCmd{TTL: LeaseTTL}}
 	case !r.written:
 		return []RegistrarCmd{WriteCmd{Lease: r.lease}}
 	default:
-		return []RegistrarCmd{KeepCmd{Lease: r.lease}}
+		return []RegistrarCmd{RenewCmd{Lease: r.lease}}
 	}
 }
 
--- a/settings/follow.go
+++ b/settings/follow.go
@@ -11,16 +11,16 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// FollowEveryMs is how often the settings file is looked at without a signal.
+// PollIntervalMs is how often the settings file is looked at without a signal.
 // The platform may change the file silently.
-const FollowEveryMs = 2 * clock.Second
+const PollIntervalMs = 2 * clock.Second
 
-// Follow calls apply after each change of a settings file, until ctx ends. A
+// Watch calls apply after each change of a settings file, until ctx ends. A
 // value on again makes it look at once. A file that cannot be used leaves the
 // settings as they are and is passed to refuse once.
-func Follow(ctx context.Context, path string, again <-chan os.Signal, apply func(*Gateway), refuse func(error)) error {
+func Watch(ctx context.Context, path string, again <-chan os.Signal, apply func(*Gateway), refuse func(error)) error {
 	last, _ := os.ReadFile(path) // a file that cannot be read counts as changed once it can be
-	ticker := time.NewTicker(FollowEveryMs.Duration())
+	ticker := time.NewTicker(PollIntervalMs.Duration())
 	defer ticker.Stop()
 	for {
 		signalled := false
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	hup, applied, refused, end := make(chan os.Signal), make(chan *settings.Gateway, 4), make(chan error, 4), make(chan error, 1)
 	go func() {
-		end <- settings.Follow(ctx, path, hup, func(g *settings.Gateway) { applied <- g }, func(err error) { refused <- err })
+		end <- settings.Watch(ctx, path, hup, func(g *settings.Gateway) { applied <- g }, func(err error) { refused <- err })
 	}()
 	const limit = 20 * time.Second
 	next := func(what string) *settings.Gateway {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -87,12 +87,12 @@
 	to := upstream.Group{Name: g.Name, Range: coverage.Range{From: g.From, To: g.To}}
 	for _, r := range g.Replicas {
 		to.Replicas = append(to.Replicas, upstream.Upstream{
-			ID:          upstream.ID(service + "/" + g.Name + "/" + r.Name),
-			Service:     service,
-			Group:       g.Name,
-			Address:     r.Address,
-			Connections: r.Connections,
-			ConnectMs:   r.ConnectMs,
+			ID:              upstream.ID(service + "/" + g.Name + "/" + r.Name),
+			Service:         service,
+			Group:           g.Name,
+			Address:         r.Address,
+			ConnectionLimit: r.Connections,
+			ConnectMs:       r.ConnectMs,
 		})
 	}
 	return to
--- a/socket/roundtrip.go
+++ b/socket/roundtrip.go
@@ -10,9 +10,9 @@
 // usPerMs is how many microseconds a millisecond has.
 const usPerMs = 1000
 
-// RoundTrip returns how long the way to the peer of a TCP connection and back
+// RoundTripTime returns how long the way to the peer of a TCP connection and back
 // takes, rounded up. It returns false if the system has no estimate.
-func RoundTrip(nc net.Conn) (clock.Millis, bool) {
+func RoundTripTime(nc net.Conn) (clock.Millis, bool) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return 0, false
--- a/socket/roundtrip_test.go
+++ b/socket/roundtrip_test.go
@@ -35,12 +35,12 @@
 	}
 	defer func() { _ = server.Close() }()
 	// A way within the machine takes far less than a second even under load.
-	if got, ok := socket.RoundTrip(server); ok && (got < 1 || got > 1000) {
+	if got, ok := socket.RoundTripTime(server); ok && (got < 1 || got > 1000) {
 		t.Errorf("got a round trip of %d ms, want 1 to 1000", got)
 	}
 	a, b := net.Pipe()
 	defer func() { _, _ = a.Close(), b.Close() }()
-	if got, ok := socket.RoundTrip(a); ok {
+	if got, ok := socket.RoundTripTime(a); ok {
 		t.Errorf("got a round trip of %d ms on a pipe, want none", got)
 	}
 }
--- a/standin/bench_test.go
+++ b/standin/bench_test.go
@@ -21,7 +21,7 @@
 	}
 	defer func() { _ = u.Close() }()
 	c := httpup.New(httpup.WithServices(upstream.Service{Groups: []upstream.Group{{Replicas: []upstream.Upstream{
-		{ID: id, Address: u.Address(), Connections: 64}}}}}))
+		{ID: id, Address: u.Address(), ConnectionLimit: 64}}}}}))
 	defer c.Close()
 	var seq atomic.Uint64
 	b.ReportAllocs()
@@ -36,7 +36,7 @@
 
 // BenchmarkDecodeReply measures the decoding of a reply with a few rows.
 func BenchmarkDecodeReply(b *testing.B) {
-	doc := httpup.ReplyDoc{Attempt: query(1, 0).ID, Status: httpup.StatusOK, Ran: attempt.Executed, Held: []uint64{1, 2},
+	doc := httpup.ReplyDoc{Attempt: query(1, 0).ID, Status: httpup.StatusOK, Execution: attempt.Executed, HeldVersions: []uint64{1, 2},
 		Ranges: []coverage.Range{{To: 1000}}}
 	for key := range uint32(4) {
 		doc.Rows = append(doc.Rows, coverage.Row{Key: key, Value: standin.RowValue(key, 1)})
--- a/standin/reply.go
+++ b/standin/reply.go
@@ -115,13 +115,13 @@
 	u.data.Lock()
 	defer u.data.Unlock()
 	if u.b.loadLies {
-		return upstream.Load{Healthy: true, Held: u.b.held}
+		return upstream.Load{Healthy: true, HeldVersions: u.b.held}
 	}
 	if u.shownAt.IsZero() || now.Sub(u.shownAt) >= u.b.loadLag {
 		u.shownAt = now
 		u.load = upstream.Load{
 			Healthy: !u.b.leaving, Leaving: u.b.leaving, Cold: now.Before(u.b.coldUntil),
-			Running: running, Queued: queued, Connections: connections, Held: u.b.held,
+			Running: running, Queued: queued, Connections: connections, HeldVersions: u.b.held,
 		}
 	}
 	return u.load
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -187,12 +187,12 @@
 // document fills the fields that every reply carries. The caller holds u.data.
 func (u *Upstream) document(req httpup.RequestDoc, status string, ran attempt.Execution) httpup.ReplyDoc {
 	return httpup.ReplyDoc{
-		Attempt: req.Attempt,
-		Status:  status,
-		Ran:     ran,
-		Epoch:   u.b.epoch,
-		Held:    slices.Clone(u.b.held),
-		Leaving: u.b.leaving,
+		Attempt:      req.Attempt,
+		Status:       status,
+		Execution:    ran,
+		Epoch:        u.b.epoch,
+		HeldVersions: slices.Clone(u.b.held),
+		Leaving:      u.b.leaving,
 	}
 }
 
--- a/standin/store_test.go
+++ b/standin/store_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := httpstore.New(s.Address(), httpstore.WithTimeout(longMs), httpstore.WithWatchWait(longMs))
+	c := httpstore.New(s.Address(), httpstore.WithTimeout(longMs), httpstore.WithWatchTimeout(longMs))
 	t.Cleanup(func() {
 		c.Close()
 		if err := s.Close(); err != nil {
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -92,7 +92,7 @@
 			held: []uint64{1}, epoch: 1,
 		},
 	}
-	s.limit, s.connect = u.Connections, u.ConnectMs.Duration()
+	s.limit, s.connect = u.ConnectionLimit, u.ConnectMs.Duration()
 	for _, opt := range opts {
 		opt(s)
 	}
--- a/standin/upstream_test.go
+++ b/standin/upstream_test.go
@@ -26,12 +26,12 @@
 func start(t *testing.T, limit, connections int, opts ...standin.UpstreamOption) (*standin.Upstream, *httpup.Client) {
 	t.Helper()
 	opts = append([]standin.UpstreamOption{standin.WithServiceTime(0, 0), standin.WithRanges(1, coverage.Range{To: 10})}, opts...)
-	u, err := standin.StartUpstream(t.Context(), upstream.Upstream{ID: id, Connections: limit}, opts...)
+	u, err := standin.StartUpstream(t.Context(), upstream.Upstream{ID: id, ConnectionLimit: limit}, opts...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := httpup.New(httpup.WithServices(upstream.Service{Groups: []upstream.Group{{Replicas: []upstream.Upstream{
-		{ID: id, Address: u.Address(), Connections: connections}}}}}))
+		{ID: id, Address: u.Address(), ConnectionLimit: connections}}}}}))
 	t.Cleanup(func() {
 		c.Close()
 		if err := u.Close(); err != nil {
@@ -131,7 +131,7 @@
 		})
 	}
 	wg.Wait()
-	if s := c.Stats(id); s.Crossed == 0 || s.Cut == 0 || s.Doubled+s.Stale == 0 {
+	if s := c.Stats(id); s.WrongAttempt == 0 || s.Malformed == 0 || s.TrailingData+s.StaleConns == 0 {
 		t.Errorf("Stats = %+v, want each kind of dropped reply", s)
 	}
 }
--- a/store/feed.go
+++ b/store/feed.go
@@ -21,14 +21,14 @@
 	Revision uint64
 }
 
-// Feed reads all keys below a prefix and follows their changes. Its errors
+// PrefixWatcher reads all keys below a prefix and follows their changes. Its errors
 // are of type *Error; KindConflict from Follow means that the history since
 // after is no longer available, so that a new List is needed.
-type Feed interface {
-	// List returns every item below prefix. A stale list is cheaper and may be seconds old.
-	List(ctx context.Context, prefix string, stale bool) (Batch, error)
-	// Follow waits up to wait for changes after a revision. The batch is empty if there was none.
-	Follow(ctx context.Context, prefix string, after uint64, wait clock.Millis) (Batch, error)
+type PrefixWatcher interface {
+	// ListPrefix returns every item below prefix. A stale list is cheaper and may be seconds old.
+	ListPrefix(ctx context.Context, prefix string, stale bool) (Batch, error)
+	// WatchPrefix waits up to wait for changes after a revision. The batch is empty if there was none.
+	WatchPrefix(ctx context.Context, prefix string, after uint64, wait clock.Millis) (Batch, error)
 	// Reconnect ends all connections. Open calls fail.
 	Reconnect()
 }
--- a/store/httpstore/client.go
+++ b/store/httpstore/client.go
@@ -58,7 +58,7 @@
 		opt(c)
 	}
 	timeout := c.timeoutMs.Duration()
-	c.host = httpcall.New(address, httpcall.WithConnections(c.connections), httpcall.WithReplyBytes(maxAnswerBytes),
+	c.host = httpcall.New(address, httpcall.WithMaxConns(c.connections), httpcall.WithMaxReplyBytes(maxAnswerBytes),
 		httpcall.WithConnectTimeout(timeout), httpcall.WithWaitTimeout(timeout))
 	return c
 }
--- a/store/httpstore/httpstore_test.go
+++ b/store/httpstore/httpstore_test.go
@@ -89,7 +89,7 @@
 			if tt.name == "timeout" {
 				timeout = clock.Second / 2 // long enough to connect and write on a busy machine
 			}
-			c := httpstore.New(address, httpstore.WithTimeout(timeout), httpstore.WithWatchWait(10))
+			c := httpstore.New(address, httpstore.WithTimeout(timeout), httpstore.WithWatchTimeout(10))
 			t.Cleanup(c.Close)
 			ctx := t.Context()
 			calls := []struct {
@@ -151,7 +151,7 @@
 	defer func() { _ = ln.Close() }()
 	for _, name := range []string{"context", "client"} {
 		t.Run(name, func(t *testing.T) {
-			c := httpstore.New(ln.Addr().String(), httpstore.WithWatchWait(600_000))
+			c := httpstore.New(ln.Addr().String(), httpstore.WithWatchTimeout(600_000))
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
 			go func() { ended <- second(c.Watch(ctx, "k", 0)) }()
--- a/store/httpstore/watch.go
+++ b/store/httpstore/watch.go
@@ -37,7 +37,7 @@
 }
 
 func (c *Client) openWatch() *httpcall.Host {
-	host := httpcall.New(c.address, httpcall.WithConnections(1), httpcall.WithReplyBytes(maxAnswerBytes),
+	host := httpcall.New(c.address, httpcall.WithMaxConns(1), httpcall.WithMaxReplyBytes(maxAnswerBytes),
 		httpcall.WithConnectTimeout(c.timeoutMs.Duration()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/store/message.go
+++ b/store/message.go
@@ -13,19 +13,19 @@
 
 // Request asks a runtime for one store call. Owner and Tag route the Reply back.
 type Request struct {
-	Owner  string // the machine that asked: "order" or "fleet"
-	Tag    uint64
-	Op     Op
-	Key    string
-	Value  []byte
-	Expect uint64 // for OpSwap and OpDelete; for OpWatch the revision already known
+	Requester string // the machine that asked: "order" or "fleet"
+	Tag       uint64
+	Op        Op
+	Key       string
+	Value     []byte
+	Revision  uint64 // for OpSwap and OpDelete; for OpWatch the revision already known
 }
 
 // Reply is the result of a Request.
 type Reply struct {
-	Owner string
-	Tag   uint64
-	Op    Op
-	Entry Entry
-	Kind  Kind
+	Requester string
+	Tag       uint64
+	Op        Op
+	Entry     Entry
+	Kind      Kind
 }
--- a/upstream/book.go
+++ b/upstream/book.go
@@ -16,8 +16,8 @@
 	defaultLatencyMs = 20
 )
 
-// Book keeps what one VM knows about each upstream.
-type Book struct {
+// Balancer keeps what one VM knows about each upstream.
+type Balancer struct {
 	services map[string]*service
 	byID     map[ID]*state
 	rng      *rand.Rand
@@ -67,8 +67,8 @@
 }
 
 // New returns a Book.
-func New(opts ...Option) *Book {
-	b := &Book{
+func New(opts ...Option) *Balancer {
+	b := &Balancer{
 		services: make(map[string]*service),
 		byID:     make(map[ID]*state),
 		rampMs:   defaultRampMs,
@@ -82,14 +82,14 @@
 }
 
 // Add makes a new upstream known and ramps it up from now. A known one is left as it is.
-func (b *Book) Add(now clock.Millis, u Upstream) {
+func (b *Balancer) Add(now clock.Millis, u Upstream) {
 	if b.byID[u.ID] != nil {
 		return
 	}
 	b.add(u).startRamp(now)
 }
 
-func (b *Book) add(u Upstream) *state {
+func (b *Balancer) add(u Upstream) *state {
 	if s := b.byID[u.ID]; s != nil {
 		return s
 	}
--- a/upstream/book_test.go
+++ b/upstream/book_test.go
@@ -13,16 +13,16 @@
 	two = upstream.ID("s/g/2")
 )
 
-func newBook() *upstream.Book {
+func newBook() *upstream.Balancer {
 	return upstream.New(upstream.WithSeed(1), upstream.WithUpstreams([]upstream.Upstream{
 		{ID: one, Service: "s", Group: "g"}, {ID: two, Service: "s", Group: "g"},
 		{ID: "s/h/1", Service: "s", Group: "h"},
 	}))
 }
 
-func observe(b *upstream.Book, now clock.Millis, id upstream.ID, r attempt.Reply) {
-	b.Sent(now, id)
-	b.Observe(now, id, r)
+func observe(b *upstream.Balancer, now clock.Millis, id upstream.ID, r attempt.Reply) {
+	b.RecordSent(now, id)
+	b.RecordReply(now, id, r)
 }
 
 func ok(ms clock.Millis, held ...uint64) attempt.Reply {
@@ -30,7 +30,7 @@
 }
 
 // share returns the percentage of picks that choose id.
-func share(b *upstream.Book, now clock.Millis, id upstream.ID) int {
+func share(b *upstream.Balancer, now clock.Millis, id upstream.ID) int {
 	n := 0
 	for range 1000 {
 		if got, _ := b.Pick(now, "s", "g", nil); got == id {
@@ -44,54 +44,54 @@
 func TestPick(t *testing.T) {
 	tests := []struct {
 		name     string
-		prepare  func(b *upstream.Book)
+		prepare  func(b *upstream.Balancer)
 		now      clock.Millis
 		min, max int // percent of the picks for the first replica
 	}{
-		{"healthy", func(*upstream.Book) {}, 100, 40, 60},
-		{"leaving", func(b *upstream.Book) { b.MarkLeaving(0, one) }, clock.Hour, 0, 0},
-		{"leaving by reply", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.OK, Leaving: true}) }, clock.Hour, 0, 0},
-		{"old reply after leaving", func(b *upstream.Book) {
-			b.Sent(0, one)
+		{"healthy", func(*upstream.Balancer) {}, 100, 40, 60},
+		{"leaving", func(b *upstream.Balancer) { b.MarkLeaving(0, one) }, clock.Hour, 0, 0},
+		{"leaving by reply", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.OK, Leaving: true}) }, clock.Hour, 0, 0},
+		{"old reply after leaving", func(b *upstream.Balancer) {
+			b.RecordSent(0, one)
 			b.MarkLeaving(20, one)
-			b.Observe(25, one, ok(25))
+			b.RecordReply(25, one, ok(25))
 		}, clock.Hour, 0, 0},
-		{"reply to a later attempt", func(b *upstream.Book) {
+		{"reply to a later attempt", func(b *upstream.Balancer) {
 			b.MarkLeaving(20, one)
 			observe(b, 50, one, ok(25))
 		}, clock.Hour, 40, 100},
-		{"back", func(b *upstream.Book) {
+		{"back", func(b *upstream.Balancer) {
 			b.MarkLeaving(0, one)
-			b.MarkBack(1000, one)
+			b.MarkAvailable(1000, one)
 		}, 1000, 2, 15},
-		{"back and ramped", func(b *upstream.Book) {
+		{"back and ramped", func(b *upstream.Balancer) {
 			b.MarkLeaving(0, one)
-			b.MarkBack(1000, one)
+			b.MarkAvailable(1000, one)
 		}, 7000, 40, 60},
-		{"refused", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused}) }, 200, 0, 0},
-		{"one failure", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.Failed}) }, 200, 40, 60},
-		{"due for a trial", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused}) }, 300, 100, 100},
-		{"trial in flight", func(b *upstream.Book) {
+		{"refused", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused}) }, 200, 0, 0},
+		{"one failure", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.Failed}) }, 200, 40, 60},
+		{"due for a trial", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused}) }, 300, 100, 100},
+		{"trial in flight", func(b *upstream.Balancer) {
 			observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused})
-			b.Sent(300, one)
+			b.RecordSent(300, one)
 		}, 300, 0, 0},
-		{"shedding", func(b *upstream.Book) { observe(b, 0, one, attempt.Reply{Status: attempt.Shed}) }, 20, 0, 0},
-		{"slow", func(b *upstream.Book) {
+		{"shedding", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.Shed}) }, 20, 0, 0},
+		{"slow", func(b *upstream.Balancer) {
 			observe(b, 0, one, ok(80))
 			observe(b, 0, two, ok(8))
 		}, 10, 0, 0},
-		{"slow long ago", func(b *upstream.Book) {
+		{"slow long ago", func(b *upstream.Balancer) {
 			observe(b, 0, one, ok(80))
 			observe(b, 0, two, ok(8))
 			for range 2 {
-				b.Sent(0, two)
+				b.RecordSent(0, two)
 			}
 		}, clock.Minute, 100, 100},
-		{"abandoned while slow", func(b *upstream.Book) {
+		{"abandoned while slow", func(b *upstream.Balancer) {
 			observe(b, 0, one, ok(8))
 			observe(b, 0, two, ok(8))
-			b.Sent(0, one)
-			b.Abandon(30, one, 30)
+			b.RecordSent(0, one)
+			b.RecordAbandoned(30, one, 30)
 		}, 30, 0, 0},
 	}
 	for _, tt := range tests {
@@ -133,7 +133,7 @@
 	observe(b, 0, two, ok(8, 1, 2))
 	lacking := 0
 	for range 320 {
-		if got, _ := b.PickVersion(clock.Hour, "s", "g", 2, nil); got == one {
+		if got, _ := b.PickForVersion(clock.Hour, "s", "g", 2, nil); got == one {
 			lacking++
 			observe(b, clock.Hour, one, attempt.Reply{Status: attempt.VersionGone, HeldVersions: []uint64{1}})
 		}
@@ -159,22 +159,22 @@
 func TestVersion(t *testing.T) {
 	tests := []struct {
 		name    string
-		prepare func(b *upstream.Book)
+		prepare func(b *upstream.Balancer)
 		want    uint64
 		ok      bool
 	}{
-		{"nothing known", func(*upstream.Book) {}, 0, false},
-		{"unknown groups are ignored", func(b *upstream.Book) { observe(b, 0, one, ok(8, 1, 2)) }, 2, true},
-		{"newest common", func(b *upstream.Book) {
+		{"nothing known", func(*upstream.Balancer) {}, 0, false},
+		{"unknown groups are ignored", func(b *upstream.Balancer) { observe(b, 0, one, ok(8, 1, 2)) }, 2, true},
+		{"newest common", func(b *upstream.Balancer) {
 			observe(b, 0, one, ok(8, 1, 2))
 			observe(b, 0, two, ok(8, 1, 2, 3))
 			observe(b, 0, "s/h/1", ok(8, 1, 2))
 		}, 2, true},
-		{"none common", func(b *upstream.Book) {
+		{"none common", func(b *upstream.Balancer) {
 			observe(b, 0, one, ok(8, 2))
 			observe(b, 0, "s/h/1", ok(8, 1))
 		}, 0, false},
-		{"dead holder", func(b *upstream.Book) {
+		{"dead holder", func(b *upstream.Balancer) {
 			observe(b, 0, one, ok(8, 1))
 			observe(b, 0, two, ok(8, 2))
 			observe(b, 0, "s/h/1", ok(8, 1, 2))
@@ -185,7 +185,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBook()
 			tt.prepare(b)
-			if got, found := b.Version("s"); got != tt.want || found != tt.ok {
+			if got, found := b.CommonVersion("s"); got != tt.want || found != tt.ok {
 				t.Errorf("Version = %d, %v, want %d, %v", got, found, tt.want, tt.ok)
 			}
 		})
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -16,19 +16,19 @@
 	Cancel(ctx context.Context, id ID, attempt attempt.ID) error
 	// Load asks an upstream for its load. The answer may lag or mislead.
 	Load(ctx context.Context, id ID) (Load, error)
-	// SetConnections changes how many connections to an upstream may be open.
-	SetConnections(id ID, n int)
+	// SetConnectionLimit changes how many connections to an upstream may be open.
+	SetConnectionLimit(id ID, n int)
 	// Close closes all connections; running attempts fail.
 	Close()
 }
 
 // Load is what an upstream says about itself. Only Leaving is binding.
 type Load struct {
-	Healthy     bool     `json:"healthy"`
-	Leaving     bool     `json:"leaving"`
-	Cold        bool     `json:"cold"`
-	Running     int      `json:"running"`
-	Queued      int      `json:"queued"`
-	Connections int      `json:"connections"`
-	Held        []uint64 `json:"held"`
+	Healthy      bool     `json:"healthy"`
+	Leaving      bool     `json:"leaving"`
+	Cold         bool     `json:"cold"`
+	Running      int      `json:"running"`
+	Queued       int      `json:"queued"`
+	Connections  int      `json:"connections"`
+	HeldVersions []uint64 `json:"held"`
 }
--- a/upstream/httpup/client.go
+++ b/upstream/httpup/client.go
@@ -57,25 +57,25 @@
 	c.hosts = make(map[upstream.ID]*host, len(c.upstreams))
 	for _, u := range c.upstreams {
 		wait := httpcall.WithWaitTimeout(c.controlMs.Duration())
-		c.hosts[u.ID] = &host{work: c.newHost(u, u.Connections, c.idleMs), control: c.newHost(u, 1, controlIdleMs, wait)}
+		c.hosts[u.ID] = &host{work: c.newHost(u, u.ConnectionLimit, c.idleMs), control: c.newHost(u, 1, controlIdleMs, wait)}
 	}
 	return c
 }
 
 func (c *Client) newHost(u upstream.Upstream, connections int, idleMs clock.Millis, extra ...httpcall.Option) *httpcall.Host {
 	opts := append(extra,
-		httpcall.WithConnections(connections),
+		httpcall.WithMaxConns(connections),
 		httpcall.WithConnectTimeout(c.connectMs.Duration()),
 		httpcall.WithIdleTimeout(idleMs.Duration()),
-		httpcall.WithReplyBytes(c.replyBytes),
+		httpcall.WithMaxReplyBytes(c.replyBytes),
 	)
 	return httpcall.New(u.Address, opts...)
 }
 
-// SetConnections changes how many connections to an upstream may be open.
-func (c *Client) SetConnections(id upstream.ID, n int) {
+// SetConnectionLimit changes how many connections to an upstream may be open.
+func (c *Client) SetConnectionLimit(id upstream.ID, n int) {
 	if h, ok := c.hosts[id]; ok {
-		h.work.SetConnections(n)
+		h.work.SetConnectionLimit(n)
 	}
 }
 
--- a/upstream/httpup/decode_bench_test.go
+++ b/upstream/httpup/decode_bench_test.go
@@ -14,8 +14,8 @@
 // does once per sub-request.
 func BenchmarkDecodeReply(b *testing.B) {
 	id := attempt.ID{VM: "vm-1", Incarnation: 1 << 60, Seq: 77}
-	doc := httpup.ReplyDoc{Attempt: id, Status: httpup.StatusOK, Ran: attempt.Executed, Version: 3, Epoch: 2,
-		Ranges: []coverage.Range{{From: 0, To: 500}}, Held: []uint64{2, 3}}
+	doc := httpup.ReplyDoc{Attempt: id, Status: httpup.StatusOK, Execution: attempt.Executed, Version: 3, Epoch: 2,
+		Ranges: []coverage.Range{{From: 0, To: 500}}, HeldVersions: []uint64{2, 3}}
 	for i := range uint32(10) {
 		doc.Rows = append(doc.Rows, coverage.Row{Key: i, Value: fmt.Sprintf("v3/%d", i)})
 	}
--- a/upstream/httpup/httpup_test.go
+++ b/upstream/httpup/httpup_test.go
@@ -81,7 +81,7 @@
 }
 
 func whole(status string, ran attempt.Execution, at attempt.ID) string {
-	b, _ := json.Marshal(httpup.ReplyDoc{Attempt: at, Status: status, Ran: ran, Held: []uint64{1},
+	b, _ := json.Marshal(httpup.ReplyDoc{Attempt: at, Status: status, Execution: ran, HeldVersions: []uint64{1},
 		Rows: []coverage.Row{{Key: 1, Value: at.String()}}})
 	return head(len(b)) + string(b)
 }
@@ -95,8 +95,8 @@
 
 func client(t *testing.T, address string) *httpup.Client {
 	t.Helper()
-	c := httpup.New(httpup.WithReplyBytes(replyBytes), httpup.WithServices(upstream.Service{Groups: []upstream.Group{
-		{Replicas: []upstream.Upstream{{ID: id, Address: address, Connections: limit}}}}}))
+	c := httpup.New(httpup.WithMaxReplyBytes(replyBytes), httpup.WithServices(upstream.Service{Groups: []upstream.Group{
+		{Replicas: []upstream.Upstream{{ID: id, Address: address, ConnectionLimit: limit}}}}}))
 	t.Cleanup(c.Close)
 	return c
 }
@@ -161,7 +161,7 @@
 			if tt.closes {
 				<-p.closed // hangs until the test times out if the connection is kept
 			}
-			if open := c.Stats(id).Open; tt.closes && open != 0 {
+			if open := c.Stats(id).OpenConns; tt.closes && open != 0 {
 				t.Errorf("got %d open connections, want 0", open)
 			}
 		})
@@ -207,7 +207,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := client(t, address)
-			c.SetConnections(id, tt.connections)
+			c.SetConnectionLimit(id, tt.connections)
 			if got := c.Send(tt.ctx, tt.req); got.Status != tt.want || got.Execution != attempt.NotExecuted {
 				t.Errorf("Send = %v %v, want %v no", got.Status, got.Execution, tt.want)
 			}
@@ -240,7 +240,7 @@
 	if got := runs.Load(); got > sends {
 		t.Errorf("upstream saw %d requests, want at most %d", got, sends)
 	}
-	if s := c.Stats(id); s.Doubled+s.Stale+s.Crossed == 0 {
+	if s := c.Stats(id); s.TrailingData+s.StaleConns+s.WrongAttempt == 0 {
 		t.Errorf("Stats = %+v, want dropped replies counted", s)
 	}
 }
@@ -262,7 +262,7 @@
 	if got := p.peak.Load(); got > limit {
 		t.Errorf("upstream saw %d connections at once, want at most %d", got, limit)
 	}
-	if got := c.Stats(id).Opened; got == 0 || got > limit {
+	if got := c.Stats(id).OpenedConns; got == 0 || got > limit {
 		t.Errorf("client opened %d connections, want 1 to %d", got, limit)
 	}
 }
--- a/upstream/httpup/options.go
+++ b/upstream/httpup/options.go
@@ -31,5 +31,5 @@
 // WithControlTimeout bounds a call of Cancel or Load.
 func WithControlTimeout(ms clock.Millis) Option { return func(c *Client) { c.controlMs = ms } }
 
-// WithReplyBytes bounds the body of a reply.
-func WithReplyBytes(n int) Option { return func(c *Client) { c.replyBytes = n } }
+// WithMaxReplyBytes bounds the body of a reply.
+func WithMaxReplyBytes(n int) Option { return func(c *Client) { c.replyBytes = n } }
--- a/upstream/httpup/send.go
+++ b/upstream/httpup/send.go
@@ -90,12 +90,12 @@
 		return attempt.Reply{Status: attempt.TimedOut, Execution: attempt.ExecutionUnknown}
 	case httpcall.KindBroken:
 		return attempt.Reply{Status: attempt.Failed, Execution: attempt.ExecutionUnknown}
-	case httpcall.KindRefused:
+	case httpcall.KindRejected:
 		if errors.As(err, new(statusError)) {
 			return attempt.Reply{Status: attempt.Failed, Execution: attempt.ExecutionUnknown}
 		}
 		h.count(err)
-	case httpcall.KindDoubled:
+	case httpcall.KindTrailingData:
 		h.doubled.Add(1)
 	default:
 		h.cut.Add(1)
--- a/upstream/httpup/wire.go
+++ b/upstream/httpup/wire.go
@@ -29,11 +29,11 @@
 type ReplyDoc struct {
 	Attempt      attempt.ID        `json:"attempt"`
 	Status       string            `json:"status"`
-	Ran          attempt.Execution `json:"ran"`
+	Execution    attempt.Execution `json:"ran"`
 	Version      uint64            `json:"version"`
 	Epoch        uint64            `json:"epoch"`
 	Ranges       []coverage.Range  `json:"ranges,omitempty"`
-	Held         []uint64          `json:"held,omitempty"`
+	HeldVersions []uint64          `json:"held,omitempty"`
 	Rows         []coverage.Row    `json:"rows,omitempty"`
 	Body         []byte            `json:"body,omitempty"`
 	Leaving      bool              `json:"leaving"`
@@ -99,8 +99,8 @@
 	if !ok {
 		return attempt.Reply{}, fmt.Errorf("status %q is unknown", doc.Status)
 	}
-	if o.settled && doc.Ran != o.ran {
-		return attempt.Reply{}, fmt.Errorf("%w: %s and %s", errContradicts, doc.Status, doc.Ran)
+	if o.settled && doc.Execution != o.ran {
+		return attempt.Reply{}, fmt.Errorf("%w: %s and %s", errContradicts, doc.Status, doc.Execution)
 	}
 	for _, r := range doc.Ranges {
 		if r.Len() == 0 {
@@ -114,11 +114,11 @@
 	return attempt.Reply{
 		ID:           d.Attempt,
 		Status:       status,
-		Execution:    d.Ran,
+		Execution:    d.Execution,
 		Version:      d.Version,
 		Epoch:        d.Epoch,
 		Ranges:       d.Ranges,
-		HeldVersions: d.Held,
+		HeldVersions: d.HeldVersions,
 		Rows:         d.Rows,
 		Body:         d.Body,
 		Leaving:      d.Leaving,
--- a/upstream/observe.go
+++ b/upstream/observe.go
@@ -21,8 +21,8 @@
 	abandonedFactor = 2
 )
 
-// Sent records that an attempt starts.
-func (b *Book) Sent(_ clock.Millis, id ID) {
+// RecordSent records that an attempt starts.
+func (b *Balancer) RecordSent(_ clock.Millis, id ID) {
 	s := b.byID[id]
 	if s == nil {
 		return
@@ -33,8 +33,8 @@
 	}
 }
 
-// Observe records the end of an attempt. The latency is the reply's queue and service time.
-func (b *Book) Observe(now clock.Millis, id ID, r attempt.Reply) {
+// RecordReply records the end of an attempt. The latency is the reply's queue and service time.
+func (b *Balancer) RecordReply(now clock.Millis, id ID, r attempt.Reply) {
 	s := b.byID[id]
 	if s == nil {
 		return
@@ -60,9 +60,9 @@
 	}
 }
 
-// Abandon records that the VM gave up an attempt after elapsed, for example
+// RecordAbandoned records that the VM gave up an attempt after elapsed, for example
 // because another replica was faster.
-func (b *Book) Abandon(now clock.Millis, id ID, elapsed clock.Millis) {
+func (b *Balancer) RecordAbandoned(now clock.Millis, id ID, elapsed clock.Millis) {
 	s := b.byID[id]
 	if s == nil {
 		return
@@ -77,9 +77,9 @@
 	}
 }
 
-// LearnHeld records which snapshot versions an upstream reports outside of a
+// RecordHeldVersions records which snapshot versions an upstream reports outside of a
 // reply. A VM that has just started learns the versions this way.
-func (b *Book) LearnHeld(now clock.Millis, id ID, held []uint64) {
+func (b *Balancer) RecordHeldVersions(now clock.Millis, id ID, held []uint64) {
 	if s := b.byID[id]; s != nil && len(held) > 0 {
 		s.heldAt = now
 		s.setHeld(now, held)
@@ -114,14 +114,14 @@
 
 // MarkLeaving records a report that the upstream is leaving. It is binding
 // until the upstream is observed or reported back.
-func (b *Book) MarkLeaving(now clock.Millis, id ID) {
+func (b *Balancer) MarkLeaving(now clock.Millis, id ID) {
 	if s := b.byID[id]; s != nil {
 		s.leave(now)
 	}
 }
 
-// MarkBack records a report that the upstream accepts work again.
-func (b *Book) MarkBack(now clock.Millis, id ID) {
+// MarkAvailable records a report that the upstream accepts work again.
+func (b *Balancer) MarkAvailable(now clock.Millis, id ID) {
 	if s := b.byID[id]; s != nil {
 		s.comeBack(now)
 	}
--- a/upstream/options.go
+++ b/upstream/options.go
@@ -7,12 +7,12 @@
 )
 
 // Option configures a Book.
-type Option func(*Book)
+type Option func(*Balancer)
 
 // WithUpstreams sets the upstreams known at the start. They are not ramped:
 // the VM is new to them, but they need not be cold.
 func WithUpstreams(list []Upstream) Option {
-	return func(b *Book) {
+	return func(b *Balancer) {
 		for _, u := range list {
 			b.add(u)
 		}
@@ -21,21 +21,21 @@
 
 // WithSeed sets the seed of the random choices.
 func WithSeed(seed uint64) Option {
-	return func(b *Book) { b.rng = rand.New(rand.NewPCG(seed, 1)) }
+	return func(b *Balancer) { b.rng = rand.New(rand.NewPCG(seed, 1)) }
 }
 
-// WithRamp sets how long an upstream that is new or came back takes to reach its full share.
-func WithRamp(ms clock.Millis) Option {
-	return func(b *Book) { b.rampMs = ms }
+// WithRampTime sets how long an upstream that is new or came back takes to reach its full share.
+func WithRampTime(ms clock.Millis) Option {
+	return func(b *Balancer) { b.rampMs = ms }
 }
 
-// WithHedgeFloor sets the shortest hedge delay.
-func WithHedgeFloor(ms clock.Millis) Option {
-	return func(b *Book) { b.floorMs = ms }
+// WithMinHedgeDelay sets the shortest hedge delay.
+func WithMinHedgeDelay(ms clock.Millis) Option {
+	return func(b *Balancer) { b.floorMs = ms }
 }
 
 // WithRandomPick makes Pick choose at random among the upstreams that are not
 // leaving, whatever is known of them. It is the baseline of experiments.
 func WithRandomPick() Option {
-	return func(b *Book) { b.random = true }
+	return func(b *Balancer) { b.random = true }
 }
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -34,13 +34,13 @@
 
 // Pick chooses the upstream for an attempt on any version. It returns false
 // if every upstream of the group is leaving or excluded.
-func (b *Book) Pick(now clock.Millis, service, group string, exclude []ID) (ID, bool) {
-	return b.PickVersion(now, service, group, 0, exclude)
+func (b *Balancer) Pick(now clock.Millis, service, group string, exclude []ID) (ID, bool) {
+	return b.PickForVersion(now, service, group, 0, exclude)
 }
 
-// PickVersion is Pick that prefers upstreams not known to lack the version; 0 means any.
+// PickForVersion is Pick that prefers upstreams not known to lack the version; 0 means any.
 // As a last resort it returns an upstream that is marked dead.
-func (b *Book) PickVersion(now clock.Millis, service, group string, version uint64, exclude []ID) (ID, bool) {
+func (b *Balancer) PickForVersion(now clock.Millis, service, group string, version uint64, exclude []ID) (ID, bool) {
 	return b.pick(now, service, group, version, exclude, tierDead)
 }
 
@@ -48,7 +48,7 @@
 // tried, unless that one is a straggler beside one that was: a request that is
 // slow by chance is served sooner by a second try there. It returns no
 // upstream that would probably refuse, because such a hedge is only load.
-func (b *Book) PickHedge(now clock.Millis, service, group string, version uint64, tried []ID) (ID, bool) {
+func (b *Balancer) PickHedge(now clock.Millis, service, group string, version uint64, tried []ID) (ID, bool) {
 	id, ok := b.pick(now, service, group, version, tried, tierRamping)
 	if !ok {
 		return "", false
@@ -67,7 +67,7 @@
 	return id, true
 }
 
-func (b *Book) pick(now clock.Millis, svc, grp string, version uint64, exclude []ID, worst int) (ID, bool) {
+func (b *Balancer) pick(now clock.Millis, svc, grp string, version uint64, exclude []ID, worst int) (ID, bool) {
 	g := b.find(svc, grp)
 	if g == nil {
 		return "", false
@@ -99,7 +99,7 @@
 }
 
 // better compares two random candidates of the scratch list.
-func (b *Book) better(now clock.Millis, g *group) *state {
+func (b *Balancer) better(now clock.Millis, g *group) *state {
 	n := len(b.scratch)
 	i := b.rng.IntN(n)
 	if n == 1 || b.random {
@@ -116,7 +116,7 @@
 	return x
 }
 
-func (b *Book) tier(now clock.Millis, s *state, version uint64) int {
+func (b *Balancer) tier(now clock.Millis, s *state, version uint64) int {
 	g := s.group
 	switch {
 	case b.random:
@@ -141,7 +141,7 @@
 }
 
 // share rises from rampStartShare to 1 over the ramp.
-func (b *Book) share(now clock.Millis, s *state) float64 {
+func (b *Balancer) share(now clock.Millis, s *state) float64 {
 	if b.rampMs <= 0 || now >= s.rampFrom+b.rampMs {
 		s.ramping = false
 		return 1
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -10,12 +10,12 @@
 
 // Upstream describes one upstream as configured.
 type Upstream struct {
-	ID          ID
-	Service     string
-	Group       string
-	Address     string // host:port
-	Connections int    // limit that all VMs share
-	ConnectMs   clock.Millis
+	ID              ID
+	Service         string
+	Group           string
+	Address         string // host:port
+	ConnectionLimit int    // limit that all VMs share
+	ConnectMs       clock.Millis
 }
 
 // Service describes one service: its groups share the key space [0, Keys).
--- a/upstream/view.go
+++ b/upstream/view.go
@@ -18,7 +18,7 @@
 // HedgeDelay returns how long to wait for an attempt on the upstream before a
 // hedge: the lowest p95 in the group, so that a straggler does not wait for
 // its own long tail, and at most a few medians.
-func (b *Book) HedgeDelay(_ clock.Millis, id ID) clock.Millis {
+func (b *Balancer) HedgeDelay(_ clock.Millis, id ID) clock.Millis {
 	s := b.byID[id]
 	if s == nil {
 		return max(defaultLatencyMs, b.floorMs)
@@ -35,8 +35,8 @@
 	return max(clock.Millis(math.Ceil(best)), b.floorMs)
 }
 
-// TypicalMs returns the p95 latency of the service's attempts.
-func (b *Book) TypicalMs(service string) clock.Millis {
+// LatencyP95 returns the p95 latency of the service's attempts.
+func (b *Balancer) LatencyP95(service string) clock.Millis {
 	svc := b.services[service]
 	if svc == nil {
 		return defaultLatencyMs
@@ -44,9 +44,9 @@
 	return clock.Millis(math.Ceil(svc.typicalMs()))
 }
 
-// Version returns the newest version that at least one usable upstream of
+// CommonVersion returns the newest version that at least one usable upstream of
 // every group holds. Groups with nothing known are ignored.
-func (b *Book) Version(service string) (version uint64, ok bool) {
+func (b *Balancer) CommonVersion(service string) (version uint64, ok bool) {
 	svc := b.services[service]
 	if svc == nil {
 		return 0, false
@@ -69,7 +69,7 @@
 // at once would send all work to the first upstreams that load it, with half
 // the capacity of their groups; without the time limit one upstream that never
 // loads it would keep the whole service on an old snapshot.
-func (b *Book) BestVersion(now clock.Millis, service string) (version uint64, holds, known int) {
+func (b *Balancer) BestVersion(now clock.Millis, service string) (version uint64, holds, known int) {
 	svc := b.services[service]
 	if svc == nil {
 		return 0, 0, 0
@@ -102,8 +102,8 @@
 	return newest
 }
 
-// Holders returns the number of groups in which a usable upstream is known to hold the version.
-func (b *Book) Holders(service string, version uint64) int {
+// GroupsHolding returns the number of groups in which a usable upstream is known to hold the version.
+func (b *Balancer) GroupsHolding(service string, version uint64) int {
 	svc := b.services[service]
 	if svc == nil {
 		return 0
@@ -114,15 +114,15 @@
 
 // MayHold reports whether some usable upstream of the group holds the version
 // or has not said what it holds.
-func (b *Book) MayHold(service, group string, version uint64) bool {
+func (b *Balancer) MayHold(service, group string, version uint64) bool {
 	g := b.find(service, group)
 	return g != nil && slices.ContainsFunc(g.upstreams, func(s *state) bool {
 		return s.usable() && (len(s.held) == 0 || slices.Contains(s.held, version))
 	})
 }
 
-// Held returns the versions that the upstream last reported and when.
-func (b *Book) Held(id ID) ([]uint64, clock.Millis) {
+// HeldVersions returns the versions that the upstream last reported and when.
+func (b *Balancer) HeldVersions(id ID) ([]uint64, clock.Millis) {
 	s := b.byID[id]
 	if s == nil {
 		return nil, 0
@@ -131,7 +131,7 @@
 }
 
 // Outstanding returns the number of this VM's open attempts on the upstream.
-func (b *Book) Outstanding(id ID) int {
+func (b *Balancer) Outstanding(id ID) int {
 	if s := b.byID[id]; s != nil {
 		return s.outstanding
 	}
@@ -139,7 +139,7 @@
 }
 
 // Avoided lists the upstreams that get less or no work at now.
-func (b *Book) Avoided(now clock.Millis) []Avoided {
+func (b *Balancer) Avoided(now clock.Millis) []Avoided {
 	var list []Avoided
 	for _, s := range b.byID {
 		switch {
@@ -162,7 +162,7 @@
 	return list
 }
 
-func (b *Book) find(svc, grp string) *group {
+func (b *Balancer) find(svc, grp string) *group {
 	if s := b.services[svc]; s != nil {
 		return s.byName[grp]
 	}
--- a/vm/core.go
+++ b/vm/core.go
@@ -34,7 +34,7 @@
 	pool      *pool.Model
 	orders    *order.Model
 	fleet     *fleet.Model
-	book      *upstream.Book
+	book      *upstream.Balancer
 	ring      *timeline.Ring
 	carriers  *CarrierTable
 	loads     carrierLoads
@@ -147,7 +147,7 @@
 		connections := 0
 		for _, g := range svc.Groups {
 			for _, u := range g.Replicas {
-				connections += u.Connections
+				connections += u.ConnectionLimit
 			}
 		}
 		share := max(connections/max(cfg.fleetSize, 1), 2*len(svc.Groups))
--- a/vm/forward_test.go
+++ b/vm/forward_test.go
@@ -34,7 +34,7 @@
 		table := vm.NewCarrierTable([]string{id})
 		table.SetMembers([]string{"a", "b", "c"})
 		if !table.IsCarrier(id, "a") {
-			group.Replicas = append(group.Replicas, upstream.Upstream{ID: upstream.ID(id), Service: "desk", Group: "g", Connections: 10})
+			group.Replicas = append(group.Replicas, upstream.Upstream{ID: upstream.ID(id), Service: "desk", Group: "g", ConnectionLimit: 10})
 		}
 	}
 	var all []fleet.VM
@@ -74,12 +74,12 @@
 }
 
 func (t *cluster) callStore(r store.Request) store.Reply {
-	reply := store.Reply{Owner: r.Owner, Tag: r.Tag, Op: r.Op}
+	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
 	e := t.entries[r.Key]
 	switch {
 	case r.Op == store.OpWatch:
 		reply.Kind = store.KindUnavailable
-	case r.Op == store.OpSwap && e.Revision != r.Expect:
+	case r.Op == store.OpSwap && e.Revision != r.Revision:
 		reply.Kind = store.KindConflict
 	case r.Op == store.OpSwap:
 		e = store.Entry{Key: r.Key, Value: r.Value, Revision: e.Revision + 1}
--- a/vm/handle.go
+++ b/vm/handle.go
@@ -136,7 +136,7 @@
 	if !m.OK {
 		return
 	}
-	c.book.LearnHeld(now, m.Upstream, m.Load.Held)
+	c.book.RecordHeldVersions(now, m.Upstream, m.Load.HeldVersions)
 }
 
 func (c *Core) reportLeaving(r attempt.Reply) {
@@ -146,7 +146,7 @@
 }
 
 func (c *Core) handleStoreReply(m StoreMsg) {
-	if m.Reply.Owner == orderOwner {
+	if m.Reply.Requester == orderOwner {
 		c.enqueue(order.StoreMsg{Reply: m.Reply})
 		return
 	}
--- a/vm/member.go
+++ b/vm/member.go
@@ -54,12 +54,12 @@
 }
 
 func (c *Core) setConnectionLimit(id string) {
-	limit := c.carriers.ConnectionLimit(id, c.self.ID, c.upstreams[id].Connections)
+	limit := c.carriers.ConnectionLimit(id, c.self.ID, c.upstreams[id].ConnectionLimit)
 	if _, open := c.handovers.open[id]; open {
-		limit = min(limit, max(1, c.upstreams[id].Connections*handoverPercent/100))
+		limit = min(limit, max(1, c.upstreams[id].ConnectionLimit*handoverPercent/100))
 	}
 	if c.routing == RouteDirect {
-		limit = max(1, c.upstreams[id].Connections/max(c.liveVMs, 1))
+		limit = max(1, c.upstreams[id].ConnectionLimit/max(c.liveVMs, 1))
 	}
 	if limit == c.pool.Limit(id) {
 		return
@@ -84,7 +84,7 @@
 		c.enqueue(pool.LeavingMsg{Upstream: string(m.Upstream)})
 		return
 	}
-	c.book.MarkBack(now, m.Upstream)
+	c.book.MarkAvailable(now, m.Upstream)
 	c.enqueue(pool.AvailableMsg{Upstream: string(m.Upstream)})
 }
 
