--- a/experiment/capacity.go
+++ b/experiment/capacity.go
@@ -91,10 +91,10 @@
 // report adds the figures of one size.
 func (m meter) report(r *Report, c cost, what, size string) {
 	if m.cpu != nil {
-		r.Note(what+" time"+size, "us", 0, c.ns/1e3)
+		r.AddUnbounded(what+" time"+size, "us", 0, c.ns/1e3)
 	}
-	r.Note(what+" allocations"+size, "", 0, c.allocs)
-	r.Note(what+" allocated"+size, "bytes", 0, c.bytes)
+	r.AddUnbounded(what+" allocations"+size, "", 0, c.allocs)
+	r.AddUnbounded(what+" allocated"+size, "bytes", 0, c.bytes)
 }
 
 // grown returns the bytes that what build returned keeps in use.
@@ -113,16 +113,16 @@
 	if m.cpu != nil {
 		c.extrapolateTime(r)
 	}
-	r.Note("two years: queries of a VM", "1/s", 0, queriesPerVM)
-	r.Note("two years: sub-requests sent by a VM", "1/s", 0, attemptsPerVM)
-	r.Note("two years: upstreams carried by a VM", "", 0, targetUpstreams*carriersEach/targetVMs)
-	r.Note("two years: peer traffic of a VM, each way", "MB/s", 0, attemptsPerVM*c.pairBytes/1e6)
-	r.Note("two years: peer streams of a VM", "", 0, streams(targetVMs))
-	r.Note("two years: open queries of a VM", "MB", 0, queriesPerVM*targetDeadlineMs/1e3*c.openQueryBytes/1e6)
-	r.Note("two years: book of upstreams in a VM", "MB", 0, targetUpstreams*c.bookBytes/1e6)
-	r.Note("two years: ring of events in a VM", "MB", 0, ringEvents*c.eventBytes/1e6)
+	r.AddUnbounded("two years: queries of a VM", "1/s", 0, queriesPerVM)
+	r.AddUnbounded("two years: sub-requests sent by a VM", "1/s", 0, attemptsPerVM)
+	r.AddUnbounded("two years: upstreams carried by a VM", "", 0, targetUpstreams*carriersEach/targetVMs)
+	r.AddUnbounded("two years: peer traffic of a VM, each way", "MB/s", 0, attemptsPerVM*c.pairBytes/1e6)
+	r.AddUnbounded("two years: peer streams of a VM", "", 0, streams(targetVMs))
+	r.AddUnbounded("two years: open queries of a VM", "MB", 0, queriesPerVM*targetDeadlineMs/1e3*c.openQueryBytes/1e6)
+	r.AddUnbounded("two years: book of upstreams in a VM", "MB", 0, targetUpstreams*c.bookBytes/1e6)
+	r.AddUnbounded("two years: ring of events in a VM", "MB", 0, ringEvents*c.eventBytes/1e6)
 	r.AtMost("two years: carrier table of a VM", "MB", 0, targetUpstreams*c.tableBytes/1e6, controlMB)
-	r.Note("two years: answers to one question for the status of the fleet", "MB", 0, targetVMs*c.statusBytes/1e6)
+	r.AddUnbounded("two years: answers to one question for the status of the fleet", "MB", 0, targetVMs*c.statusBytes/1e6)
 	for _, perSecond := range []float64{1, 10, 100, 1000} {
 		c.extrapolateClaims(r, perSecond)
 	}
@@ -139,13 +139,13 @@
 	// Each VM encodes and decodes as caller and again as carrier.
 	peer := core(c.encode.ns+c.decode.ns, 2*attemptsPerVM)
 	gate := core(c.decision.ns, queriesPerVM)
-	r.Note("two years: query machine of a VM", "% core", 0, query)
-	r.Note("two years: pool machine of a VM", "% core", 0, pool)
-	r.Note("two years: peer encoding of a VM", "% core", 0, peer)
-	r.Note("two years: admission of a VM", "% core", 0, gate)
+	r.AddUnbounded("two years: query machine of a VM", "% core", 0, query)
+	r.AddUnbounded("two years: pool machine of a VM", "% core", 0, pool)
+	r.AddUnbounded("two years: peer encoding of a VM", "% core", 0, peer)
+	r.AddUnbounded("two years: admission of a VM", "% core", 0, gate)
 	r.AtMost("two years: machines on the event loop of a VM", "% core", 0, query+pool+gate, 100)
 	members := core((c.join.ns+c.leave.ns)/2+c.owners.ns, changesOfMembers)
 	r.AtMost("two years: carrier and owner tables of a VM", "% core", 0, members, controlCore)
-	r.Note("two years: longest stop of the event loop, one VM joins", "ms", 0, c.join.ns/1e6)
-	r.Note("two years: longest stop of the event loop, a data centre leaves", "ms", 0, c.leaveDC.ns/1e6)
+	r.AddUnbounded("two years: longest stop of the event loop, one VM joins", "ms", 0, c.join.ns/1e6)
+	r.AddUnbounded("two years: longest stop of the event loop, a data centre leaves", "ms", 0, c.leaveDC.ns/1e6)
 }
--- a/experiment/capacity_order.go
+++ b/experiment/capacity_order.go
@@ -32,14 +32,14 @@
 		})
 		c.claimBytes = (grew - float64(rig.stored())) / float64(orders)
 		c.claimWireBytes = float64(rig.stored()) / float64(orders)
-		r.Note("store writes of an order"+size, "", 1, float64(rig.writes)/float64(orders))
+		r.AddUnbounded("store writes of an order"+size, "", 1, float64(rig.writes)/float64(orders))
 		r.AtMost("store writes of all partitions"+size, "1/s", float64(perSecond), float64(rig.writes)/claimSeconds, storeWrites)
-		r.Note("store reads of all partitions"+size, "1/s", 0, float64(rig.reads)/claimSeconds)
-		r.Note("bytes written to the store"+size, "MB/s", 0, float64(rig.written)/claimSeconds/1e6)
+		r.AddUnbounded("store reads of all partitions"+size, "1/s", 0, float64(rig.reads)/claimSeconds)
+		r.AddUnbounded("bytes written to the store"+size, "MB/s", 0, float64(rig.written)/claimSeconds/1e6)
 		r.AtMost("largest value in the store"+size, "bytes", 0, float64(rig.largest), storeValueBytes)
-		r.Note("claim in the store"+size, "bytes", 0, c.claimWireBytes)
+		r.AddUnbounded("claim in the store"+size, "bytes", 0, c.claimWireBytes)
 		if orders >= claimsForMemory {
-			r.Note("claim in the cache of its owner"+size, "bytes", 0, c.claimBytes)
+			r.AddUnbounded("claim in the cache of its owner"+size, "bytes", 0, c.claimBytes)
 		}
 		m.report(r, spent, "order at the owner", size)
 	}
@@ -144,9 +144,9 @@
 	perPartition := perSecond * secondsPerDay / order.NumPartitions
 	segments := perPartition * c.claimWireBytes / sealBytes
 	// The rate of orders in two years is not stated, so these figures have no bound.
-	r.Note("two years: 24 h of claims of one partition at its owner"+size, "MB", 0, perPartition*c.claimBytes/1e6)
-	r.Note("two years: segments that a new owner reads"+size, "", 0, segments)
-	r.Note("two years: 24 h of claims in the store"+size, "MB", 0, order.NumPartitions*perPartition*c.claimWireBytes/1e6)
+	r.AddUnbounded("two years: 24 h of claims of one partition at its owner"+size, "MB", 0, perPartition*c.claimBytes/1e6)
+	r.AddUnbounded("two years: segments that a new owner reads"+size, "", 0, segments)
+	r.AddUnbounded("two years: 24 h of claims in the store"+size, "MB", 0, order.NumPartitions*perPartition*c.claimWireBytes/1e6)
 }
 
 // claimRateAt returns the orders per second of the fleet at which 24 hours of
--- a/experiment/capacity_peer.go
+++ b/experiment/capacity_peer.go
@@ -34,8 +34,8 @@
 		}}
 		size := fmt.Sprintf(", %d rows", rows)
 		wire := [][]byte{wireOf(forward), wireOf(result)}
-		r.Note("forward on the wire"+size, "bytes", 0, float64(len(wire[0])))
-		r.Note("result on the wire"+size, "bytes", 0, float64(len(wire[1])))
+		r.AddUnbounded("forward on the wire"+size, "bytes", 0, float64(len(wire[0])))
+		r.AddUnbounded("result on the wire"+size, "bytes", 0, float64(len(wire[1])))
 		c.pairBytes = float64(len(wire[0]) + len(wire[1]))
 		c.encode = m.measure(capacityMessages, func() {
 			for range capacityMessages {
@@ -86,6 +86,6 @@
 			return ring
 		})
 		c.eventBytes = grew / float64(n)
-		r.Note(fmt.Sprintf("event in the ring memory, %d events", n), "bytes", 0, c.eventBytes)
+		r.AddUnbounded(fmt.Sprintf("event in the ring memory, %d events", n), "bytes", 0, c.eventBytes)
 	}
 }
--- a/experiment/capacity_query.go
+++ b/experiment/capacity_query.go
@@ -30,7 +30,7 @@
 		m.report(r, c.query, "query", size)
 		grew, _ := grown(func() *queryRig { rig.open(capacityQueries); return rig })
 		c.openQueryBytes = grew / capacityQueries
-		r.Note("open query memory"+size, "bytes", 0, c.openQueryBytes)
+		r.AddUnbounded("open query memory"+size, "bytes", 0, c.openQueryBytes)
 	}
 }
 
--- a/experiment/capacity_table.go
+++ b/experiment/capacity_table.go
@@ -18,7 +18,7 @@
 			return upstream.New(upstream.WithUpstreams(ups), upstream.WithSeed(seed))
 		})
 		c.bookBytes = grew / float64(n)
-		r.Note(fmt.Sprintf("book memory of an upstream, %d upstreams", n), "bytes", 0, c.bookBytes)
+		r.AddUnbounded(fmt.Sprintf("book memory of an upstream, %d upstreams", n), "bytes", 0, c.bookBytes)
 		for _, members := range []int{9, 100, 400, int(targetVMs)} {
 			c.table(r, m, ups, members)
 		}
@@ -39,17 +39,17 @@
 		return t
 	})
 	c.tableBytes = grew / float64(len(ids))
-	r.Note("carrier table memory of an upstream"+size, "bytes", 0, c.tableBytes)
+	r.AddUnbounded("carrier table memory of an upstream"+size, "bytes", 0, c.tableBytes)
 	var moved, movedDC int
 	c.leave = m.measure(1, func() { moved = len(t.SetMembers(all[:last])) })
 	c.join = m.measure(1, func() { t.SetMembers(all) })
 	m.report(r, c.leave, "one VM leaves the carrier table", size)
 	m.report(r, c.join, "one VM joins the carrier table", size)
-	r.Note("upstreams that change carriers when one VM leaves"+size, "", 0, float64(moved))
+	r.AddUnbounded("upstreams that change carriers when one VM leaves"+size, "", 0, float64(moved))
 	kept := all[:members-int(math.Ceil(float64(members)/dataCentres))]
 	c.leaveDC = m.measure(1, func() { movedDC = len(t.SetMembers(kept)) })
 	m.report(r, c.leaveDC, "one in nine VMs leave the carrier table", size)
-	r.Note("upstreams that change carriers when one in nine VMs leave"+size, "", 0, float64(movedDC))
+	r.AddUnbounded("upstreams that change carriers when one in nine VMs leave"+size, "", 0, float64(movedDC))
 	model := order.New(order.WithSelf(all[0], 1))
 	c.owners = m.measure(1, func() { model.Update(0, order.LiveVMsMsg{VMs: all}) })
 	m.report(r, c.owners, "order machine takes a new list of VMs", size)
@@ -74,14 +74,14 @@
 // statuses measures the status document that a VM sends to an operator's VM.
 // It holds no member list: the VM that asks has its own.
 func (c *capacityCosts) statuses(r *Report, m meter) {
-	for _, n := range Sizes {
+	for _, n := range FleetSizes {
 		st := vm.Status{VM: capacityMembers(n)[0], DataCentre: "dc-1", Preset: "ordinary"}
 		var data []byte
 		size := fmt.Sprintf(", %d VMs", n)
 		c.statusCost = m.measure(1, func() { data, _ = json.Marshal(st) })
 		c.statusBytes = float64(len(data))
 		m.report(r, c.statusCost, "encoding the status of a VM", size)
-		r.Note("status of a VM"+size, "bytes", 0, c.statusBytes)
-		r.Note("status of the whole fleet"+size, "bytes", 0, c.statusBytes*float64(n))
+		r.AddUnbounded("status of a VM"+size, "bytes", 0, c.statusBytes)
+		r.AddUnbounded("status of the whole fleet"+size, "bytes", 0, c.statusBytes*float64(n))
 	}
 }
--- a/experiment/connections.go
+++ b/experiment/connections.go
@@ -73,12 +73,12 @@
 }
 
 func reportConnections(report *Report, load connLoad, static, carriers connResult) {
-	report.Note("sub-request p50 at "+load.name, "ms", static.subP50, carriers.subP50)
-	report.Note("sub-request p99 at "+load.name, "ms", static.subP99, carriers.subP99)
-	report.Note("query p50 at "+load.name, "ms", static.queryP50, carriers.queryP50)
-	report.Note("query p99 at "+load.name, "ms", static.queryP99, carriers.queryP99)
-	report.Note("sub-requests not answered at "+load.name, "per 1000", static.failed, carriers.failed)
-	report.Note("connections opened at "+load.name, "per 1000", static.opened, carriers.opened)
+	report.AddUnbounded("sub-request p50 at "+load.name, "ms", static.subP50, carriers.subP50)
+	report.AddUnbounded("sub-request p99 at "+load.name, "ms", static.subP99, carriers.subP99)
+	report.AddUnbounded("query p50 at "+load.name, "ms", static.queryP50, carriers.queryP50)
+	report.AddUnbounded("query p99 at "+load.name, "ms", static.queryP99, carriers.queryP99)
+	report.AddUnbounded("sub-requests not answered at "+load.name, "per 1000", static.failed, carriers.failed)
+	report.AddUnbounded("connections opened at "+load.name, "per 1000", static.opened, carriers.opened)
 	report.AtMost("open per upstream at "+load.name, "", static.maxOpen, carriers.maxOpen, connLimit)
 	report.Notes = append(report.Notes, fmt.Sprintf("at %s: query p50 is better with %s, p99 with %s, openings with %s",
 		load.name, better(static.queryP50, carriers.queryP50), better(static.queryP99, carriers.queryP99),
--- a/experiment/control.go
+++ b/experiment/control.go
@@ -35,7 +35,7 @@
 func Control(seed uint64, cpu func() int64, sizes ...int) Report {
 	r := Report{Name: "control", Seed: seed}
 	if len(sizes) == 0 {
-		sizes = Sizes
+		sizes = FleetSizes
 	}
 	costs := make([]controlCost, len(sizes))
 	for i, n := range sizes {
@@ -65,14 +65,14 @@
 	all := float64(n - 1)
 	r.AtMost("sent by a VM"+size, "bytes/s", all*baselineBeatBytes, c.bytes, controlBytes)
 	r.AtMost("sent by the busiest VM"+size, "bytes/s", all*baselineBeatBytes, c.maxBytes, controlBytes)
-	r.Note("messages of a VM"+size, "1/s", 2*all, c.messages)
+	r.AddUnbounded("messages of a VM"+size, "1/s", 2*all, c.messages)
 	if timed {
 		r.AtMost("processor time of a VM"+size, "% core", 0, c.core, controlCore)
 	}
 	r.AtMost("memory of a VM"+size, "MB", 0, c.megabytes, controlMB)
 	r.AtMost("store reads and watches of the fleet"+size, "1/s", all, c.reads, storeReads)
 	r.AtMost("store writes of the fleet"+size, "1/s", 0, c.writes, storeWrites)
-	r.Note("watches waiting at the end"+size, "", 0, c.waiting)
+	r.AddUnbounded("watches waiting at the end"+size, "", 0, c.waiting)
 	agreed := 0.0
 	if c.agreed {
 		agreed = 1
@@ -86,8 +86,8 @@
 	f.startAndJoin()
 	f.RunFor(settleMs)
 	f.CPU = cpu
-	for _, node := range f.Nodes {
-		node.Sent, node.SentBytes, node.BusyNs = 0, 0, 0
+	for _, node := range f.VMs {
+		node.SentMessages, node.SentBytes, node.BusyNs = 0, 0, 0
 	}
 	f.Store.Reads, f.Store.Writes, f.Store.Watches = 0, 0, 0
 	span := controlMinutes * clock.Minute
@@ -95,7 +95,7 @@
 	f.RunFor(span)
 	c := f.cost(span)
 	c.megabytes = (heapBytes() - before) / float64(n) / 1e6
-	_, c.agreed = f.Until(500, clock.Minute, f.Converged)
+	_, c.agreed = f.RunUntil(500, clock.Minute, f.Converged)
 	return c
 }
 
@@ -111,18 +111,18 @@
 	var c controlCost
 	seconds := float64(span) / float64(clock.Second)
 	var bytes, sent, busy float64
-	for _, n := range f.Nodes {
+	for _, n := range f.VMs {
 		bytes += float64(n.SentBytes)
-		sent += float64(n.Sent)
+		sent += float64(n.SentMessages)
 		busy += float64(n.BusyNs)
 		c.maxBytes = max(c.maxBytes, float64(n.SentBytes)/seconds)
 	}
-	vms := float64(len(f.Nodes))
+	vms := float64(len(f.VMs))
 	c.bytes, c.messages = bytes/vms/seconds, sent/vms/seconds
 	c.core = 100 * busy / vms / seconds / 1e9
 	c.reads = float64(f.Store.Reads+f.Store.Watches) / seconds
 	c.writes = float64(f.Store.Writes) / seconds
-	c.waiting = float64(f.Store.Waiting())
+	c.waiting = float64(f.Store.OpenWatches())
 	return c
 }
 
@@ -138,7 +138,7 @@
 		change := preset.Change{
 			ID: fmt.Sprintf("control-%d", i), Author: "experiment", Reason: "load", SwitchTo: []string{"peak", "ordinary"}[i%2],
 		}
-		f.Operate(f.someRunning(), change, 5*clock.Second, func(preset.Result) {})
+		f.StartChange(f.someRunning(), change, 5*clock.Second, func(preset.Result) {})
 	})
 	f.every(span, reportsPerDay, func(i int) {
 		f.Deliver(f.someRunning(), fleet.UpstreamLeavingMsg{Upstream: upstreamID(i / 2), Leaving: i%2 == 0})
@@ -153,16 +153,16 @@
 	}
 }
 
-func (f *Fleet) someRunning() *Node {
+func (f *Fleet) someRunning() *FleetVM {
 	for {
-		if n := f.Nodes[f.rng.IntN(len(f.Nodes))]; n.Running && n.Model.Ready() {
+		if n := f.VMs[f.rng.IntN(len(f.VMs))]; n.Running && n.Model.Ready() {
 			return n
 		}
 	}
 }
 
 // restartPlanned stops a VM as planned and starts it again.
-func (f *Fleet) restartPlanned(n *Node) {
+func (f *Fleet) restartPlanned(n *FleetVM) {
 	f.Deliver(n, fleet.StopMsg{})
 	f.Loop.After(3*clock.Second, func() { f.Kill(n) })
 	f.Loop.After(8*clock.Second, func() { f.Start(n) })
--- a/experiment/failures.go
+++ b/experiment/failures.go
@@ -22,7 +22,7 @@
 func Failures(seed uint64, sizes ...int) Report {
 	r := Report{Name: "failures", Seed: seed}
 	if len(sizes) == 0 {
-		sizes = Sizes[1:3] // at 1,600 members the run takes more than four minutes
+		sizes = FleetSizes[1:3] // at 1,600 members the run takes more than four minutes
 	}
 	for _, n := range sizes {
 		failuresOnce(&r, seed, n)
@@ -35,73 +35,73 @@
 	f := NewFleet(seed, n)
 	f.startAndJoin()
 	f.RunFor(settleMs)
-	f.loseAndReturn(r, "rack of 40"+size, func(v *Node) bool { return v.Index < rackVMs })
-	f.loseAndReturn(r, "data centre"+size, func(v *Node) bool { return v.Index%int(dataCentres) == 0 })
+	f.loseAndReturn(r, "rack of 40"+size, func(v *FleetVM) bool { return v.Index < rackVMs })
+	f.loseAndReturn(r, "data centre"+size, func(v *FleetVM) bool { return v.Index%int(dataCentres) == 0 })
 	f.split(r, size)
 	reverts := 0
-	for _, v := range f.Nodes {
+	for _, v := range f.VMs {
 		reverts += v.Reverts
 	}
 	r.AtMost("reverts on a VM"+size, "", 0, float64(reverts), 0)
 }
 
 // loseAndReturn kills the VMs that match at once and starts them again later.
-func (f *Fleet) loseAndReturn(r *Report, what string, match func(*Node) bool) {
+func (f *Fleet) loseAndReturn(r *Report, what string, match func(*FleetVM) bool) {
 	f.resetTraffic()
-	for _, v := range f.Nodes {
+	for _, v := range f.VMs {
 		if match(v) {
 			f.Kill(v)
 		}
 	}
 	took, busiest := f.agree(f.Converged)
-	r.Note("seen as dead by all, "+what, "s", 0, took)
-	r.Note("sent by the busiest VM meanwhile, "+what, "bytes/s", 0, busiest)
+	r.AddUnbounded("seen as dead by all, "+what, "s", 0, took)
+	r.AddUnbounded("sent by the busiest VM meanwhile, "+what, "bytes/s", 0, busiest)
 	f.resetTraffic()
-	for _, v := range f.Nodes {
+	for _, v := range f.VMs {
 		if match(v) {
 			f.Start(v)
 		}
 	}
 	took, busiest = f.agree(f.Converged)
-	r.Note("seen as back by all, "+what, "s", 0, took)
-	r.Note("sent by the busiest VM on return, "+what, "bytes/s", 0, busiest)
+	r.AddUnbounded("seen as back by all, "+what, "s", 0, took)
+	r.AddUnbounded("sent by the busiest VM on return, "+what, "bytes/s", 0, busiest)
 	f.RunFor(settleMs)
 }
 
 // split cuts region 0 from the others and the store, changes the preset on the
 // other side, and heals the links.
 func (f *Fleet) split(r *Report, size string) {
-	f.Cut = func(a, b *Node) bool { return (a.Region == 0) != (b.Region == 0) }
-	f.Store.Unreachable = func(v *Node) bool { return v.Region == 0 }
+	f.LinkCut = func(a, b *FleetVM) bool { return (a.Region == 0) != (b.Region == 0) }
+	f.Store.Unreachable = func(v *FleetVM) bool { return v.Region == 0 }
 	// Watches that region 0 holds end with the links.
 	f.Store.Fail()
 	f.Store.Down = false
 	begin := f.Loop.Now()
 	took, _ := f.agree(f.sidesAgree)
-	r.Note("each side sees only itself after a region split"+size, "s", 0, took)
+	r.AddUnbounded("each side sees only itself after a region split"+size, "s", 0, took)
 	var revision uint64
 	change := preset.Change{ID: "split", Author: "experiment", Reason: "region split", SwitchTo: "peak"}
-	f.Operate(f.Nodes[1], change, 10*clock.Second, func(res preset.Result) { revision = res.Record.Revision })
-	f.Until(1, clock.Second, func() bool { return revision > 0 })
-	inForce := func(v *Node) bool { return v.Model.Record().Revision >= revision }
-	reached, _ := f.Until(10, failuresLimit, func() bool {
-		return f.All(func(v *Node) bool { return v.Region == 0 || inForce(v) })
+	f.StartChange(f.VMs[1], change, 10*clock.Second, func(res preset.Result) { revision = res.Record.Revision })
+	f.RunUntil(1, clock.Second, func() bool { return revision > 0 })
+	inForce := func(v *FleetVM) bool { return v.Model.Record().Revision >= revision }
+	reached, _ := f.RunUntil(10, failuresLimit, func() bool {
+		return f.All(func(v *FleetVM) bool { return v.Region == 0 || inForce(v) })
 	})
 	r.AtMost("change in force on the side of the store"+size, "ms", 0, float64(reached), spreadBoundMs)
 	f.RunFor(max(0, begin+splitMs-f.Loop.Now()))
-	f.Cut, f.Store.Unreachable = nil, nil
+	f.LinkCut, f.Store.Unreachable = nil, nil
 	f.resetTraffic()
-	healed, _ := f.Until(10, failuresLimit, func() bool { return f.All(inForce) })
-	r.Note("change in force everywhere after healing"+size, "ms", 0, float64(healed))
+	healed, _ := f.RunUntil(10, failuresLimit, func() bool { return f.All(inForce) })
+	r.AddUnbounded("change in force everywhere after healing"+size, "ms", 0, float64(healed))
 	took, busiest := f.agree(f.Converged)
-	r.Note("all agree after healing"+size, "s", 0, took+float64(healed)/secondsInMilli)
-	r.Note("sent by the busiest VM after healing"+size, "bytes/s", 0, busiest)
+	r.AddUnbounded("all agree after healing"+size, "s", 0, took+float64(healed)/secondsInMilli)
+	r.AddUnbounded("sent by the busiest VM after healing"+size, "bytes/s", 0, busiest)
 }
 
 // sidesAgree reports whether every VM sees exactly its own side as alive.
 func (f *Fleet) sidesAgree() bool {
-	return f.All(func(v *Node) bool {
-		for _, other := range f.Nodes {
+	return f.All(func(v *FleetVM) bool {
+		for _, other := range f.VMs {
 			if v.Model.IsLive(other.VM.ID) != ((v.Region == 0) == (other.Region == 0)) {
 				return false
 			}
@@ -113,19 +113,19 @@
 // agree waits until ok holds and returns the seconds taken and the bytes a
 // second that the busiest VM sent.
 func (f *Fleet) agree(ok func() bool) (seconds, busiest float64) {
-	took, done := f.Until(agreeStep, failuresLimit, ok)
+	took, done := f.RunUntil(agreeStep, failuresLimit, ok)
 	if !done {
 		return math.Inf(1), math.Inf(1)
 	}
 	seconds = float64(took) / secondsInMilli
-	for _, v := range f.Nodes {
+	for _, v := range f.VMs {
 		busiest = max(busiest, float64(v.SentBytes)/max(seconds, 1))
 	}
 	return seconds, busiest
 }
 
 func (f *Fleet) resetTraffic() {
-	for _, v := range f.Nodes {
+	for _, v := range f.VMs {
 		v.SentBytes = 0
 	}
 }
--- a/experiment/fleet.go
+++ b/experiment/fleet.go
@@ -24,31 +24,31 @@
 type Fleet struct {
 	Loop        *Loop
 	Store       *KV
-	Nodes       []*Node
+	VMs         []*FleetVM
 	LossPercent float64
-	Cut         func(from, to *Node) bool // nil if no link is cut
-	CPU         func() int64              // nanoseconds of a running clock; nil measures nothing
-	Options     []fleet.Option            // for every VM
-	Tap         func(payload []byte)      // sees every payload sent, if set
-	ByID        map[string]*Node
+	LinkCut     func(from, to *FleetVM) bool // nil if no link is cut
+	CPU         func() int64                 // nanoseconds of a running clock; nil measures nothing
+	Options     []fleet.Option               // for every VM
+	OnSend      func(payload []byte)         // sees every payload sent, if set
+	ByID        map[string]*FleetVM
 
 	rng *rand.Rand
 }
 
-// Node is one VM of a Fleet.
-type Node struct {
-	VM        fleet.VM
-	Index     int
-	Region    int
-	Model     *fleet.Model
-	Running   bool
-	SentBytes int
-	Sent      int
-	BusyNs    int64
-	Reverts   int // times that a lower revision came into force within one process
-	Older     int // times that a new process got a lower revision than the VM had before
-	Applied   clock.Millis
-	Leaving   map[upstream.ID]bool
+// FleetVM is one VM of a Fleet.
+type FleetVM struct {
+	VM             fleet.VM
+	Index          int
+	Region         int
+	Model          *fleet.Model
+	Running        bool
+	SentBytes      int
+	SentMessages   int
+	BusyNs         int64
+	Reverts        int // times that a lower revision came into force within one process
+	OlderRevisions int // times that a new process got a lower revision than the VM had before
+	AppliedAt      clock.Millis
+	Leaving        map[upstream.ID]bool
 
 	revision uint64       // of this process
 	highest  uint64       // of all processes
@@ -60,22 +60,22 @@
 // NewFleet returns n stopped VMs in 3 regions with 3 data centres each.
 func NewFleet(seed uint64, n int) *Fleet {
 	f := &Fleet{
-		Loop: NewLoop(1_700_000_000_000), rng: rand.New(rand.NewPCG(seed, uint64(n))), ByID: make(map[string]*Node, n),
+		Loop: NewLoop(1_700_000_000_000), rng: rand.New(rand.NewPCG(seed, uint64(n))), ByID: make(map[string]*FleetVM, n),
 	}
 	f.Store = NewKV(f.Loop, rand.New(rand.NewPCG(seed, 77)))
 	for i := range n {
-		node := &Node{Index: i, Region: i % 3, VM: fleet.VM{
+		node := &FleetVM{Index: i, Region: i % 3, VM: fleet.VM{
 			ID: fmt.Sprintf("vm-%04d", i), Address: fmt.Sprintf("10.%d.%d.%d:7400", i%3, i/250, i%250),
 			DataCentre: fmt.Sprintf("dc-%d", i%9),
 		}}
-		f.Nodes = append(f.Nodes, node)
+		f.VMs = append(f.VMs, node)
 		f.ByID[node.VM.ID] = node
 	}
 	return f
 }
 
 // Start starts a new process on a VM that is not running.
-func (f *Fleet) Start(n *Node) {
+func (f *Fleet) Start(n *FleetVM) {
 	n.life++
 	n.Running, n.revision, n.wake, n.until = true, 0, 0, 0
 	n.VM.Incarnation = uint64(f.Loop.Now())
@@ -87,34 +87,34 @@
 
 // StartAll starts every VM within the given time.
 func (f *Fleet) StartAll(within clock.Millis) {
-	for _, n := range f.Nodes {
+	for _, n := range f.VMs {
 		f.Loop.After(clock.Millis(f.rng.Int64N(int64(within)+1)), func() { f.Start(n) })
 	}
 }
 
 // Kill ends the process of a VM at once.
-func (f *Fleet) Kill(n *Node) {
+func (f *Fleet) Kill(n *FleetVM) {
 	n.life++
 	n.Running = false
 }
 
 // Pause stops a VM from running for d. Messages wait for it.
-func (f *Fleet) Pause(n *Node, d clock.Millis) { n.until = f.Loop.Now() + d }
+func (f *Fleet) Pause(n *FleetVM, d clock.Millis) { n.until = f.Loop.Now() + d }
 
 // Paused reports whether n is paused.
-func (f *Fleet) Paused(n *Node) bool { return f.Loop.Now() < n.until }
+func (f *Fleet) Paused(n *FleetVM) bool { return f.Loop.Now() < n.until }
 
 // roster is the VM list: every VM of the fleet, whether it runs or not.
 func (f *Fleet) roster() []fleet.VM {
-	list := make([]fleet.VM, len(f.Nodes))
-	for i, n := range f.Nodes {
+	list := make([]fleet.VM, len(f.VMs))
+	for i, n := range f.VMs {
 		list[i] = n.VM
 	}
 	return list
 }
 
 // Deliver gives msg to n now, or at the end of its pause.
-func (f *Fleet) Deliver(n *Node, msg fleet.Msg) {
+func (f *Fleet) Deliver(n *FleetVM, msg fleet.Msg) {
 	if !n.Running {
 		return
 	}
@@ -141,7 +141,7 @@
 	f.arm(n)
 }
 
-func (f *Fleet) arm(n *Node) {
+func (f *Fleet) arm(n *FleetVM) {
 	at, ok := n.Model.NextWake()
 	if !ok || n.wake != 0 && n.wake <= at && n.wake > f.Loop.Now() {
 		return
@@ -156,7 +156,7 @@
 	})
 }
 
-func (f *Fleet) perform(n *Node, c fleet.Cmd) {
+func (f *Fleet) perform(n *FleetVM, c fleet.Cmd) {
 	switch c := c.(type) {
 	case fleet.SendCmd:
 		f.send(n, c)
@@ -174,24 +174,24 @@
 	}
 }
 
-func (n *Node) apply(now clock.Millis, rec preset.Record) {
+func (n *FleetVM) apply(now clock.Millis, rec preset.Record) {
 	if rec.Revision < n.revision {
 		n.Reverts++
 	} else if rec.Revision < n.highest {
-		n.Older++
+		n.OlderRevisions++
 	}
 	n.highest = max(n.highest, rec.Revision)
-	n.revision, n.Applied = rec.Revision, now
+	n.revision, n.AppliedAt = rec.Revision, now
 }
 
-func (f *Fleet) send(from *Node, c fleet.SendCmd) {
-	from.Sent++
+func (f *Fleet) send(from *FleetVM, c fleet.SendCmd) {
+	from.SentMessages++
 	from.SentBytes += len(c.Payload) + MessageOverheadBytes
-	if f.Tap != nil {
-		f.Tap(c.Payload)
+	if f.OnSend != nil {
+		f.OnSend(c.Payload)
 	}
 	to := f.ByID[c.To]
-	if to == nil || f.rng.Float64()*100 < f.LossPercent || f.Cut != nil && f.Cut(from, to) {
+	if to == nil || f.rng.Float64()*100 < f.LossPercent || f.LinkCut != nil && f.LinkCut(from, to) {
 		return
 	}
 	delay := nearMs
@@ -207,8 +207,8 @@
 func (f *Fleet) RunFor(d clock.Millis) { f.Loop.RunUntil(f.Loop.Now() + d) }
 
 // All reports whether ok holds on every running VM that is not paused.
-func (f *Fleet) All(ok func(*Node) bool) bool {
-	for _, n := range f.Nodes {
+func (f *Fleet) All(ok func(*FleetVM) bool) bool {
+	for _, n := range f.VMs {
 		if n.Running && !f.Paused(n) && !ok(n) {
 			return false
 		}
@@ -216,8 +216,8 @@
 	return true
 }
 
-// Until runs in steps of step until ok holds, at most for limit, and returns the time taken.
-func (f *Fleet) Until(step, limit clock.Millis, ok func() bool) (clock.Millis, bool) {
+// RunUntil runs in steps of step until ok holds, at most for limit, and returns the time taken.
+func (f *Fleet) RunUntil(step, limit clock.Millis, ok func() bool) (clock.Millis, bool) {
 	begin := f.Loop.Now()
 	for !ok() {
 		if f.Loop.Now() >= begin+limit {
@@ -231,16 +231,16 @@
 // Converged reports whether every running VM sees exactly the running VMs as alive.
 func (f *Fleet) Converged() bool {
 	running := 0
-	for _, n := range f.Nodes {
+	for _, n := range f.VMs {
 		if n.Running {
 			running++
 		}
 	}
-	return f.All(func(n *Node) bool {
+	return f.All(func(n *FleetVM) bool {
 		if n.Model.LiveCount() != running {
 			return false
 		}
-		for _, other := range f.Nodes {
+		for _, other := range f.VMs {
 			if other.Running && !n.Model.IsLive(other.VM.ID) {
 				return false
 			}
--- a/experiment/flood.go
+++ b/experiment/flood.go
@@ -93,7 +93,7 @@
 }
 
 func openGate(cfg TierConfig) TierConfig {
-	cfg.OpenGate = true
+	cfg.NoAdmissionControl = true
 	return cfg
 }
 
@@ -112,7 +112,7 @@
 		float64(off.load.Result(rank.Urgent).Refused), float64(on.load.Result(rank.Urgent).Refused), 0)
 	report.AtLeast("ordinary throughput against its floor", "ratio",
 		off.perSecond(rank.Ordinary)/off.floor(rank.Ordinary), on.perSecond(rank.Ordinary)/on.floor(rank.Ordinary), 1)
-	report.Note("goodput against capacity", "ratio", off.goodput()/off.capacity, on.goodput()/on.capacity)
+	report.AddUnbounded("goodput against capacity", "ratio", off.goodput()/off.capacity, on.goodput()/on.capacity)
 	report.AtMost("accepted requests still open after the flood", "queries", float64(off.open), float64(on.open), 0)
 	report.AtMost("patient failed or partial", "queries", unanswered(off, rank.Patient), unanswered(on, rank.Patient), 0)
 	report.AtMost("violations", "answers", float64(len(off.load.Violations())), float64(len(on.load.Violations())), 0)
@@ -138,7 +138,7 @@
 	}
 	report.AtMost("answered urgent queries that are not complete", "queries",
 		unanswered(off, rank.Urgent), unanswered(on, rank.Urgent), 0)
-	report.Note("urgent p99", "ms", off.load.Result(rank.Urgent).P99(), on.load.Result(rank.Urgent).P99())
+	report.AddUnbounded("urgent p99", "ms", off.load.Result(rank.Urgent).P99(), on.load.Result(rank.Urgent).P99())
 	report.AtMost("violations", "answers", float64(len(off.load.Violations())), float64(len(on.load.Violations())), 0)
 	return report
 }
@@ -152,7 +152,7 @@
 	shares := rank.NewTable(each, each, each)
 	on, off := runBoth(cfg, shares)
 	report.AtMost("sub-requests sent for queries without an answer", "percent", off.wasted(), on.wasted(), 1)
-	report.Note("goodput against capacity", "ratio", off.goodput()/off.capacity, on.goodput()/on.capacity)
+	report.AddUnbounded("goodput against capacity", "ratio", off.goodput()/off.capacity, on.goodput()/on.capacity)
 	return report
 }
 
@@ -160,7 +160,7 @@
 func (f *flood) wasted() float64 {
 	wasted, all := 0, 0
 	for _, r := range rank.All() {
-		wasted += f.load.Result(r).Wasted
+		wasted += f.load.Result(r).WastedAttempts
 		all += f.load.Result(r).Attempts
 	}
 	return 100 * float64(wasted) / float64(max(all, 1))
--- a/experiment/handover_test.go
+++ b/experiment/handover_test.go
@@ -59,13 +59,13 @@
 			for _, r := range rank.All() {
 				load.Send(r, tt.share*tier.Capacity(), end)
 			}
-			peak := tier.WatchConnections(end)
+			peak := tier.TrackPeakConnections(end)
 			wait := func(d clock.Millis) { tier.Loop.RunUntil(tier.Loop.Now() + d) }
 			wait(2 * clock.Second)
 			tt.run(tier, wait)
 			tier.Loop.RunUntil(end + clock.Minute)
-			if peak.Open > cfg.Connections {
-				t.Errorf("%d connections to %s after %d ms, want at most %d", peak.Open, peak.Upstream, peak.At, cfg.Connections)
+			if peak.OpenConns > cfg.Connections {
+				t.Errorf("%d connections to %s after %d ms, want at most %d", peak.OpenConns, peak.Upstream, peak.At, cfg.Connections)
 			}
 			for _, r := range rank.All() {
 				got := load.Result(r)
--- a/experiment/kv.go
+++ b/experiment/kv.go
@@ -11,14 +11,14 @@
 
 // KV is a fake configuration store in virtual time that holds one key.
 type KV struct {
-	Down        bool
-	SlowMs      clock.Millis // added to each way
-	LostPercent float64      // answers lost after the call took effect
-	Reads       int
-	Writes      int
-	Watches     int
-	Unreachable func(caller *Node) bool // nil if every VM reaches the store
-	Wrote       func(store.Entry)       // called for every write that took effect
+	Down             bool
+	ExtraDelayMs     clock.Millis // added to each way
+	LostReplyPercent float64      // answers lost after the call took effect
+	Reads            int
+	Writes           int
+	Watches          int
+	Unreachable      func(caller *FleetVM) bool // nil if every VM reaches the store
+	OnWrite          func(store.Entry)          // called for every write that took effect
 
 	Unconditional bool // writes succeed whatever revision they expect; for baselines
 
@@ -40,11 +40,11 @@
 // Entry returns the stored value without a call.
 func (k *KV) Entry() store.Entry { return k.entry }
 
-// Waiting returns the number of watches that wait for a change.
-func (k *KV) Waiting() int { return len(k.watches) }
+// OpenWatches returns the number of watches that wait for a change.
+func (k *KV) OpenWatches() int { return len(k.watches) }
 
 // Call performs r and calls done, which may never happen if the answer is lost.
-func (k *KV) Call(caller *Node, r store.Request, done func(store.Reply)) {
+func (k *KV) Call(caller *FleetVM, r store.Request, done func(store.Reply)) {
 	k.count(r.Op)
 	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
 	k.loop.After(k.delay(), func() {
@@ -75,8 +75,8 @@
 	// The store's revision moves by more than one, as if it counted all keys.
 	k.entry = store.Entry{Key: r.Key, Value: r.Value, Revision: k.entry.Revision + 1 + k.rng.Uint64N(9)}
 	entry := k.entry
-	if k.Wrote != nil {
-		k.Wrote(entry)
+	if k.OnWrite != nil {
+		k.OnWrite(entry)
 	}
 	for _, w := range k.watches {
 		w.reply(store.Reply{Entry: entry})
@@ -86,7 +86,7 @@
 }
 
 func (k *KV) answer(r store.Reply, done func(store.Reply)) {
-	if k.rng.Float64()*100 < k.LostPercent {
+	if k.rng.Float64()*100 < k.LostReplyPercent {
 		r.Kind, r.Entry = store.KindUnknown, store.Entry{}
 	}
 	k.loop.After(k.delay(), func() { done(r) })
@@ -101,7 +101,9 @@
 	k.watches = nil
 }
 
-func (k *KV) delay() clock.Millis { return storeMs + clock.Millis(k.rng.Int64N(int64(k.SlowMs)+1)) }
+func (k *KV) delay() clock.Millis {
+	return storeMs + clock.Millis(k.rng.Int64N(int64(k.ExtraDelayMs)+1))
+}
 
 func (k *KV) count(op store.Op) {
 	switch op {
--- a/experiment/leaving_test.go
+++ b/experiment/leaving_test.go
@@ -28,13 +28,13 @@
 		cfg := experiment.DefaultTier(1)
 		var tier *experiment.Tier
 		var start clock.Millis
-		cfg.Hooks.Load = func(_ upstream.ID, load upstream.Load) upstream.Load {
+		cfg.Hooks.MapLoad = func(_ upstream.ID, load upstream.Load) upstream.Load {
 			load.Leaving = load.Leaving && !tc.lies(tier.Loop.Now()-start)
 			return load
 		}
 		tier = experiment.NewTier(cfg)
 		up, received := tier.Upstreams[id], 0
-		up.Received = func(attempt.Request) { received++ }
+		up.OnReceive = func(attempt.Request) { received++ }
 		start = tier.Loop.Now()
 		experiment.NewTierLoad(tier, 1).Send(rank.Ordinary, 100, start+40*clock.Second)
 		tier.Loop.RunUntil(start + clock.Second)
--- a/experiment/matrix.go
+++ b/experiment/matrix.go
@@ -81,7 +81,7 @@
 	case r.Impossible != "":
 		return "impossible: " + r.Impossible
 	case len(r.Violations) > 0:
-		return strings.Join(r.Names(), ",")
+		return strings.Join(r.ViolatedInvariants(), ",")
 	case r.Masked != "":
 		return "ok, masked by the other fault: " + r.Masked
 	case r.Problem != "":
--- a/experiment/matrix_cell.go
+++ b/experiment/matrix_cell.go
@@ -25,8 +25,8 @@
 
 // CellOptions put a test double with a built-in fault around the cores of a cell.
 type CellOptions struct {
-	Commands func(id string, cmd vm.Cmd) []vm.Cmd
-	Preset   func(id, name string, revision uint64) (string, uint64)
+	MapCmd    func(id string, cmd vm.Cmd) []vm.Cmd
+	MapPreset func(id, name string, revision uint64) (string, uint64)
 }
 
 // CellResult is the outcome of one cell.
@@ -40,8 +40,8 @@
 	Answers    map[string]int // requests by how they ended, to show that a cell has content
 }
 
-// Names returns the names of the violated invariants, each once.
-func (r *CellResult) Names() []string {
+// ViolatedInvariants returns the names of the violated invariants, each once.
+func (r *CellResult) ViolatedInvariants() []string {
 	var names []string
 	seen := make(map[string]bool)
 	for _, v := range r.Violations {
@@ -150,14 +150,14 @@
 		Seed: own, VMs: 7, Groups: 4, Replicas: 2, Connections: 10, MedianMs: 30, Record: matrixRecord(), OrderGroups: 2,
 	}
 	cfg.Hooks = TierHooks{
-		Before: c.before, After: c.after, Commands: c.commands, Reply: c.reply,
-		Load: c.loadReport, Roster: c.roster, Cut: c.cut,
+		BeforeUpdate: c.before, AfterUpdate: c.after, MapCmd: c.commands, DeliverReply: c.reply,
+		MapLoad: c.loadReport, MapVMList: c.roster, LinkCut: c.cut,
 	}
 	c.changes = newSwitcher(c)
 	c.tier = NewTier(cfg)
 	c.load = newCellLoad(c.tier, own)
 	c.ledger = newLedger(c.tier)
-	c.tier.Store.LoseAnswer = c.loseAnswer
+	c.tier.Store.LoseReply = c.loseAnswer
 	c.watchUpstreams()
 	return c
 }
@@ -166,7 +166,7 @@
 func (c *cell) watchUpstreams() {
 	for _, id := range c.tier.ids {
 		up := c.tier.Upstreams[id]
-		up.Answer = func(req attempt.Request, r *attempt.Reply) {
+		up.CompleteReply = func(req attempt.Request, r *attempt.Reply) {
 			c.ledger.answer(req, r)
 			c.observe(moment{vm: req.ID.VM, served: &req})
 		}
@@ -209,7 +209,7 @@
 	c.changes.finish()
 	for id, life := range c.stopping {
 		if n := c.tier.byID[id]; n.life == life-1 && !n.dead {
-			c.check.fail(InvariantStop, "%s has not drained %d ms after the load ended", id, cellDrainMs)
+			c.check.fail(InvariantPlannedStop, "%s has not drained %d ms after the load ended", id, cellDrainMs)
 		}
 	}
 	if len(c.strikes) == 1 && c.strikes[0].fault.name == faultVMStopped {
--- a/experiment/matrix_check.go
+++ b/experiment/matrix_check.go
@@ -11,17 +11,17 @@
 
 // The invariants of section 1.1 of the design, and that every request is answered.
 const (
-	InvariantSnapshot  = "one-snapshot"
-	InvariantCoverage  = "true-coverage"
-	InvariantOwn       = "own-answer"
-	InvariantNotRun    = "not-run"
-	InvariantOnce      = "at-most-once"
-	InvariantLeaving   = "leaving"
-	InvariantStop      = "planned-stop"
-	InvariantPreset    = "preset-in-force"
-	InvariantRevert    = "no-revert"
-	InvariantOnePreset = "one-preset"
-	InvariantAnswered  = "answered"
+	InvariantOneSnapshot   = "one-snapshot"
+	InvariantTrueCoverage  = "true-coverage"
+	InvariantOwnAnswer     = "own-answer"
+	InvariantNotRun        = "not-run"
+	InvariantAtMostOnce    = "at-most-once"
+	InvariantLeaving       = "leaving"
+	InvariantPlannedStop   = "planned-stop"
+	InvariantPresetInForce = "preset-in-force"
+	InvariantNoRevert      = "no-revert"
+	InvariantOnePreset     = "one-preset"
+	InvariantAnswered      = "answered"
 )
 
 // Violation is one thing that did not hold.
@@ -54,7 +54,7 @@
 	}
 	for _, q := range list {
 		if q.order && g.orders[q.id] > 1 {
-			c.fail(InvariantOnce, "order %s ran %d times", q.id, g.orders[q.id])
+			c.fail(InvariantAtMostOnce, "order %s ran %d times", q.id, g.orders[q.id])
 		}
 	}
 	for _, l := range g.late {
@@ -68,7 +68,7 @@
 	case len(q.answers) == 0:
 		c.fail(InvariantAnswered, "%s sent to %s at %d was never answered", q.body, q.vm, q.sent)
 	case len(q.answers) > 1:
-		c.fail(InvariantOwn, "%s was answered %d times", q.body, len(q.answers))
+		c.fail(InvariantOwnAnswer, "%s was answered %d times", q.body, len(q.answers))
 	case q.at > q.due:
 		c.fail(InvariantAnswered, "%s of %s was answered %d ms late by %s", q.body, q.rank, q.at-q.due, q.vm)
 	}
@@ -76,7 +76,7 @@
 
 func (c *checker) query(q *request, a vm.QueryAnswer, g *ledger) {
 	if q.order || a.ID != q.id {
-		c.fail(InvariantOwn, "%s received the answer to %s", q.body, a.ID)
+		c.fail(InvariantOwnAnswer, "%s received the answer to %s", q.body, a.ID)
 		return
 	}
 	if a.Execution == attempt.NotExecuted && g.runs[q.body] > 0 {
@@ -94,11 +94,11 @@
 	for _, row := range a.Rows {
 		version, body := splitRow(row.Value)
 		if version != want {
-			c.fail(InvariantSnapshot, "%s of snapshot %d has a row of %s", q.body, a.Snapshot, version)
+			c.fail(InvariantOneSnapshot, "%s of snapshot %d has a row of %s", q.body, a.Snapshot, version)
 			return
 		}
 		if body != q.body {
-			c.fail(InvariantOwn, "%s has a row of %s", q.body, body)
+			c.fail(InvariantOwnAnswer, "%s has a row of %s", q.body, body)
 			return
 		}
 	}
@@ -112,10 +112,10 @@
 		missing.Add(gap)
 	}
 	if a.Covered+missing.Len() != a.Expected {
-		c.fail(InvariantCoverage, "%s covers %d and misses %d of %d keys", q.body, a.Covered, missing.Len(), a.Expected)
+		c.fail(InvariantTrueCoverage, "%s covers %d and misses %d of %d keys", q.body, a.Covered, missing.Len(), a.Expected)
 	}
 	if complete := a.Outcome == vm.Complete; complete != (missing.Len() == 0) {
-		c.fail(InvariantCoverage, "%s is %s with %d missing keys", q.body, a.Outcome, missing.Len())
+		c.fail(InvariantTrueCoverage, "%s is %s with %d missing keys", q.body, a.Outcome, missing.Len())
 	}
 	rows := make(map[uint32]int)
 	for _, row := range a.Rows {
@@ -124,16 +124,16 @@
 	served := g.served[q.body][a.Snapshot]
 	for _, covered := range missing.Missing(coverage.Range{To: a.Expected}) {
 		if served == nil || len(served.Missing(covered)) > 0 {
-			c.fail(InvariantCoverage, "%s claims keys %d to %d, which no upstream served", q.body, covered.From, covered.To)
+			c.fail(InvariantTrueCoverage, "%s claims keys %d to %d, which no upstream served", q.body, covered.From, covered.To)
 			return
 		}
 		for k := (covered.From + rowEvery - 1) / rowEvery * rowEvery; k < covered.To; k += rowEvery {
 			switch {
 			case rows[k] == 0:
-				c.fail(InvariantCoverage, "%s claims key %d but has no row of it", q.body, k)
+				c.fail(InvariantTrueCoverage, "%s claims key %d but has no row of it", q.body, k)
 				return
 			case rows[k] > 1:
-				c.fail(InvariantOwn, "%s has %d rows of key %d", q.body, rows[k], k)
+				c.fail(InvariantOwnAnswer, "%s has %d rows of key %d", q.body, rows[k], k)
 				return
 			}
 		}
@@ -142,15 +142,15 @@
 
 func (c *checker) order(q *request, a vm.OrderAnswer, g *ledger) {
 	if !q.order || a.ID != q.id {
-		c.fail(InvariantOwn, "%s received the answer to order %s", q.body, a.ID)
+		c.fail(InvariantOwnAnswer, "%s received the answer to order %s", q.body, a.ID)
 		return
 	}
 	switch {
 	case a.Execution == attempt.NotExecuted && g.runs[q.body] > 0:
 		c.fail(InvariantNotRun, "%s: ran no (%s), but it ran %d times", q.body, a.Reason, g.runs[q.body])
 	case a.Outcome == order.OutcomeDone && g.runs[q.body] != 1:
-		c.fail(InvariantOnce, "%s is called done and ran %d times", q.body, g.runs[q.body])
+		c.fail(InvariantAtMostOnce, "%s is called done and ran %d times", q.body, g.runs[q.body])
 	case a.Outcome == order.OutcomeDone && string(a.Body) != "done "+q.body:
-		c.fail(InvariantOwn, "%s received the body %q", q.body, a.Body)
+		c.fail(InvariantOwnAnswer, "%s received the body %q", q.body, a.Body)
 	}
 }
--- a/experiment/matrix_check_test.go
+++ b/experiment/matrix_check_test.go
@@ -243,26 +243,26 @@
 		double experiment.CellOptions
 		want   string
 	}{
-		"order dispatched twice":       {quiet, experiment.CellOptions{Commands: duplicateDispatch}, experiment.InvariantOnce},
-		"row of another version":       {quiet, experiment.CellOptions{Commands: eachQuery(changeRowVersion)}, experiment.InvariantSnapshot},
-		"full coverage claimed":        {cut, experiment.CellOptions{Commands: eachQuery(claimWhole)}, experiment.InvariantCoverage},
-		"coverage does not add up":     {quiet, experiment.CellOptions{Commands: eachQuery(claimLess)}, experiment.InvariantCoverage},
-		"keys that nobody served":      {quiet, experiment.CellOptions{Commands: eachQuery(otherSnapshot)}, experiment.InvariantCoverage},
-		"row lost":                     {quiet, experiment.CellOptions{Commands: eachQuery(loseRow)}, experiment.InvariantCoverage},
-		"row doubled":                  {quiet, experiment.CellOptions{Commands: eachQuery(doubleRow)}, experiment.InvariantOwn},
-		"answers exchanged":            {quiet, experiment.CellOptions{Commands: exchange(false)}, experiment.InvariantOwn},
-		"rows exchanged":               {quiet, experiment.CellOptions{Commands: exchange(true)}, experiment.InvariantOwn},
-		"body of another order":        {quiet, experiment.CellOptions{Commands: eachOrder(otherBody)}, experiment.InvariantOwn},
-		"unknown order called not run": {cut, experiment.CellOptions{Commands: eachOrder(orderUnknownToNo)}, experiment.InvariantNotRun},
-		"failed query called not run":  {cut, experiment.CellOptions{Commands: eachQuery(queryUnknownToNo)}, experiment.InvariantNotRun},
-		"revision lowered":             {quiet, experiment.CellOptions{Preset: revert()}, experiment.InvariantRevert},
-		"revision not in force":        {quiet, experiment.CellOptions{Preset: stuck}, experiment.InvariantPreset},
-		"two presets at one revision":  {quiet, experiment.CellOptions{Preset: another}, experiment.InvariantOnePreset},
-		"work for a leaving upstream":  {"upstream-leaving/query-sent", experiment.CellOptions{Commands: ignoreLeaving()}, experiment.InvariantLeaving},
-		"answer dropped":               {quiet, experiment.CellOptions{Commands: dropOne()}, experiment.InvariantAnswered},
-		"answer late":                  {quiet, experiment.CellOptions{Commands: delayOne()}, experiment.InvariantAnswered},
-		"requests dropped at a stop":   {stop, experiment.CellOptions{Commands: cutAtStop(true)}, experiment.InvariantStop},
-		"requests cut at a stop":       {stop, experiment.CellOptions{Commands: cutAtStop(false)}, experiment.InvariantStop},
+		"order dispatched twice":       {quiet, experiment.CellOptions{MapCmd: duplicateDispatch}, experiment.InvariantAtMostOnce},
+		"row of another version":       {quiet, experiment.CellOptions{MapCmd: eachQuery(changeRowVersion)}, experiment.InvariantOneSnapshot},
+		"full coverage claimed":        {cut, experiment.CellOptions{MapCmd: eachQuery(claimWhole)}, experiment.InvariantTrueCoverage},
+		"coverage does not add up":     {quiet, experiment.CellOptions{MapCmd: eachQuery(claimLess)}, experiment.InvariantTrueCoverage},
+		"keys that nobody served":      {quiet, experiment.CellOptions{MapCmd: eachQuery(otherSnapshot)}, experiment.InvariantTrueCoverage},
+		"row lost":                     {quiet, experiment.CellOptions{MapCmd: eachQuery(loseRow)}, experiment.InvariantTrueCoverage},
+		"row doubled":                  {quiet, experiment.CellOptions{MapCmd: eachQuery(doubleRow)}, experiment.InvariantOwnAnswer},
+		"answers exchanged":            {quiet, experiment.CellOptions{MapCmd: exchange(false)}, experiment.InvariantOwnAnswer},
+		"rows exchanged":               {quiet, experiment.CellOptions{MapCmd: exchange(true)}, experiment.InvariantOwnAnswer},
+		"body of another order":        {quiet, experiment.CellOptions{MapCmd: eachOrder(otherBody)}, experiment.InvariantOwnAnswer},
+		"unknown order called not run": {cut, experiment.CellOptions{MapCmd: eachOrder(orderUnknownToNo)}, experiment.InvariantNotRun},
+		"failed query called not run":  {cut, experiment.CellOptions{MapCmd: eachQuery(queryUnknownToNo)}, experiment.InvariantNotRun},
+		"revision lowered":             {quiet, experiment.CellOptions{MapPreset: revert()}, experiment.InvariantNoRevert},
+		"revision not in force":        {quiet, experiment.CellOptions{MapPreset: stuck}, experiment.InvariantPresetInForce},
+		"two presets at one revision":  {quiet, experiment.CellOptions{MapPreset: another}, experiment.InvariantOnePreset},
+		"work for a leaving upstream":  {"upstream-leaving/query-sent", experiment.CellOptions{MapCmd: ignoreLeaving()}, experiment.InvariantLeaving},
+		"answer dropped":               {quiet, experiment.CellOptions{MapCmd: dropOne()}, experiment.InvariantAnswered},
+		"answer late":                  {quiet, experiment.CellOptions{MapCmd: delayOne()}, experiment.InvariantAnswered},
+		"requests dropped at a stop":   {stop, experiment.CellOptions{MapCmd: cutAtStop(true)}, experiment.InvariantPlannedStop},
+		"requests cut at a stop":       {stop, experiment.CellOptions{MapCmd: cutAtStop(false)}, experiment.InvariantPlannedStop},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -271,8 +271,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !slices.Contains(got.Names(), tt.want) {
-				t.Errorf("got %v %s, want %s", got.Names(), got.Problem, tt.want)
+			if !slices.Contains(got.ViolatedInvariants(), tt.want) {
+				t.Errorf("got %v %s, want %s", got.ViolatedInvariants(), got.Problem, tt.want)
 			}
 		})
 	}
--- a/experiment/matrix_fault_upstream.go
+++ b/experiment/matrix_fault_upstream.go
@@ -35,8 +35,8 @@
 
 // countReceived counts the requests that reach an upstream from now on.
 func countReceived(s *strike, up *Upstream) {
-	inner := up.Received
-	up.Received = func(r attempt.Request) {
+	inner := up.OnReceive
+	up.OnReceive = func(r attempt.Request) {
 		s.effects++
 		inner(r)
 	}
@@ -87,15 +87,15 @@
 func indexChange(c *cell, s *strike, _ moment) func() {
 	for _, id := range c.tier.ids {
 		up := c.tier.Upstreams[id]
-		if len(up.Held) == 0 {
+		if len(up.HeldVersions) == 0 {
 			continue
 		}
-		latest := up.Held[len(up.Held)-1]
+		latest := up.HeldVersions[len(up.HeldVersions)-1]
 		loaded := clock.Millis(c.rng.Int64N(1500))
 		dropped := loaded + clock.Millis(c.rng.Int64N(1500))
-		c.tier.Loop.After(loaded, func() { up.Held = []uint64{latest, latest + 1} })
+		c.tier.Loop.After(loaded, func() { up.HeldVersions = []uint64{latest, latest + 1} })
 		c.tier.Loop.After(dropped, func() {
-			up.Held = []uint64{latest + 1}
+			up.HeldVersions = []uint64{latest + 1}
 			countReceived(s, up)
 		})
 	}
--- a/experiment/matrix_fault_vm.go
+++ b/experiment/matrix_fault_vm.go
@@ -32,10 +32,10 @@
 
 func storeSlow(c *cell, s *strike, _ moment) func() {
 	st := c.tier.Store
-	st.SlowMs = 700
+	st.ExtraDelayMs = 700
 	before := st.Reads + st.Writes
 	s.hits = func() int { return st.Reads + st.Writes - before }
-	return func() { st.SlowMs = 0 }
+	return func() { st.ExtraDelayMs = 0 }
 }
 
 // storeAnswerLost loses answers to writes, at least one even if it comes after the fault's time.
--- a/experiment/matrix_hooks.go
+++ b/experiment/matrix_hooks.go
@@ -45,8 +45,8 @@
 
 func (c *cell) commands(id string, cmd vm.Cmd) []vm.Cmd {
 	list := []vm.Cmd{cmd}
-	if c.opts.Commands != nil {
-		list = c.opts.Commands(id, cmd)
+	if c.opts.MapCmd != nil {
+		list = c.opts.MapCmd(id, cmd)
 	}
 	for _, cmd := range list {
 		c.observe(moment{vm: id, cmd: cmd})
@@ -118,7 +118,7 @@
 func (c *checker) cut(list []*request, id string, life int) {
 	for _, q := range list {
 		if q.vm == id && q.life == life && len(q.answers) == 0 {
-			c.fail(InvariantStop, "%s was not answered before %s ended its planned stop", q.body, id)
+			c.fail(InvariantPlannedStop, "%s was not answered before %s ended its planned stop", q.body, id)
 		}
 	}
 }
@@ -131,11 +131,11 @@
 			switch a := cmd.(type) {
 			case vm.AnswerQueryCmd:
 				if a.Answer.Outcome == vm.Failed || a.Answer.Outcome == vm.Partial {
-					c.fail(InvariantStop, "%s through %s ended %s: %s", q.body, q.vm, a.Answer.Outcome, a.Answer.Reason)
+					c.fail(InvariantPlannedStop, "%s through %s ended %s: %s", q.body, q.vm, a.Answer.Outcome, a.Answer.Reason)
 				}
 			case vm.AnswerOrderCmd:
 				if a.Answer.Outcome == order.OutcomeUnknown {
-					c.fail(InvariantStop, "%s through %s ended unknown: %s", q.body, q.vm, a.Answer.Reason)
+					c.fail(InvariantPlannedStop, "%s through %s ended unknown: %s", q.body, q.vm, a.Answer.Reason)
 				}
 			}
 		}
--- a/experiment/matrix_ledger.go
+++ b/experiment/matrix_ledger.go
@@ -31,9 +31,9 @@
 	}
 	for _, id := range t.ids {
 		up := t.Upstreams[id]
-		up.Received = g.received
-		up.Run = g.run
-		up.Answer = g.answer
+		up.OnReceive = g.received
+		up.OnStart = g.run
+		up.CompleteReply = g.answer
 	}
 	return g
 }
--- a/experiment/matrix_preset.go
+++ b/experiment/matrix_preset.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		if got := s.seen(n.self.ID, n.core); got < revision {
-			s.cell.check.fail(InvariantPreset, "%s has revision %d in force %d ms after %d was accepted", n.self.ID, got, t.Loop.Now()-since, revision)
+			s.cell.check.fail(InvariantPresetInForce, "%s has revision %d in force %d ms after %d was accepted", n.self.ID, got, t.Loop.Now()-since, revision)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 // view returns what a VM has in force, as changed by a test double.
 func (s *switcher) view(id string, core *vm.Core) (string, uint64) {
 	p, revision := core.Preset()
-	if double := s.cell.opts.Preset; double != nil {
+	if double := s.cell.opts.MapPreset; double != nil {
 		return double(id, p.Name, revision)
 	}
 	return p.Name, revision
@@ -128,7 +128,7 @@
 	name, revision := s.view(id, core)
 	key := fmt.Sprintf("%s/%d", id, s.cell.tier.byID[id].life)
 	if revision < s.highest[key] {
-		s.cell.check.fail(InvariantRevert, "%s went from revision %d to %d", id, s.highest[key], revision)
+		s.cell.check.fail(InvariantNoRevert, "%s went from revision %d to %d", id, s.highest[key], revision)
 	}
 	s.highest[key] = revision
 	if revision == 0 {
@@ -147,22 +147,22 @@
 	t := s.cell.tier
 	stored, err := preset.Decode(t.Store.entries[preset.StoreKey].Value)
 	if err != nil {
-		s.cell.check.fail(InvariantRevert, "the store holds no record: %v", err)
+		s.cell.check.fail(InvariantNoRevert, "the store holds no record: %v", err)
 		return
 	}
 	for _, ch := range s.changes {
 		if ch.result.Accepted == preset.Accepted {
 			if _, ok := stored.FindChange(ch.id); !ok {
-				s.cell.check.fail(InvariantRevert, "the accepted change %s is not in the store", ch.id)
+				s.cell.check.fail(InvariantNoRevert, "the accepted change %s is not in the store", ch.id)
 			}
 		}
 		if _, ok := stored.FindChange(ch.id); ok && ch.result.Accepted == preset.NotAccepted {
-			s.cell.check.fail(InvariantRevert, "change %s was called not accepted but is in the store", ch.id)
+			s.cell.check.fail(InvariantNoRevert, "change %s was called not accepted but is in the store", ch.id)
 		}
 	}
 	for _, n := range t.nodes {
 		if name, revision := s.view(n.self.ID, n.core); !n.dead && (revision != stored.Revision || name != stored.InForce) {
-			s.cell.check.fail(InvariantPreset, "at the end %s has %q, revision %d, the store %q, %d", n.self.ID, name, revision, stored.InForce, stored.Revision)
+			s.cell.check.fail(InvariantPresetInForce, "at the end %s has %q, revision %d, the store %q, %d", n.self.ID, name, revision, stored.InForce, stored.Revision)
 		}
 	}
 }
--- a/experiment/matrix_test.go
+++ b/experiment/matrix_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, r := range experiment.RunCells(seed, names) {
 		if !r.OK() {
-			t.Errorf("seed %d cell %s: %v %s\n%s", seed, r.Cell, r.Names(), r.Problem, strings.Join(r.Trace, "\n"))
+			t.Errorf("seed %d cell %s: %v %s\n%s", seed, r.Cell, r.ViolatedInvariants(), r.Problem, strings.Join(r.Trace, "\n"))
 			for _, v := range r.Violations[:min(len(r.Violations), 3)] {
 				t.Logf("%s: %s", v.Invariant, v.Detail)
 			}
--- a/experiment/operator.go
+++ b/experiment/operator.go
@@ -10,14 +10,14 @@
 // operator carries out one change on one VM. If the VM dies, there is no result.
 type operator struct {
 	fleet   *Fleet
-	node    *Node
+	node    *FleetVM
 	life    int
 	changer *preset.Committer
 	done    func(preset.Result)
 }
 
-// Operate starts a change on a VM. done receives the result that the operator sees.
-func (f *Fleet) Operate(n *Node, c preset.Change, patience clock.Millis, done func(preset.Result)) {
+// StartChange starts a change on a VM. done receives the result that the operator sees.
+func (f *Fleet) StartChange(n *FleetVM, c preset.Change, patience clock.Millis, done func(preset.Result)) {
 	changer := preset.NewCommitter(c, n.Model.Record(), f.Loop.Now()+patience)
 	o := &operator{fleet: f, node: n, life: n.life, changer: changer, done: done}
 	o.update(preset.StartMsg{})
--- a/experiment/orders.go
+++ b/experiment/orders.go
@@ -64,16 +64,16 @@
 	report.AtMost("lost, holder alive and no attempt lost", "orders", float64(base.lostUnexplained), float64(value.lostUnexplained), 0)
 	report.AtMost("store writes per order", "writes", base.writesPerOrder, value.writesPerOrder, maxWritesPerOrder)
 	report.AtMost("store writes per order, no faults", "writes", calmBase.writesPerOrder, calmValue.writesPerOrder, maxWritesPerOrder)
-	report.Note("lost, holder killed or attempt lost", "orders", float64(base.lost), float64(value.lost))
+	report.AddUnbounded("lost, holder killed or attempt lost", "orders", float64(base.lost), float64(value.lost))
 	for _, c := range lossCauses {
-		report.Note("lost, "+string(c), "orders", float64(base.lostBy[c]), float64(value.lostBy[c]))
+		report.AddUnbounded("lost, "+string(c), "orders", float64(base.lostBy[c]), float64(value.lostBy[c]))
 	}
-	report.Note("run once", "orders", float64(base.run), float64(value.run))
-	report.Note("submissions", "count", float64(base.submissions), float64(value.submissions))
-	report.Note("added latency p50, no faults", "ms", calmBase.p50, calmValue.p50)
-	report.Note("added latency p99, no faults", "ms", calmBase.p99, calmValue.p99)
-	report.Note("added latency p50", "ms", base.p50, value.p50)
-	report.Note("added latency p99", "ms", base.p99, value.p99)
+	report.AddUnbounded("run once", "orders", float64(base.run), float64(value.run))
+	report.AddUnbounded("submissions", "count", float64(base.submissions), float64(value.submissions))
+	report.AddUnbounded("added latency p50, no faults", "ms", calmBase.p50, calmValue.p50)
+	report.AddUnbounded("added latency p99, no faults", "ms", calmBase.p99, calmValue.p99)
+	report.AddUnbounded("added latency p50", "ms", base.p50, value.p50)
+	report.AddUnbounded("added latency p99", "ms", base.p99, value.p99)
 	report.Notes = append(report.Notes, fmt.Sprintf("faults injected: %s", value.faults))
 	return report
 }
--- a/experiment/orders_carry.go
+++ b/experiment/orders_carry.go
@@ -75,7 +75,7 @@
 // refuses, so its count of runs tells which of the two happened.
 func (r *ordersRun) serve(req attempt.Request, reply func(attempt.Reply)) {
 	u := r.upstreams[req.Upstream]
-	before := u.Ran(req.OrderID)
+	before := u.Executions(req.OrderID)
 	u.Serve(req, func(rep attempt.Reply) {
 		if !r.faulty() {
 			r.loop.After(1, func() { reply(rep) })
@@ -93,7 +93,7 @@
 			r.loop.After(1, func() { reply(rep) })
 		}
 	})
-	if u.Ran(req.OrderID) > before {
+	if u.Executions(req.OrderID) > before {
 		r.check.ranAt(req)
 	}
 }
--- a/experiment/orders_interval.go
+++ b/experiment/orders_interval.go
@@ -31,10 +31,10 @@
 			cfg.options = []order.Option{order.WithWriteInterval(d)}
 			value := runOrders(cfg)
 			name := func(figure string) string { return fmt.Sprintf("%d orders/s, %d ms: %s", rate, d, figure) }
-			report.Note(name("fleet writes"), "writes/s", base.writesPerOrder*float64(rate), value.writesPerOrder*float64(rate))
-			report.Note(name("writes per order"), "writes", base.writesPerOrder, value.writesPerOrder)
-			report.Note(name("added p50"), "ms", base.p50, value.p50)
-			report.Note(name("added p99"), "ms", base.p99, value.p99)
+			report.AddUnbounded(name("fleet writes"), "writes/s", base.writesPerOrder*float64(rate), value.writesPerOrder*float64(rate))
+			report.AddUnbounded(name("writes per order"), "writes", base.writesPerOrder, value.writesPerOrder)
+			report.AddUnbounded(name("added p50"), "ms", base.p50, value.p50)
+			report.AddUnbounded(name("added p99"), "ms", base.p99, value.p99)
 		}
 	}
 	return report
--- a/experiment/presets.go
+++ b/experiment/presets.go
@@ -37,12 +37,12 @@
 	r.AtMost("races decided without a winner", "", float64(base.noWinner), float64(got.noWinner), 0)
 	r.AtMost("false reports to operators", "", float64(base.falseReports), float64(got.falseReports), 0)
 	r.AtMost("histories that did not converge", "", float64(base.diverged), float64(got.diverged), 0)
-	r.Note("slowest convergence after healing", "ms", float64(base.slowest), float64(got.slowest))
-	r.Note("restarted VMs that got an older record first", "", float64(base.older), float64(got.older))
-	r.Note("races", "", float64(base.races), float64(got.races))
-	r.Note("changes reported accepted", "", float64(base.yes), float64(got.yes))
-	r.Note("changes reported not accepted", "", float64(base.no), float64(got.no))
-	r.Note("changes reported undecided", "", float64(base.unknown), float64(got.unknown))
+	r.AddUnbounded("slowest convergence after healing", "ms", float64(base.slowest), float64(got.slowest))
+	r.AddUnbounded("restarted VMs that got an older record first", "", float64(base.older), float64(got.older))
+	r.AddUnbounded("races", "", float64(base.races), float64(got.races))
+	r.AddUnbounded("changes reported accepted", "", float64(base.yes), float64(got.yes))
+	r.AddUnbounded("changes reported not accepted", "", float64(base.no), float64(got.no))
+	r.AddUnbounded("changes reported undecided", "", float64(base.unknown), float64(got.unknown))
 	return r
 }
 
@@ -94,7 +94,7 @@
 	rng := rand.New(rand.NewPCG(seed, 4))
 	h := &history{fleet: NewFleet(seed, 5+rng.IntN(5)), rng: rng, accepted: make(map[string]bool)}
 	h.fleet.Store.Unconditional = unconditional
-	h.fleet.Store.Wrote = h.wrote
+	h.fleet.Store.OnWrite = h.wrote
 	h.fleet.StartAll(clock.Second)
 	h.fleet.RunFor(8 * clock.Second)
 	for i := range racesPerHistory {
@@ -105,9 +105,9 @@
 	}
 	h.fleet.RunFor(historyMs)
 	h.heal()
-	took, ok := h.fleet.Until(50, convergeLimit, h.sameRecord)
+	took, ok := h.fleet.RunUntil(50, convergeLimit, h.sameRecord)
 	h.fleet.RunFor(operatorWaits) // operators who are still waiting get their answers
-	_, members := h.fleet.Until(500, convergeLimit, func() bool {
+	_, members := h.fleet.RunUntil(500, convergeLimit, func() bool {
 		return !h.somePaused() && h.sameRecord() && h.fleet.Converged()
 	})
 	ok = ok && members
@@ -127,7 +127,7 @@
 func (h *history) startRace(number int) {
 	r := &race{}
 	for i := range 2 + h.rng.IntN(3) {
-		n := h.fleet.Nodes[h.rng.IntN(len(h.fleet.Nodes))]
+		n := h.fleet.VMs[h.rng.IntN(len(h.fleet.VMs))]
 		if !n.Running || !n.Model.Ready() {
 			continue
 		}
@@ -139,7 +139,7 @@
 	h.races = append(h.races, r)
 }
 
-func (h *history) operate(r *race, n *Node, id string) {
+func (h *history) operate(r *race, n *FleetVM, id string) {
 	to := []string{"ordinary", "peak", "maintenance"}[h.rng.IntN(3)]
 	change := preset.Change{ID: id, Author: "op " + id, Reason: "race", At: h.fleet.Loop.Now(), BaseRevision: r.base, SwitchTo: to}
 	r.changes = append(r.changes, id)
@@ -147,7 +147,7 @@
 		if !n.Running {
 			return
 		}
-		h.fleet.Operate(n, change, operatorWaits, func(res preset.Result) {
+		h.fleet.StartChange(n, change, operatorWaits, func(res preset.Result) {
 			h.reported = append(h.reported, reported{id, res.Accepted})
 			if rec := res.Record; res.Accepted == preset.NotAccepted && rec.Revision == r.base+1 {
 				r.rejected++
--- a/experiment/presets_fault.go
+++ b/experiment/presets_fault.go
@@ -13,19 +13,19 @@
 func (h *history) fault() {
 	f, s := h.fleet, h.fleet.Store
 	span := 500 + clock.Millis(h.rng.Int64N(int64(maxFaultMs)))
-	n := f.Nodes[h.rng.IntN(len(f.Nodes))]
+	n := f.VMs[h.rng.IntN(len(f.VMs))]
 	switch h.rng.IntN(8) {
 	case 0:
 		s.Fail()
 		f.Loop.After(span, func() { s.Down = false })
 	case 1:
-		s.SlowMs = clock.Millis(h.rng.Int64N(4000))
-		f.Loop.After(span, func() { s.SlowMs = 0 })
+		s.ExtraDelayMs = clock.Millis(h.rng.Int64N(4000))
+		f.Loop.After(span, func() { s.ExtraDelayMs = 0 })
 	case 2:
-		s.LostPercent = 60
-		f.Loop.After(span, func() { s.LostPercent = 0 })
+		s.LostReplyPercent = 60
+		f.Loop.After(span, func() { s.LostReplyPercent = 0 })
 	case 3:
-		s.Unreachable = func(caller *Node) bool { return caller == n }
+		s.Unreachable = func(caller *FleetVM) bool { return caller == n }
 		f.Loop.After(span, func() { s.Unreachable = nil })
 	case 4:
 		h.restart(n, span)
@@ -33,15 +33,15 @@
 		f.Pause(n, span)
 	case 6:
 		side := h.rng.IntN(3)
-		f.Cut = func(a, b *Node) bool { return (a.Region == side) != (b.Region == side) }
-		f.Loop.After(span, func() { f.Cut = nil })
+		f.LinkCut = func(a, b *FleetVM) bool { return (a.Region == side) != (b.Region == side) }
+		f.Loop.After(span, func() { f.LinkCut = nil })
 	default:
-		f.Cut = func(a, _ *Node) bool { return a == n } // one way only
-		f.Loop.After(span, func() { f.Cut = nil })
+		f.LinkCut = func(a, _ *FleetVM) bool { return a == n } // one way only
+		f.Loop.After(span, func() { f.LinkCut = nil })
 	}
 }
 
-func (h *history) restart(n *Node, down clock.Millis) {
+func (h *history) restart(n *FleetVM, down clock.Millis) {
 	if !n.Running {
 		return
 	}
@@ -56,9 +56,9 @@
 // heal ends every fault but pauses.
 func (h *history) heal() {
 	f := h.fleet
-	f.Cut = nil
-	f.Store.Down, f.Store.SlowMs, f.Store.LostPercent, f.Store.Unreachable = false, 0, 0, nil
-	for _, n := range f.Nodes {
+	f.LinkCut = nil
+	f.Store.Down, f.Store.ExtraDelayMs, f.Store.LostReplyPercent, f.Store.Unreachable = false, 0, 0, nil
+	for _, n := range f.VMs {
 		if !n.Running {
 			f.Start(n)
 		}
@@ -67,13 +67,13 @@
 
 // sameRecord reports whether every VM has the stored record.
 func (h *history) sameRecord() bool {
-	return h.fleet.All(func(n *Node) bool {
+	return h.fleet.All(func(n *FleetVM) bool {
 		have := n.Model.Record()
 		return have.Revision == h.stored.Revision && have.ChangeID == h.stored.ChangeID
 	})
 }
 
-func (h *history) somePaused() bool { return slices.ContainsFunc(h.fleet.Nodes, h.fleet.Paused) }
+func (h *history) somePaused() bool { return slices.ContainsFunc(h.fleet.VMs, h.fleet.Paused) }
 
 // judge compares what operators were told and what VMs did with what the store took.
 func (h *history) judge(took clock.Millis, converged bool) promises {
@@ -81,9 +81,9 @@
 	if !converged {
 		p.diverged = 1
 	}
-	for _, n := range h.fleet.Nodes {
+	for _, n := range h.fleet.VMs {
 		p.reverts += n.Reverts
-		p.older += n.Older
+		p.older += n.OlderRevisions
 	}
 	final, _ := preset.Decode(h.fleet.Store.Entry().Value)
 	for id := range h.accepted {
--- a/experiment/querycarrier.go
+++ b/experiment/querycarrier.go
@@ -68,7 +68,7 @@
 	c.running[req.ID] = true
 	asked := req.Version
 	if c.newest && asked != 0 {
-		req.Version = c.up.Held[len(c.up.Held)-1]
+		req.Version = c.up.HeldVersions[len(c.up.HeldVersions)-1]
 	}
 	c.up.Serve(req, func(r attempt.Reply) {
 		if c.silent || !c.running[r.ID] {
--- a/experiment/replay/caller.go
+++ b/experiment/replay/caller.go
@@ -41,7 +41,7 @@
 )
 
 // judge counts an answer; a refused caller returns once.
-func (w *World) judge(a *asked, name string, ans relay.Answer) {
+func (w *Simulation) judge(a *asked, name string, ans relay.Answer) {
 	o := w.result[a.route.Name]
 	switch ans.Outcome {
 	case relay.Gathered:
@@ -80,7 +80,7 @@
 }
 
 // send makes a caller send a request to some VM.
-func (w *World) send(r *route.Route, first clock.Millis, try int) {
+func (w *Simulation) send(r *route.Route, first clock.Millis, try int) {
 	left := r.TimeoutMs - (w.now - first)
 	o := w.result[r.Name]
 	if left <= 0 {
@@ -106,7 +106,7 @@
 }
 
 // Load sends requests of a route at random times, perSecond on average.
-func (w *World) Load(name string, perSecond float64, from, to clock.Millis) {
+func (w *Simulation) Load(name string, perSecond float64, from, to clock.Millis) {
 	for i := range w.routes {
 		r := &w.routes[i]
 		if r.Name != name {
--- a/experiment/replay/pattern.go
+++ b/experiment/replay/pattern.go
@@ -26,13 +26,13 @@
 // are the least credit that the users accept: their floors for a kind of request on
 // a day with trouble, or the square of the least share of shards on one without.
 type Pattern struct {
-	Name             string
-	Size             Size
-	Urgent, Ordinary float64
-	UrgentNotWorseBy float64 // than ordinary
-	MostUnserved     int     // requests that end refused or failed
+	Name                               string
+	Size                               Size
+	MinUrgentCredit, MinOrdinaryCredit float64
+	MaxUrgentDeficit                   float64 // than ordinary
+	MaxUnserved                        int     // requests that end refused or failed
 
-	prepare func(w *World)
+	prepare func(w *Simulation)
 }
 
 // Floors of the users for a kind of request, on days with trouble.
@@ -44,26 +44,26 @@
 // Patterns returns all patterns.
 func Patterns() []Pattern {
 	return []Pattern{
-		{"pauses", Today, 0.75, 0.89, 0.15, 0, (*World).pauses},
-		{"one in seven upstreams slow", Today, todayFloor, todayFloor, 0.15, 100, func(w *World) {
+		{"pauses", Today, 0.75, 0.89, 0.15, 0, (*Simulation).pauses},
+		{"one in seven upstreams slow", Today, todayFloor, todayFloor, 0.15, 100, func(w *Simulation) {
 			w.pauses()
 			w.slow(14, 3, 10)
 		}},
-		{"a whole shard gone", Today, todayFloor, todayFloor, 0.15, 0, func(w *World) {
+		{"a whole shard gone", Today, todayFloor, todayFloor, 0.15, 0, func(w *Simulation) {
 			w.ups["u3-0"].down, w.ups["u3-1"].down = true, true
 		}},
-		{"urgent requests at five times their rate", Today, todayFloor, todayFloor, 0.15, 200, func(w *World) {
+		{"urgent requests at five times their rate", Today, todayFloor, todayFloor, 0.15, 200, func(w *Simulation) {
 			w.Load("urgent", 4*todayUrgent, w.now+5000, w.now+10_000)
 		}},
-		{"twice what the upstreams can do", Today, todayFloor, 0, 1, 5000, func(w *World) {
+		{"twice what the upstreams can do", Today, todayFloor, 0, 1, 5000, func(w *Simulation) {
 			w.Load("ordinary", 250, w.now+5000, w.now+10_000)
 		}},
-		{"grown, pauses", Grown, 0.85 * 0.85, 0.95 * 0.95, 0.15, 0, (*World).pauses},
-		{"grown, one in six upstreams slow", Grown, grownFloor, grownFloor, 0.15, 100, func(w *World) {
+		{"grown, pauses", Grown, 0.85 * 0.85, 0.95 * 0.95, 0.15, 0, (*Simulation).pauses},
+		{"grown, one in six upstreams slow", Grown, grownFloor, grownFloor, 0.15, 100, func(w *Simulation) {
 			w.pauses()
 			w.slow(6, 1)
 		}},
-		{"grown, one in six slow for 6 s, then others", Grown, grownFloor, grownFloor, 0.15, 100, func(w *World) {
+		{"grown, one in six slow for 6 s, then others", Grown, grownFloor, grownFloor, 0.15, 100, func(w *Simulation) {
 			w.pauses()
 			w.slowFor(6, 1, w.now+2000, 6000)
 			w.slowFor(6, 2, w.now+10_000, 6000)
@@ -72,9 +72,9 @@
 }
 
 // Run replays the pattern. As a baseline, every VM is left to itself.
-func (p Pattern) Run(seed uint64, baseline bool) *World {
+func (p Pattern) Run(seed uint64, baseline bool) *Simulation {
 	size := p.Size
-	size.Alone = baseline
+	size.Independent = baseline
 	w := New(seed, size)
 	urgent, ordinary := float64(todayUrgent), float64(todayOrdinary)
 	if size.Shards == Grown.Shards {
@@ -88,7 +88,7 @@
 }
 
 // pauses makes every upstream pause now and then, each at its own time.
-func (w *World) pauses() {
+func (w *Simulation) pauses() {
 	for _, id := range w.sortedUps() {
 		u := w.ups[id]
 		u.pauseMs, u.everyMs = pauseMs, pauseEveryMs
@@ -97,7 +97,7 @@
 }
 
 // slow makes upstreams slow whose index has one of the rests.
-func (w *World) slow(modulus int, rests ...int) {
+func (w *Simulation) slow(modulus int, rests ...int) {
 	for i, id := range w.sortedUps() {
 		for _, r := range rests {
 			if i%modulus == r {
@@ -108,7 +108,7 @@
 }
 
 // slowFor does the same for some time.
-func (w *World) slowFor(modulus, rest int, from, length clock.Millis) {
+func (w *Simulation) slowFor(modulus, rest int, from, length clock.Millis) {
 	for i, id := range w.sortedUps() {
 		if u := w.ups[id]; i%modulus == rest {
 			w.at(from, func() { u.factor = slowFactor })
--- a/experiment/replay/pattern_test.go
+++ b/experiment/replay/pattern_test.go
@@ -25,19 +25,19 @@
 			}
 			for seed := range seeds(p) {
 				w := p.Run(seed+1, false)
-				for _, b := range w.Broken() {
+				for _, b := range w.Violations() {
 					t.Errorf("seed %d: %s", seed+1, b)
 				}
 				u, o := w.Outcome("urgent"), w.Outcome("ordinary")
 				t.Logf("seed %d: urgent: %s; ordinary: %s", seed+1, u, o)
-				if u.Credit() < p.Urgent || o.Credit() < p.Ordinary {
-					t.Errorf("got credit %.3f and %.3f, want at least %.2f and %.2f", u.Credit(), o.Credit(), p.Urgent, p.Ordinary)
+				if u.Credit() < p.MinUrgentCredit || o.Credit() < p.MinOrdinaryCredit {
+					t.Errorf("got credit %.3f and %.3f, want at least %.2f and %.2f", u.Credit(), o.Credit(), p.MinUrgentCredit, p.MinOrdinaryCredit)
 				}
-				if u.Credit() < o.Credit()-p.UrgentNotWorseBy {
+				if u.Credit() < o.Credit()-p.MaxUrgentDeficit {
 					t.Errorf("got urgent %.3f far below ordinary %.3f", u.Credit(), o.Credit())
 				}
-				if n := u.Unserved() + o.Unserved(); n > p.MostUnserved {
-					t.Errorf("got %d refused or failed, want at most %d", n, p.MostUnserved)
+				if n := u.Unserved() + o.Unserved(); n > p.MaxUnserved {
+					t.Errorf("got %d refused or failed, want at most %d", n, p.MaxUnserved)
 				}
 			}
 		})
--- a/experiment/replay/upstream.go
+++ b/experiment/replay/upstream.go
@@ -31,7 +31,7 @@
 }
 
 // arriveAt brings an attempt to its upstream.
-func (w *World) arriveAt(vm int, c relay.SendCmd) {
+func (w *Simulation) arriveAt(vm int, c relay.SendCmd) {
 	u := w.ups[c.Upstream]
 	if u.down {
 		w.at(w.now+wayMs, func() { w.update(vm, relay.AttemptFailedMsg{Attempt: c.Attempt, NotSent: true, Cause: "down"}) })
@@ -61,7 +61,7 @@
 }
 
 // serve starts queued jobs while slots are free and the upstream does not pause.
-func (w *World) serve(u *server) {
+func (w *Simulation) serve(u *server) {
 	if u.everyMs > 0 && w.now >= u.pauseAt {
 		u.pauseEnd = u.pauseAt + u.pauseMs
 		u.pauseAt += u.everyMs
@@ -86,13 +86,13 @@
 	}
 }
 
-func (w *World) reply(j *job, rep relay.Reply) {
+func (w *Simulation) reply(j *job, rep relay.Reply) {
 	if !j.dropped {
 		w.at(w.now+wayMs, func() { w.update(j.vm, relay.ReplyMsg{Attempt: j.attempt, Reply: rep}) })
 	}
 }
 
-func (w *World) cancel(vm int, attempt uint64) {
+func (w *Simulation) cancel(vm int, attempt uint64) {
 	for _, id := range w.sortedUps() {
 		for _, j := range w.ups[id].queue {
 			if j.vm == vm && j.attempt == attempt {
--- a/experiment/replay/world.go
+++ b/experiment/replay/world.go
@@ -11,9 +11,9 @@
 	"lentillink.example/lentillink/route"
 )
 
-// World replays a load in virtual time: VMs with a relay.Model each, upstreams
+// Simulation replays a load in virtual time: VMs with a relay.Model each, upstreams
 // with slots, queues and pauses, and callers.
-type World struct {
+type Simulation struct {
 	now    clock.Millis
 	rng    *rand.Rand
 	events events
@@ -51,8 +51,8 @@
 	VMs, Shards, Replicas int
 	Budget                relay.BudgetMsg
 
-	// Alone leaves every VM to itself: it gathers all shards, and sends nothing twice.
-	Alone bool
+	// Independent leaves every VM to itself: it gathers all shards, and sends nothing twice.
+	Independent bool
 }
 
 // Today and Grown are the sizes of the users' installations.
@@ -63,12 +63,12 @@
 
 // New returns VMs spread over three data centres, and shards whose replicas are
 // each in another one.
-func New(seed uint64, size Size) *World {
+func New(seed uint64, size Size) *Simulation {
 	vms, shards, budget := size.VMs, size.Shards, size.Budget
-	if size.Alone {
+	if size.Independent {
 		budget.Ratio, budget.Extra = 0, 0
 	}
-	w := &World{
+	w := &Simulation{
 		now: startMs, rng: rand.New(rand.NewPCG(seed, seed)), ups: make(map[string]*server), asked: make(map[uint64]*asked),
 		result: make(map[string]*Outcome), extra: make(map[string]int), needed: make(map[string]int), size: size,
 		first: make(map[string]bool), ran: make(map[string]bool), hands: make(map[uint64]hand), names: make(map[uint64]string), urgent: make(map[string]bool),
@@ -104,7 +104,7 @@
 		for _, id := range w.sortedUps() {
 			w.update(i, relay.UpstreamMsg{Upstream: w.ups[id].up})
 		}
-		if !size.Alone {
+		if !size.Independent {
 			w.update(i, relay.FleetMsg{VMs: fleet})
 		}
 	}
@@ -112,11 +112,11 @@
 }
 
 // Outcome returns what callers of a route got.
-func (w *World) Outcome(route string) *Outcome { return w.result[route] }
+func (w *Simulation) Outcome(route string) *Outcome { return w.result[route] }
 
-// Broken returns the promises that were broken: wrong answers, requests without
+// Violations returns the promises that were broken: wrong answers, requests without
 // one, and extra arrivals beyond the budget.
-func (w *World) Broken() []string {
+func (w *Simulation) Violations() []string {
 	out := slices.Clone(w.wrong)
 	windows := float64(w.now-startMs) / float64(w.size.Budget.WindowMs)
 	for s, n := range w.extra {
@@ -131,7 +131,7 @@
 	return out
 }
 
-func (w *World) sortedUps() []string {
+func (w *Simulation) sortedUps() []string {
 	var ids []string
 	for s, r := 0, 0; ; {
 		id := fmt.Sprintf("u%d-%d", s, r)
@@ -147,12 +147,12 @@
 	}
 }
 
-func (w *World) at(t clock.Millis, run func()) {
+func (w *Simulation) at(t clock.Millis, run func()) {
 	w.seq++
 	heap.Push(&w.events, event{at: max(t, w.now), seq: w.seq, run: run})
 }
 
-func (w *World) runUntil(end clock.Millis) {
+func (w *Simulation) runUntil(end clock.Millis) {
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -162,7 +162,7 @@
 }
 
 // update passes a message to a VM and performs its commands.
-func (w *World) update(vm int, msg relay.Msg) {
+func (w *Simulation) update(vm int, msg relay.Msg) {
 	m := w.vms[vm]
 	cmds := append([]relay.Cmd(nil), m.Update(w.now, msg)...)
 	for _, c := range cmds {
@@ -177,7 +177,7 @@
 	}
 }
 
-func (w *World) perform(vm int, c relay.Cmd) {
+func (w *Simulation) perform(vm int, c relay.Cmd) {
 	switch c := c.(type) {
 	case relay.SendCmd:
 		w.at(w.now+wayMs, func() { w.arriveAt(vm, c) })
@@ -208,9 +208,9 @@
 	}
 }
 
-func (w *World) vmName(i int) string { return fmt.Sprintf("vm%d", i) }
+func (w *Simulation) vmName(i int) string { return fmt.Sprintf("vm%d", i) }
 
-func (w *World) index(name string) int {
+func (w *Simulation) index(name string) int {
 	for i := range w.vms {
 		if w.vmName(i) == name {
 			return i
@@ -220,7 +220,7 @@
 }
 
 // answered passes an answer to the caller or to the VM that handed over.
-func (w *World) answered(vm int, id uint64, back relay.DelegationResult) {
+func (w *Simulation) answered(vm int, id uint64, back relay.DelegationResult) {
 	if h, ok := w.hands[id]; ok {
 		back.ID = h.group
 		if !back.Partial {
--- a/experiment/replicaloss.go
+++ b/experiment/replicaloss.go
@@ -24,9 +24,9 @@
 	r.AtMost("failed queries that had time for a retry", "", float64(off.system.totals().Failed), float64(on.system.totals().Failed), 0)
 	r.AtMost("answers with untrue coverage", "", float64(off.untrue), float64(on.untrue), 0)
 	r.AtLeast("queries answered", "", float64(off.answers), float64(on.answers), lossQueries)
-	r.Note("urgent p99", "ms", off.system.quantileMs(99), on.system.quantileMs(99))
-	r.Note("extra attempts", "%", off.system.extraPercent(), on.system.extraPercent())
-	r.Note("retries", "", float64(off.system.totals().Retries), float64(on.system.totals().Retries))
+	r.AddUnbounded("urgent p99", "ms", off.system.quantileMs(99), on.system.quantileMs(99))
+	r.AddUnbounded("extra attempts", "%", off.system.extraPercent(), on.system.extraPercent())
+	r.AddUnbounded("retries", "", float64(off.system.totals().Retries), float64(on.system.totals().Retries))
 	return r
 }
 
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -40,8 +40,8 @@
 	})
 }
 
-// Note adds a figure without a bound.
-func (r *Report) Note(name, unit string, baseline, value float64) {
+// AddUnbounded adds a figure without a bound.
+func (r *Report) AddUnbounded(name, unit string, baseline, value float64) {
 	r.Figures = append(r.Figures, Figure{Name: name, Unit: unit, Baseline: baseline, Value: value, OK: true})
 }
 
--- a/experiment/rollover.go
+++ b/experiment/rollover.go
@@ -36,11 +36,11 @@
 	r.AtMost("answers with untrue coverage", "", float64(off.untrue), float64(on.untrue), 0)
 	r.AtLeast("complete where a common version exists", "%", off.completePercent(), on.completePercent(), 99)
 	r.AtLeast("queries answered", "", float64(off.answers), float64(on.answers), rolloverQueries)
-	r.Note("answers while no common version existed", "", float64(off.answers-off.common), float64(on.answers-on.common))
-	r.Note("attempts of restarts", "", float64(off.system.totals().Restarts), float64(on.system.totals().Restarts))
-	r.Note("attempts of epoch gaps", "", float64(off.system.totals().EpochRetries), float64(on.system.totals().EpochRetries))
-	r.Note("urgent p99", "ms", off.system.quantileMs(99), on.system.quantileMs(99))
-	r.Note("extra attempts", "%", off.system.extraPercent(), on.system.extraPercent())
+	r.AddUnbounded("answers while no common version existed", "", float64(off.answers-off.common), float64(on.answers-on.common))
+	r.AddUnbounded("attempts of restarts", "", float64(off.system.totals().Restarts), float64(on.system.totals().Restarts))
+	r.AddUnbounded("attempts of epoch gaps", "", float64(off.system.totals().EpochRetries), float64(on.system.totals().EpochRetries))
+	r.AddUnbounded("urgent p99", "ms", off.system.quantileMs(99), on.system.quantileMs(99))
+	r.AddUnbounded("extra attempts", "%", off.system.extraPercent(), on.system.extraPercent())
 	return r
 }
 
@@ -106,7 +106,7 @@
 
 func (r *rollover) hold(up *Upstream, held []uint64) {
 	before := r.hasCommon()
-	up.Held = held
+	up.HeldVersions = held
 	if after := r.hasCommon(); before != after {
 		r.noCommon = append(r.noCommon, r.system.loop.Now())
 	}
@@ -118,7 +118,7 @@
 		everywhere := true
 		for _, group := range r.system.upstreams {
 			everywhere = everywhere && slices.ContainsFunc(group, func(up *Upstream) bool {
-				return slices.Contains(up.Held, version)
+				return slices.Contains(up.HeldVersions, version)
 			})
 		}
 		if everywhere {
--- a/experiment/spread.go
+++ b/experiment/spread.go
@@ -18,8 +18,8 @@
 	spreadLimit    clock.Millis = clock.Minute
 )
 
-// Sizes are the numbers of members at which the control plane is measured.
-var Sizes = []int{9, 100, 400, 1600}
+// FleetSizes are the numbers of members at which the control plane is measured.
+var FleetSizes = []int{9, 100, 400, 1600}
 
 // Spread measures how long an accepted change, and a report that an upstream
 // leaves, take to reach all live VMs while the store is lost and 5% of
@@ -27,14 +27,14 @@
 func Spread(seed uint64, sizes ...int) Report {
 	r := Report{Name: "spread", Seed: seed}
 	if len(sizes) == 0 {
-		sizes = Sizes
+		sizes = FleetSizes
 	}
 	for _, n := range sizes {
 		base := spreadOnce(seed, n, 1, fleet.WithBurstRounds(0))
 		got := spreadOnce(seed, n, spreadTrials)
 		r.AtMost(fmt.Sprintf("change in force, %d VMs", n), "ms", base.record, got.record, spreadBoundMs)
 		r.AtMost(fmt.Sprintf("upstream leaving, %d VMs", n), "ms", base.leaving, got.leaving, leavingBoundMs)
-		r.Note(fmt.Sprintf("cold start, %d VMs", n), "ms", base.joined, got.joined)
+		r.AddUnbounded(fmt.Sprintf("cold start, %d VMs", n), "ms", base.joined, got.joined)
 	}
 	return r
 }
@@ -62,8 +62,8 @@
 	const within = 2 * clock.Second
 	f.StartAll(within)
 	f.RunFor(within + 1)
-	took, ok := f.Until(500, joinLimit, func() bool {
-		return f.All(func(n *Node) bool { return n.Model.Ready() }) && f.Converged()
+	took, ok := f.RunUntil(500, joinLimit, func() bool {
+		return f.All(func(n *FleetVM) bool { return n.Model.Ready() }) && f.Converged()
 	})
 	if !ok {
 		return math.Inf(1)
@@ -75,7 +75,7 @@
 func (f *Fleet) spreadRecord(trial int) float64 {
 	f.Store.Down = false
 	f.RunFor(5 * clock.Second)
-	node := f.Nodes[f.rng.IntN(len(f.Nodes))]
+	node := f.VMs[f.rng.IntN(len(f.VMs))]
 	change := preset.Change{
 		ID: fmt.Sprintf("spread-%d", trial), Author: "experiment", Reason: "spread", SwitchTo: []string{"peak", "ordinary"}[trial%2],
 	}
@@ -83,23 +83,23 @@
 	// The watches are gone before the write, so that only the peers spread it.
 	f.Store.Fail()
 	f.Store.Down = false
-	f.Operate(node, change, 10*clock.Second, func(res preset.Result) {
+	f.StartChange(node, change, 10*clock.Second, func(res preset.Result) {
 		want = res.Record.Revision
 		f.Store.Fail()
 	})
-	f.Until(1, clock.Second, func() bool { return want > 0 })
-	return f.timeUntil(func(n *Node) bool { return n.Model.Record().Revision >= want })
+	f.RunUntil(1, clock.Second, func() bool { return want > 0 })
+	return f.timeUntil(func(n *FleetVM) bool { return n.Model.Record().Revision >= want })
 }
 
 func (f *Fleet) spreadLeaving(trial int) float64 {
 	f.RunFor(5 * clock.Second)
 	id := upstreamID(trial)
-	f.Deliver(f.Nodes[f.rng.IntN(len(f.Nodes))], fleet.UpstreamLeavingMsg{Upstream: id, Leaving: true})
-	return f.timeUntil(func(n *Node) bool { return n.Leaving[id] })
+	f.Deliver(f.VMs[f.rng.IntN(len(f.VMs))], fleet.UpstreamLeavingMsg{Upstream: id, Leaving: true})
+	return f.timeUntil(func(n *FleetVM) bool { return n.Leaving[id] })
 }
 
-func (f *Fleet) timeUntil(ok func(*Node) bool) float64 {
-	took, done := f.Until(10, spreadLimit, func() bool { return f.All(ok) })
+func (f *Fleet) timeUntil(ok func(*FleetVM) bool) float64 {
+	took, done := f.RunUntil(10, spreadLimit, func() bool { return f.All(ok) })
 	if !done {
 		return math.Inf(1)
 	}
--- a/experiment/stall.go
+++ b/experiment/stall.go
@@ -35,12 +35,12 @@
 	report := Report{Name: "stall", Seed: seed}
 	cfg := DefaultTier(seed)
 	off := cfg
-	off.NoStall = true
+	off.NoStallDetection = true
 	with, without := stallRun(cfg), stallRun(off)
 	for _, r := range []rank.Rank{rank.Urgent, rank.Ordinary} {
 		a, b := with.Result(r), without.Result(r)
-		report.Note(r.String()+" queries not answered whole", "queries", float64(b.Partial+b.Failed), float64(a.Partial+a.Failed))
-		report.Note(r.String()+" p99", "ms", b.P99(), a.P99())
+		report.AddUnbounded(r.String()+" queries not answered whole", "queries", float64(b.Partial+b.Failed), float64(a.Partial+a.Failed))
+		report.AddUnbounded(r.String()+" p99", "ms", b.P99(), a.P99())
 	}
 	report.AtMost("urgent queries not answered whole", "percent", share(without), share(with), 1)
 	report.AtMost("violations", "answers", float64(len(without.Violations())), float64(len(with.Violations())), 0)
--- a/experiment/straggler.go
+++ b/experiment/straggler.go
@@ -18,10 +18,10 @@
 	r := Report{Name: "straggler", Seed: seed}
 	r.AtMost("urgent p99 against fault-free", "ratio", off.quantileMs(99)/free, on.quantileMs(99)/free, 1.5)
 	r.AtMost("extra attempts", "%", off.extraPercent(), on.extraPercent(), 5)
-	r.Note("urgent p99", "ms", off.quantileMs(99), on.quantileMs(99))
-	r.Note("urgent p50", "ms", off.quantileMs(50), on.quantileMs(50))
-	r.Note("urgent p99 without faults", "ms", free, free)
-	r.Note("hedges that won", "", float64(off.totals().HedgeWins), float64(on.totals().HedgeWins))
+	r.AddUnbounded("urgent p99", "ms", off.quantileMs(99), on.quantileMs(99))
+	r.AddUnbounded("urgent p50", "ms", off.quantileMs(50), on.quantileMs(50))
+	r.AddUnbounded("urgent p99 without faults", "ms", free, free)
+	r.AddUnbounded("hedges that won", "", float64(off.totals().HedgeWins), float64(on.totals().HedgeWins))
 	r.AtMost("incomplete answers", "", float64(off.totals().Partial+off.totals().Failed),
 		float64(on.totals().Partial+on.totals().Failed), 0)
 	return r
@@ -32,7 +32,7 @@
 	if faults {
 		for _, group := range s.upstreams {
 			for _, up := range group {
-				up.SlowShare, up.SlowRequest = stragglerShare, stragglerFactor
+				up.SlowRatio, up.SlowRequestFactor = stragglerShare, stragglerFactor
 			}
 		}
 		s.upstreams[7][0].SlowFactor = stragglerFactor
--- a/experiment/tier.go
+++ b/experiment/tier.go
@@ -25,18 +25,18 @@
 
 // TierConfig describes a fleet of whole cores with its upstreams.
 type TierConfig struct {
-	Seed        uint64
-	VMs         int
-	Groups      int
-	Replicas    int
-	Connections int // limit of each upstream
-	MedianMs    float64
-	Routing     vm.Routing
-	Record      preset.Record // presets and the one in force at the start
-	OpenGate    bool          // admit every query at once, for baselines
-	NoStall     bool          // leave silent carriers to membership, for baselines
-	OrderGroups int           // groups of the order service, 0 for none
-	Hooks       TierHooks
+	Seed               uint64
+	VMs                int
+	Groups             int
+	Replicas           int
+	Connections        int // limit of each upstream
+	MedianMs           float64
+	Routing            vm.Routing
+	Record             preset.Record // presets and the one in force at the start
+	NoAdmissionControl bool          // admit every query at once, for baselines
+	NoStallDetection   bool          // leave silent carriers to membership, for baselines
+	OrderGroups        int           // groups of the order service, 0 for none
+	Hooks              TierHooks
 }
 
 // DefaultTier returns the search service of today's sizes with fewer
@@ -139,10 +139,10 @@
 		vm.WithInitialRecord(t.Config.Record), vm.WithRouting(t.Config.Routing), vm.WithFleetSize(t.Config.VMs),
 		vm.WithRingEvents(1024),
 	}
-	if t.Config.OpenGate {
+	if t.Config.NoAdmissionControl {
 		opts = append(opts, vm.WithoutAdmissionControl())
 	}
-	if t.Config.NoStall {
+	if t.Config.NoStallDetection {
 		opts = append(opts, vm.WithStallTimeout(0))
 	}
 	return vm.New(opts...)
@@ -277,7 +277,7 @@
 			return
 		}
 		up := t.Upstreams[string(id)]
-		load := upstream.Load{Healthy: true, Leaving: up.Leaving, HeldVersions: up.Held}
+		load := upstream.Load{Healthy: true, Leaving: up.Leaving, HeldVersions: up.HeldVersions}
 		n.update(vm.LoadMsg{Upstream: id, OK: !up.Dead, Load: t.Config.Hooks.load(id, load)})
 	})
 }
--- a/experiment/tier_connections.go
+++ b/experiment/tier_connections.go
@@ -14,15 +14,15 @@
 	return open
 }
 
-// WatchConnections looks at every upstream each millisecond until end and keeps
+// TrackPeakConnections looks at every upstream each millisecond until end and keeps
 // the highest number of open connections to one of them.
-func (t *Tier) WatchConnections(end clock.Millis) *Peak {
-	p := &Peak{}
+func (t *Tier) TrackPeakConnections(end clock.Millis) *PeakConnections {
+	p := &PeakConnections{}
 	var look func()
 	look = func() {
 		for _, id := range t.ids {
-			if n := t.OpenConnections(id); n > p.Open {
-				p.Open, p.Upstream, p.At = n, id, t.Loop.Now()-tierStart
+			if n := t.OpenConnections(id); n > p.OpenConns {
+				p.OpenConns, p.Upstream, p.At = n, id, t.Loop.Now()-tierStart
 			}
 		}
 		if t.Loop.Now() < end {
@@ -33,9 +33,9 @@
 	return p
 }
 
-// Peak is the highest number of connections that were open to one upstream.
-type Peak struct {
-	Open     int
-	Upstream string
-	At       clock.Millis // since the start of the tier
+// PeakConnections is the highest number of connections that were open to one upstream.
+type PeakConnections struct {
+	OpenConns int
+	Upstream  string
+	At        clock.Millis // since the start of the tier
 }
--- a/experiment/tier_hooks.go
+++ b/experiment/tier_hooks.go
@@ -15,60 +15,60 @@
 // TierHooks observe and change what passes between the cores of a Tier and its
 // fakes. Each may be nil.
 type TierHooks struct {
-	Before   func(id string, msg vm.Msg)
-	After    func(id string, core *vm.Core)
-	Commands func(id string, cmd vm.Cmd) []vm.Cmd
-	// Reply decides when and how often a reply is delivered after the network hop.
-	Reply  func(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply))
-	Load   func(id upstream.ID, load upstream.Load) upstream.Load
-	Roster func(id string, list []fleet.VM) []fleet.VM
-	Cut    func(from, to string) bool
+	BeforeUpdate func(id string, msg vm.Msg)
+	AfterUpdate  func(id string, core *vm.Core)
+	MapCmd       func(id string, cmd vm.Cmd) []vm.Cmd
+	// DeliverReply decides when and how often a reply is delivered after the network hop.
+	DeliverReply func(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply))
+	MapLoad      func(id upstream.ID, load upstream.Load) upstream.Load
+	MapVMList    func(id string, list []fleet.VM) []fleet.VM
+	LinkCut      func(from, to string) bool
 }
 
 func (h *TierHooks) before(id string, msg vm.Msg) {
-	if h.Before != nil {
-		h.Before(id, msg)
+	if h.BeforeUpdate != nil {
+		h.BeforeUpdate(id, msg)
 	}
 }
 
 func (h *TierHooks) after(n *tierNode) {
-	if h.After != nil {
-		h.After(n.self.ID, n.core)
+	if h.AfterUpdate != nil {
+		h.AfterUpdate(n.self.ID, n.core)
 	}
 }
 
 func (h *TierHooks) commands(id string, cmd vm.Cmd) []vm.Cmd {
-	if h.Commands == nil {
+	if h.MapCmd == nil {
 		return []vm.Cmd{cmd}
 	}
-	return h.Commands(id, cmd)
+	return h.MapCmd(id, cmd)
 }
 
 func (h *TierHooks) reply(loop *Loop, req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
 	loop.After(tierHopMs, func() {
-		if h.Reply == nil {
+		if h.DeliverReply == nil {
 			deliver(r)
 			return
 		}
-		h.Reply(req, r, deliver)
+		h.DeliverReply(req, r, deliver)
 	})
 }
 
 func (h *TierHooks) load(id upstream.ID, load upstream.Load) upstream.Load {
-	if h.Load == nil {
+	if h.MapLoad == nil {
 		return load
 	}
-	return h.Load(id, load)
+	return h.MapLoad(id, load)
 }
 
 func (h *TierHooks) roster(id string, list []fleet.VM) []fleet.VM {
-	if h.Roster == nil {
+	if h.MapVMList == nil {
 		return list
 	}
-	return h.Roster(id, list)
+	return h.MapVMList(id, list)
 }
 
-func (h *TierHooks) cut(from, to string) bool { return h.Cut != nil && h.Cut(from, to) }
+func (h *TierHooks) cut(from, to string) bool { return h.LinkCut != nil && h.LinkCut(from, to) }
 
 // orderService describes the upstreams that take orders.
 func (t *Tier) orderService() upstream.Service {
@@ -81,7 +81,7 @@
 				ID: id, Service: svc.Name, Group: group.Name, ConnectionLimit: t.Config.Connections, ConnectMs: tierOpenMs,
 			})
 			up := NewUpstream(t.Loop, rand.New(rand.NewPCG(t.Config.Seed, uint64(5000+g*10+r))), coverage.Range{})
-			up.MedianMs, up.Ranges, up.Held = t.Config.MedianMs, nil, nil
+			up.MedianMs, up.Ranges, up.HeldVersions = t.Config.MedianMs, nil, nil
 			t.Upstreams[string(id)] = up
 			t.ids = append(t.ids, string(id))
 		}
--- a/experiment/tier_load.go
+++ b/experiment/tier_load.go
@@ -20,17 +20,17 @@
 
 // RankResult sums up the answers of one rank over a measured window.
 type RankResult struct {
-	Sent     int // requests
-	Finished int // complete answers given in the window, also to requests sent before it
-	Complete int
-	Partial  int
-	Refused  int
-	Failed   int
-	Open     int // not answered yet
-	Attempts int
-	Needed   int
-	Wasted   int // attempts sent for queries that ended refused or failed
-	Latency  *hdrhistogram.Histogram
+	Sent           int // requests
+	Finished       int // complete answers given in the window, also to requests sent before it
+	Complete       int
+	Partial        int
+	Refused        int
+	Failed         int
+	Open           int // not answered yet
+	Attempts       int
+	AttemptsNeeded int
+	WastedAttempts int // attempts sent for queries that ended refused or failed
+	Latency        *hdrhistogram.Histogram
 }
 
 // P99 returns the 99th percentile of complete and partial answers in milliseconds.
@@ -122,7 +122,7 @@
 
 func (r *RankResult) record(a vm.QueryAnswer, took clock.Millis) {
 	r.Attempts += a.Attempts
-	r.Needed += a.AttemptsNeeded
+	r.AttemptsNeeded += a.AttemptsNeeded
 	switch a.Outcome {
 	case vm.Complete:
 		r.Complete++
@@ -130,11 +130,11 @@
 		r.Partial++
 	case vm.Refused:
 		r.Refused++
-		r.Wasted += a.Attempts
+		r.WastedAttempts += a.Attempts
 		return
 	default:
 		r.Failed++
-		r.Wasted += a.Attempts
+		r.WastedAttempts += a.Attempts
 		return
 	}
 	_ = r.Latency.RecordValue(int64(max(took, 1)))
--- a/experiment/tier_store.go
+++ b/experiment/tier_store.go
@@ -9,13 +9,13 @@
 
 // TierStore is a fake configuration store in virtual time with any number of keys.
 type TierStore struct {
-	Down   bool
-	SlowMs clock.Millis // added to every call
-	Reads  int
-	Writes int
-	Failed int // calls that were refused while down
-	// LoseAnswer reports whether the answer to a write that took effect is lost.
-	LoseAnswer func(store.Request) bool
+	Down         bool
+	ExtraDelayMs clock.Millis // added to every call
+	Reads        int
+	Writes       int
+	Failed       int // calls that were refused while down
+	// LoseReply reports whether the answer to a write that took effect is lost.
+	LoseReply func(store.Request) bool
 
 	entries map[string]store.Entry
 	watches map[string][]func(store.Entry)
@@ -47,14 +47,14 @@
 			return
 		}
 		reply.Kind, reply.Entry = s.apply(r)
-		if write := r.Op == store.OpSwap || r.Op == store.OpDelete; write && reply.Kind == store.KindOK && s.LoseAnswer != nil && s.LoseAnswer(r) {
+		if write := r.Op == store.OpSwap || r.Op == store.OpDelete; write && reply.Kind == store.KindOK && s.LoseReply != nil && s.LoseReply(r) {
 			reply.Kind, reply.Entry = store.KindUnknown, store.Entry{}
 		}
 		s.loop.After(s.half(), func() { done(reply) })
 	})
 }
 
-func (s *TierStore) half() clock.Millis { return 1 + clock.Millis(s.rng.Int64N(2)) + s.SlowMs/2 }
+func (s *TierStore) half() clock.Millis { return 1 + clock.Millis(s.rng.Int64N(2)) + s.ExtraDelayMs/2 }
 
 func (s *TierStore) apply(r store.Request) (store.Kind, store.Entry) {
 	old := s.entries[r.Key]
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -13,26 +13,26 @@
 // request at a time. Its exported fields may be changed while a run goes on,
 // which is how faults are injected.
 type Upstream struct {
-	MedianMs    float64 // median service time
-	Sigma       float64 // spread of the log-normal service time
-	SlowFactor  float64 // multiplies every service time; 1 for a healthy upstream
-	SlowShare   float64 // share of requests that take SlowRequest times as long
-	SlowRequest float64
-	Workers     int // requests served at once; more queue inside the upstream, 0 for no bound
-	ShedAbove   int // inner queue length above which it sheds, 0 for never
-	Dead        bool
-	Leaving     bool
-	Held        []uint64
-	Epoch       uint64
-	Ranges      []coverage.Range
-	ColdUntil   clock.Millis // service times are ColdFactor times longer before this time
-	ColdFactor  float64
+	MedianMs          float64 // median service time
+	Sigma             float64 // spread of the log-normal service time
+	SlowFactor        float64 // multiplies every service time; 1 for a healthy upstream
+	SlowRatio         float64 // share of requests that take SlowRequestFactor times as long
+	SlowRequestFactor float64
+	Workers           int // requests served at once; more queue inside the upstream, 0 for no bound
+	ShedAbove         int // inner queue length above which it sheds, 0 for never
+	Dead              bool
+	Leaving           bool
+	HeldVersions      []uint64
+	Epoch             uint64
+	Ranges            []coverage.Range
+	ColdUntil         clock.Millis // service times are ColdFactor times longer before this time
+	ColdFactor        float64
 
-	// Received sees every request that arrives, Run those that start to run.
+	// OnReceive sees every request that arrives, Run those that start to run.
 	// Answer completes the reply to a request that was run. All may be nil.
-	Received func(attempt.Request)
-	Run      func(attempt.Request)
-	Answer   func(attempt.Request, *attempt.Reply)
+	OnReceive     func(attempt.Request)
+	OnStart       func(attempt.Request)
+	CompleteReply func(attempt.Request, *attempt.Reply)
 
 	loop    *Loop
 	rng     *rand.Rand
@@ -45,8 +45,8 @@
 // NewUpstream returns a healthy fake with one snapshot version.
 func NewUpstream(loop *Loop, rng *rand.Rand, keys coverage.Range) *Upstream {
 	return &Upstream{
-		MedianMs: 8, Sigma: 0.35, SlowFactor: 1, SlowRequest: 10, ColdFactor: 5,
-		Held: []uint64{1}, Epoch: 1, Ranges: []coverage.Range{keys},
+		MedianMs: 8, Sigma: 0.35, SlowFactor: 1, SlowRequestFactor: 10, ColdFactor: 5,
+		HeldVersions: []uint64{1}, Epoch: 1, Ranges: []coverage.Range{keys},
 		loop: loop, rng: rng, ran: make(map[string]int),
 	}
 }
@@ -54,15 +54,15 @@
 // Started returns the number of requests that the upstream began to run.
 func (u *Upstream) Started() int { return u.started }
 
-// Ran returns how often the order with the given id was run.
-func (u *Upstream) Ran(id string) int { return u.ran[id] }
+// Executions returns how often the order with the given id was run.
+func (u *Upstream) Executions(id string) int { return u.ran[id] }
 
 // Serve handles one request and calls done with its reply in virtual time.
 // A dead upstream refuses the connection.
 func (u *Upstream) Serve(req attempt.Request, done func(attempt.Reply)) {
-	reply := attempt.Reply{ID: req.ID, Upstream: req.Upstream, HeldVersions: u.Held, Epoch: u.Epoch, Leaving: u.Leaving}
-	if u.Received != nil {
-		u.Received(req)
+	reply := attempt.Reply{ID: req.ID, Upstream: req.Upstream, HeldVersions: u.HeldVersions, Epoch: u.Epoch, Leaving: u.Leaving}
+	if u.OnReceive != nil {
+		u.OnReceive(req)
 	}
 	if status, refused := u.refusal(req); refused {
 		reply.Status, reply.Execution = status, attempt.NotExecuted
@@ -73,10 +73,10 @@
 	work := func() {
 		u.run(req, func() {
 			reply.Status, reply.Execution, reply.Version = attempt.OK, attempt.Executed, req.Version
-			reply.Epoch, reply.Ranges, reply.HeldVersions, reply.Leaving = u.Epoch, u.Ranges, u.Held, u.Leaving
+			reply.Epoch, reply.Ranges, reply.HeldVersions, reply.Leaving = u.Epoch, u.Ranges, u.HeldVersions, u.Leaving
 			reply.ServiceMs = u.loop.Now() - begin
-			if u.Answer != nil {
-				u.Answer(req, &reply)
+			if u.CompleteReply != nil {
+				u.CompleteReply(req, &reply)
 			}
 			done(reply)
 		})
@@ -108,8 +108,8 @@
 	if req.Kind == attempt.Order {
 		u.ran[req.OrderID]++
 	}
-	if u.Run != nil {
-		u.Run(req)
+	if u.OnStart != nil {
+		u.OnStart(req)
 	}
 	u.loop.After(u.serviceTime(), func() {
 		u.busy--
@@ -124,8 +124,8 @@
 
 func (u *Upstream) serviceTime() clock.Millis {
 	ms := u.MedianMs * math.Exp(u.Sigma*u.rng.NormFloat64()) * u.SlowFactor
-	if u.rng.Float64() < u.SlowShare {
-		ms *= u.SlowRequest
+	if u.rng.Float64() < u.SlowRatio {
+		ms *= u.SlowRequestFactor
 	}
 	if u.loop.Now() < u.ColdUntil {
 		ms *= u.ColdFactor
@@ -134,7 +134,7 @@
 }
 
 func (u *Upstream) holds(version uint64) bool {
-	for _, v := range u.Held {
+	for _, v := range u.HeldVersions {
 		if v == version {
 			return true
 		}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -25,20 +25,20 @@
 	f.StartAll(clock.Second)
 	f.RunFor(clock.Second + 1)
 	waitUntil(t, f, healTimeout, "join", func() bool {
-		return f.Converged() && f.All(func(n *experiment.Node) bool { return n.Model.Ready() })
+		return f.Converged() && f.All(func(n *experiment.FleetVM) bool { return n.Model.Ready() })
 	})
 	return f
 }
 
 func waitUntil(t *testing.T, f *experiment.Fleet, limit clock.Millis, what string, ok func() bool) {
 	t.Helper()
-	if took, done := f.Until(50, limit, ok); !done {
+	if took, done := f.RunUntil(50, limit, ok); !done {
 		t.Fatalf("%s: not reached within %d ms", what, took)
 	}
 }
 
 // stateOf returns the state of member id as seen by viewer.
-func stateOf(viewer *experiment.Node, id string) fleet.State {
+func stateOf(viewer *experiment.FleetVM, id string) fleet.State {
 	for _, v := range viewer.Model.Members() {
 		if v.ID == id {
 			return v.State
@@ -52,24 +52,24 @@
 func TestMembershipRecovers(t *testing.T) {
 	tests := []struct {
 		name  string
-		fault func(t *testing.T, f *experiment.Fleet, n *experiment.Node)
+		fault func(t *testing.T, f *experiment.Fleet, n *experiment.FleetVM)
 	}{
-		{"refutation", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
-			f.Cut = func(a, b *experiment.Node) bool { return a == n || b == n }
-			waitUntil(t, f, 10*clock.Second, "suspected", func() bool { return stateOf(f.Nodes[0], n.VM.ID) == fleet.Suspect })
-			f.Cut = nil
+		{"refutation", func(t *testing.T, f *experiment.Fleet, n *experiment.FleetVM) {
+			f.LinkCut = func(a, b *experiment.FleetVM) bool { return a == n || b == n }
+			waitUntil(t, f, 10*clock.Second, "suspected", func() bool { return stateOf(f.VMs[0], n.VM.ID) == fleet.Suspect })
+			f.LinkCut = nil
 			f.RunFor(8 * clock.Second)
 			if n.Model.Self().Refutation == 0 {
 				t.Error("a suspected VM did not refute")
 			}
 		}},
-		{"restart at the same address", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
+		{"restart at the same address", func(t *testing.T, f *experiment.Fleet, n *experiment.FleetVM) {
 			old := n.VM.Incarnation
 			f.Kill(n)
 			f.RunFor(500)
 			f.Start(n)
 			waitUntil(t, f, healTimeout, "new incarnation", func() bool {
-				for _, v := range f.Nodes[0].Model.Live() {
+				for _, v := range f.VMs[0].Model.Live() {
 					if v.ID == n.VM.ID && v.Incarnation > old {
 						return true
 					}
@@ -77,10 +77,10 @@
 				return false
 			})
 		}},
-		{"long pause", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
+		{"long pause", func(t *testing.T, f *experiment.Fleet, n *experiment.FleetVM) {
 			f.Pause(n, clock.Minute)
 			f.RunFor(50 * clock.Second)
-			if got := stateOf(f.Nodes[0], n.VM.ID); got != fleet.Dead {
+			if got := stateOf(f.VMs[0], n.VM.ID); got != fleet.Dead {
 				t.Errorf("a VM paused for 50 s is %s, want dead", got)
 			}
 			f.RunFor(11 * clock.Second)
@@ -88,15 +88,15 @@
 				t.Errorf("after its pause the VM has %d live members, want at least 8", got)
 			}
 		}},
-		{"partition for two minutes", func(_ *testing.T, f *experiment.Fleet, _ *experiment.Node) { partition(f, 2*clock.Minute) }},
-		{"partition until dead members are deleted", func(_ *testing.T, f *experiment.Fleet, _ *experiment.Node) { partition(f, 12*clock.Minute) }},
-		{"planned stop and restart", func(t *testing.T, f *experiment.Fleet, n *experiment.Node) {
+		{"partition for two minutes", func(_ *testing.T, f *experiment.Fleet, _ *experiment.FleetVM) { partition(f, 2*clock.Minute) }},
+		{"partition until dead members are deleted", func(_ *testing.T, f *experiment.Fleet, _ *experiment.FleetVM) { partition(f, 12*clock.Minute) }},
+		{"planned stop and restart", func(t *testing.T, f *experiment.Fleet, n *experiment.FleetVM) {
 			f.Deliver(n, fleet.StopMsg{})
 			f.RunFor(leavingBound)
 			if !n.Model.StopAnnounced(f.Loop.Now()) || n.Model.Ready() {
 				t.Error("a stopping VM is ready or has not announced its stop")
 			}
-			for _, other := range f.Nodes {
+			for _, other := range f.VMs {
 				if other.Model.IsLive(n.VM.ID) {
 					t.Errorf("%s still has a VM that left as live", other.VM.ID)
 				}
@@ -109,24 +109,24 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := joinedFleet(t, 1)
-			tt.fault(t, f, f.Nodes[4])
+			tt.fault(t, f, f.VMs[4])
 			waitUntil(t, f, healTimeout, "convergence", f.Converged)
 		})
 	}
 }
 
 func partition(f *experiment.Fleet, d clock.Millis) {
-	f.Cut = func(a, b *experiment.Node) bool { return (a.Region == 0) != (b.Region == 0) }
+	f.LinkCut = func(a, b *experiment.FleetVM) bool { return (a.Region == 0) != (b.Region == 0) }
 	f.RunFor(d)
-	f.Cut = nil
+	f.LinkCut = nil
 }
 
 // TestOneWayLinkFailureCausesNoSuspicion guards against suspecting a VM that other
 // members reach, when only the link from one member to it is cut.
 func TestOneWayLinkFailureCausesNoSuspicion(t *testing.T) {
 	f := joinedFleet(t, 2)
-	a, b := f.Nodes[1], f.Nodes[2]
-	f.Cut = func(from, to *experiment.Node) bool { return from == a && to == b }
+	a, b := f.VMs[1], f.VMs[2]
+	f.LinkCut = func(from, to *experiment.FleetVM) bool { return from == a && to == b }
 	for range 60 {
 		f.RunFor(clock.Second)
 		if !f.Converged() {
@@ -139,11 +139,11 @@
 // although a new VM has already started at its address.
 func TestAddressReuse(t *testing.T) {
 	f := joinedFleet(t, 3)
-	old := f.Nodes[5]
+	old := f.VMs[5]
 	f.Kill(old)
-	next := &experiment.Node{VM: old.VM, Index: 9, Region: old.Region}
+	next := &experiment.FleetVM{VM: old.VM, Index: 9, Region: old.Region}
 	next.VM.ID = "vm-next"
-	f.Nodes = append(f.Nodes, next)
+	f.VMs = append(f.VMs, next)
 	f.ByID[next.VM.ID] = next
 	f.RunFor(100)
 	f.Start(next)
@@ -157,26 +157,26 @@
 	f.LossPercent = 5
 	applied := func(want bool) func() bool {
 		return func() bool {
-			return f.All(func(n *experiment.Node) bool {
+			return f.All(func(n *experiment.FleetVM) bool {
 				return n.Leaving[testUpstream] == want && n.Model.UpstreamLeaving(testUpstream) == want
 			})
 		}
 	}
 	for _, leaving := range []bool{true, false, true} {
-		for _, n := range f.Nodes[:3] { // several VMs observe the same upstream
+		for _, n := range f.VMs[:3] { // several VMs observe the same upstream
 			f.Deliver(n, fleet.UpstreamLeavingMsg{Upstream: testUpstream, Leaving: leaving})
 		}
 		waitUntil(t, f, leavingBound, "report", applied(leaving))
 		f.RunFor(5 * clock.Second)
 	}
-	f.Start(f.Nodes[8]) // a new process receives the report too
+	f.Start(f.VMs[8]) // a new process receives the report too
 	waitUntil(t, f, leavingBound, "report on a new VM", applied(true))
 	f.RunFor(9 * clock.Minute)
 	if !applied(true)() {
 		t.Error("the report expired too early")
 	}
 	waitUntil(t, f, 2*clock.Minute, "expiry", applied(false))
-	if got := f.Nodes[0].Model.Reports(); len(got) != 0 {
+	if got := f.VMs[0].Model.Reports(); len(got) != 0 {
 		t.Errorf("reports after expiry: %v", got)
 	}
 }
@@ -187,10 +187,10 @@
 	f := joinedFleet(t, 11)
 	f.LossPercent = 5
 	for i := range 200 {
-		f.Deliver(f.Nodes[i%2], fleet.UpstreamLeavingMsg{Upstream: upstream.ID(fmt.Sprintf("s/g%d/a", i)), Leaving: true})
+		f.Deliver(f.VMs[i%2], fleet.UpstreamLeavingMsg{Upstream: upstream.ID(fmt.Sprintf("s/g%d/a", i)), Leaving: true})
 	}
 	waitUntil(t, f, leavingBound, "200 reports", func() bool {
-		return f.All(func(n *experiment.Node) bool { return len(n.Leaving) == 200 })
+		return f.All(func(n *experiment.FleetVM) bool { return len(n.Leaving) == 200 })
 	})
 }
 
@@ -199,19 +199,19 @@
 func TestStartDuringOutage(t *testing.T) {
 	f := joinedFleet(t, 5)
 	f.Store.Fail()
-	n := f.Nodes[3]
+	n := f.VMs[3]
 	f.Kill(n)
 	f.RunFor(clock.Second)
-	f.Cut = func(a, b *experiment.Node) bool { return a == n || b == n }
+	f.LinkCut = func(a, b *experiment.FleetVM) bool { return a == n || b == n }
 	f.Start(n)
 	f.RunFor(20 * clock.Second)
 	if n.Model.Ready() {
 		t.Error("a VM without store and peers is ready")
 	}
-	f.Cut = nil
+	f.LinkCut = nil
 	waitUntil(t, f, 5*clock.Second, "record from peers", n.Model.Ready)
 	if !n.Model.Stale(f.Loop.Now()) {
-		f.Cut = func(a, b *experiment.Node) bool { return a == n || b == n }
+		f.LinkCut = func(a, b *experiment.FleetVM) bool { return a == n || b == n }
 		waitUntil(t, f, 10*clock.Second, "stale", func() bool { return n.Model.Stale(f.Loop.Now()) })
 	}
 	if !n.Model.Ready() {
@@ -223,22 +223,22 @@
 // that arrives from this VM's own commits or from store reads and watches.
 func TestOnlyHigherRevisionsApply(t *testing.T) {
 	f := joinedFleet(t, 6)
-	old := f.Nodes[0].Model.Record()
+	old := f.VMs[0].Model.Record()
 	next, err := preset.Switch(old, preset.Change{ID: "c", Author: "a", Reason: "r", SwitchTo: "peak"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	value, _ := preset.Encode(old)
-	f.Deliver(f.Nodes[0], fleet.RecordMsg{Record: next})
-	f.Deliver(f.Nodes[0], fleet.RecordMsg{Record: old})
+	f.Deliver(f.VMs[0], fleet.RecordMsg{Record: next})
+	f.Deliver(f.VMs[0], fleet.RecordMsg{Record: old})
 	for _, op := range []store.Op{store.OpGet, store.OpWatch} {
-		f.Deliver(f.Nodes[0], fleet.StoreMsg{Reply: store.Reply{Op: op, Entry: store.Entry{Value: value, Revision: 99}}})
+		f.Deliver(f.VMs[0], fleet.StoreMsg{Reply: store.Reply{Op: op, Entry: store.Entry{Value: value, Revision: 99}}})
 	}
-	if got := f.Nodes[0].Model.Record().Revision; got != next.Revision {
+	if got := f.VMs[0].Model.Record().Revision; got != next.Revision {
 		t.Errorf("revision %d in force, want %d", got, next.Revision)
 	}
 	waitUntil(t, f, 4*clock.Second, "spread", func() bool {
-		return f.All(func(n *experiment.Node) bool { return n.Model.Record().Revision == next.Revision })
+		return f.All(func(n *experiment.FleetVM) bool { return n.Model.Record().Revision == next.Revision })
 	})
 	// The store holds an older record than the fleet, so a watcher writes the newer one back.
 	waitUntil(t, f, 2*clock.Minute, "write-back", func() bool {
--- a/fleet/placement_test.go
+++ b/fleet/placement_test.go
@@ -13,7 +13,7 @@
 
 // carriersOf returns the two carriers of each upstream as node n computes them from
 // its live members.
-func carriersOf(n *experiment.Node, upstreams []string) [][]string {
+func carriersOf(n *experiment.FleetVM, upstreams []string) [][]string {
 	var live []string
 	for _, v := range n.Model.Live() {
 		live = append(live, v.ID)
@@ -31,13 +31,13 @@
 // unequal share of upstreams per VM, and against carriers that change when an unrelated VM leaves.
 func TestCarrierPlacement(t *testing.T) {
 	f := joinedFleet(t, 7)
-	leaver := f.Nodes[8]
+	leaver := f.VMs[8]
 	var upstreams []string
 	for i := range 900 {
 		upstreams = append(upstreams, fmt.Sprintf("search/group-%d/a", i))
 	}
-	before := carriersOf(f.Nodes[0], upstreams)
-	other := carriersOf(f.Nodes[5], upstreams)
+	before := carriersOf(f.VMs[0], upstreams)
+	other := carriersOf(f.VMs[5], upstreams)
 	count := make(map[string]int)
 	for i, u := range upstreams {
 		if got := other[i]; !slices.Equal(got, before[i]) || got[0] == got[1] {
@@ -52,7 +52,7 @@
 	}
 	f.Deliver(leaver, fleet.StopMsg{})
 	f.RunFor(3 * clock.Second)
-	after := carriersOf(f.Nodes[0], upstreams)
+	after := carriersOf(f.VMs[0], upstreams)
 	for i, u := range upstreams {
 		if slices.Contains(after[i], leaver.VM.ID) {
 			t.Errorf("a carrier of %s is a VM that left", u)
@@ -69,7 +69,7 @@
 	f := experiment.NewFleet(8, 27)
 	f.StartAll(clock.Second)
 	f.RunFor(40 * clock.Second)
-	want := f.Nodes[0].Model.Watchers()
+	want := f.VMs[0].Model.Watchers()
 	centres := make(map[string]bool)
 	for _, id := range want {
 		centres[f.ByID[id].VM.DataCentre] = true
@@ -77,7 +77,7 @@
 	if len(want) != 3 || len(centres) != 3 {
 		t.Errorf("watchers %v in %d data centres, want 3 in 3", want, len(centres))
 	}
-	for _, n := range f.Nodes {
+	for _, n := range f.VMs {
 		if got := n.Model.Watchers(); !slices.Equal(got, want) {
 			t.Errorf("%s has watchers %v, want %v", n.VM.ID, got, want)
 		}
@@ -92,8 +92,8 @@
 		f.LossPercent = 20
 		f.RunFor(clock.Minute)
 		var traffic [2]int
-		for _, n := range f.Nodes {
-			traffic[0] += n.Sent
+		for _, n := range f.VMs {
+			traffic[0] += n.SentMessages
 			traffic[1] += n.SentBytes
 		}
 		return traffic
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -19,7 +19,7 @@
 	f := experiment.NewFleet(1, 5)
 	var list [][]byte
 	seen := make(map[byte]int)
-	f.Tap = func(p []byte) {
+	f.OnSend = func(p []byte) {
 		if kind := p[1]; seen[kind] < 20 {
 			seen[kind]++
 			list = append(list, p)
@@ -28,11 +28,11 @@
 	f.StartAll(100)
 	f.RunFor(8 * clock.Second)
 	f.LossPercent = 30
-	f.Deliver(f.Nodes[0], fleet.UpstreamLeavingMsg{Upstream: "a/b/c", Leaving: true})
+	f.Deliver(f.VMs[0], fleet.UpstreamLeavingMsg{Upstream: "a/b/c", Leaving: true})
 	f.RunFor(20 * clock.Second)
-	rec := f.Nodes[0].Model.Record()
+	rec := f.VMs[0].Model.Record()
 	rec.Revision++
-	f.Deliver(f.Nodes[0], fleet.RecordMsg{Record: rec})
+	f.Deliver(f.VMs[0], fleet.RecordMsg{Record: rec})
 	f.RunFor(clock.Second)
 	return list
 }
@@ -133,7 +133,7 @@
 	f := joinedFleet(t, 10)
 	f.Store.Fail()
 	f.LossPercent = 5
-	rec := f.Nodes[0].Model.Record()
+	rec := f.VMs[0].Model.Record()
 	rec.Revision++
 	for i := range 60 {
 		p := rec.Presets[0]
@@ -148,11 +148,11 @@
 	if err := rec.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	f.Deliver(f.Nodes[0], fleet.RecordMsg{Record: rec})
+	f.Deliver(f.VMs[0], fleet.RecordMsg{Record: rec})
 	waitUntil(t, f, 4*clock.Second, "large record", func() bool {
-		return f.All(func(n *experiment.Node) bool { return n.Model.Record().Revision == rec.Revision })
+		return f.All(func(n *experiment.FleetVM) bool { return n.Model.Record().Revision == rec.Revision })
 	})
-	if got := preset.Diff(rec, f.Nodes[7].Model.Record()); len(got) != 0 {
+	if got := preset.Diff(rec, f.VMs[7].Model.Record()); len(got) != 0 {
 		t.Errorf("the received record differs from the sent one: %v", got)
 	}
 }
