--- a/settings/bind.go
+++ b/settings/bind.go
@@ -11,17 +11,17 @@
 // binder copies a parsed value into a document and collects problems.
 type binder struct {
 	problems []Problem
-	refused  map[string]bool
+	rejected map[string]bool
 }
 
-func (b *binder) refuse(path, format string, args ...any) {
+func (b *binder) reject(path, format string, args ...any) {
 	if path == "" {
 		path = "(document)"
 	}
-	if b.refused[path] {
+	if b.rejected[path] {
 		return
 	}
-	b.refused[path] = true
+	b.rejected[path] = true
 	b.problems = append(b.problems, Problem{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
@@ -41,20 +41,20 @@
 func (b *binder) bindStruct(path string, v any, dst reflect.Value) {
 	obj, ok := v.(object)
 	if !ok {
-		b.refuse(path, "is %s, want an object", typeName(v))
+		b.reject(path, "is %s, want an object", typeName(v))
 		return
 	}
 	seen := make(map[string]bool, len(obj))
 	for _, m := range obj {
-		at := join(path, m.name)
+		fieldPath := joinPath(path, m.name)
 		field, ok := fieldByName(dst, m.name)
 		switch {
 		case !ok:
-			b.refuse(at, "%s", unknownField(dst.Type(), m.name))
+			b.reject(fieldPath, "%s", unknownField(dst.Type(), m.name))
 		case seen[m.name]:
-			b.refuse(at, "is given more than once, want one value")
+			b.reject(fieldPath, "is given more than once, want one value")
 		default:
-			b.bind(at, m.value, field)
+			b.bind(fieldPath, m.value, field)
 		}
 		seen[m.name] = true
 	}
@@ -63,7 +63,7 @@
 func (b *binder) bindSlice(path string, v any, dst reflect.Value) {
 	list, ok := v.([]any)
 	if !ok {
-		b.refuse(path, "is %s, want an array", typeName(v))
+		b.reject(path, "is %s, want an array", typeName(v))
 		return
 	}
 	out := reflect.MakeSlice(dst.Type(), len(list), len(list))
@@ -76,7 +76,7 @@
 func (b *binder) bindString(path string, v any, dst reflect.Value) {
 	s, ok := v.(string)
 	if !ok {
-		b.refuse(path, "is %s, want a string", typeName(v))
+		b.reject(path, "is %s, want a string", typeName(v))
 		return
 	}
 	dst.SetString(s)
@@ -85,13 +85,13 @@
 func (b *binder) bindNumber(path string, v any, dst reflect.Value) {
 	num, ok := v.(json.Number)
 	if !ok {
-		b.refuse(path, "is %s, want a whole number", typeName(v))
+		b.reject(path, "is %s, want a whole number", typeName(v))
 		return
 	}
 	if dst.CanFloat() {
 		x, err := strconv.ParseFloat(num.String(), dst.Type().Bits())
 		if err != nil {
-			b.refuse(path, "is %s, want a number", num)
+			b.reject(path, "is %s, want a number", num)
 			return
 		}
 		dst.SetFloat(x)
@@ -100,7 +100,7 @@
 	if dst.CanUint() {
 		n, err := strconv.ParseUint(num.String(), 10, dst.Type().Bits())
 		if err != nil {
-			b.refuse(path, "is %s, want a whole number from 0 to %d", num, uint64(1)<<dst.Type().Bits()-1)
+			b.reject(path, "is %s, want a whole number from 0 to %d", num, uint64(1)<<dst.Type().Bits()-1)
 			return
 		}
 		dst.SetUint(n)
@@ -108,7 +108,7 @@
 	}
 	n, err := strconv.ParseInt(num.String(), 10, dst.Type().Bits())
 	if err != nil {
-		b.refuse(path, "is %s, want a whole number", num)
+		b.reject(path, "is %s, want a whole number", num)
 		return
 	}
 	dst.SetInt(n)
@@ -152,7 +152,7 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/settings/check.go
+++ b/settings/check.go
@@ -27,21 +27,21 @@
 	addresses map[string]string // address to the path that uses it
 }
 
-func (c *checker) check(doc *Document) {
-	c.name("vm", doc.VM)
-	c.name("data_centre", doc.DataCentre)
-	c.address("addresses.callers", doc.Addresses.Callers, "")
-	c.address("addresses.peers", doc.Addresses.Peers, "")
-	c.address("addresses.admin", doc.Addresses.Admin, doc.Addresses.Callers)
-	c.address("store", doc.Store, "")
-	c.address("vm_list", doc.VMList, "")
-	c.timeouts(&doc.Timeouts)
-	c.number("limits.request_body_bytes", int64(doc.Limits.RequestBodyBytes), 1, MaxRequestBodyBytes)
-	c.number("limits.ring_events", int64(doc.Limits.RingEvents), MinRingEvents, MaxRingEvents)
-	c.services(doc.Services)
+func (c *checker) checkDocument(doc *Document) {
+	c.checkName("vm", doc.VM)
+	c.checkName("data_centre", doc.DataCentre)
+	c.checkAddress("addresses.callers", doc.Addresses.Callers, "")
+	c.checkAddress("addresses.peers", doc.Addresses.Peers, "")
+	c.checkAddress("addresses.admin", doc.Addresses.Admin, doc.Addresses.Callers)
+	c.checkAddress("store", doc.Store, "")
+	c.checkAddress("vm_list", doc.VMList, "")
+	c.checkTimeouts(&doc.Timeouts)
+	c.checkNumber("limits.request_body_bytes", int64(doc.Limits.RequestBodyBytes), 1, MaxRequestBodyBytes)
+	c.checkNumber("limits.ring_events", int64(doc.Limits.RingEvents), MinRingEvents, MaxRingEvents)
+	c.checkServices(doc.Services)
 }
 
-func (c *checker) timeouts(t *Timeouts) {
+func (c *checker) checkTimeouts(t *Timeouts) {
 	for _, f := range []struct {
 		path string
 		ms   clock.Millis
@@ -52,130 +52,130 @@
 		{"timeouts.connect_ms", t.ConnectMs},
 		{"timeouts.idle_connection_ms", t.IdleConnectionMs},
 	} {
-		c.number(f.path, int64(f.ms), 1, int64(MaxTimeoutMs))
+		c.checkNumber(f.path, int64(f.ms), 1, int64(MaxTimeoutMs))
 	}
 }
 
-func (c *checker) services(services []Service) {
+func (c *checker) checkServices(services []Service) {
 	if len(services) == 0 {
-		c.refuse("services", "is empty, want at least one service")
+		c.reject("services", "is empty, want at least one service")
 	}
 	names := make(map[string]string)
 	for i, s := range services {
 		path := fmt.Sprintf("services[%d]", i)
-		c.name(path+".name", s.Name)
-		c.unique(names, path+".name", s.Name)
+		c.checkName(path+".name", s.Name)
+		c.checkUnique(names, path+".name", s.Name)
 		if len(s.Groups) == 0 {
-			c.refuse(path+".groups", "is empty, want at least one group")
+			c.reject(path+".groups", "is empty, want at least one group")
 			continue
 		}
-		c.groups(path, s)
+		c.checkGroups(path, s)
 	}
 }
 
-func (c *checker) groups(path string, s Service) {
+func (c *checker) checkGroups(path string, s Service) {
 	names := make(map[string]string)
-	inSpace := true
+	rangesValid := true
 	for i, g := range s.Groups {
-		at := fmt.Sprintf("%s.groups[%d]", path, i)
-		c.name(at+".name", g.Name)
-		c.unique(names, at+".name", g.Name)
-		inSpace = c.keyRange(at, g, s.Keys) && inSpace
-		c.replicas(at, g.Replicas)
+		groupPath := fmt.Sprintf("%s.groups[%d]", path, i)
+		c.checkName(groupPath+".name", g.Name)
+		c.checkUnique(names, groupPath+".name", g.Name)
+		rangesValid = c.checkKeyRange(groupPath, g, s.Keys) && rangesValid
+		c.checkReplicas(groupPath, g.Replicas)
 	}
-	if inSpace && s.Keys > 0 {
-		c.partition(path, s)
+	if rangesValid && s.Keys > 0 {
+		c.checkPartition(path, s)
 	}
 }
 
-func (c *checker) keyRange(path string, g Group, keys uint32) bool {
+func (c *checker) checkKeyRange(path string, g Group, keys uint32) bool {
 	switch {
 	case keys == 0 && (g.From != 0 || g.To != 0):
-		c.refuse(path+".to", "is %d, want no from and no to in a service without keys", g.To)
+		c.reject(path+".to", "is %d, want no from and no to in a service without keys", g.To)
 	case keys == 0:
 		return true
 	case g.To > keys:
-		c.refuse(path+".to", "is %d and leaves the key space, want %d to %d", g.To, min(g.From+1, keys), keys)
+		c.reject(path+".to", "is %d and leaves the key space, want %d to %d", g.To, min(g.From+1, keys), keys)
 	case g.From >= g.To:
-		c.refuse(path+".from", "is %d, want less than to, which is %d", g.From, g.To)
+		c.reject(path+".from", "is %d, want less than to, which is %d", g.From, g.To)
 	default:
 		return true
 	}
 	return false
 }
 
-// partition requires that the groups split the key space: an overlap would
+// checkPartition requires that the groups split the key space: an overlap would
 // count keys twice, and a gap would make a complete answer impossible.
-func (c *checker) partition(path string, s Service) {
-	order := make([]int, len(s.Groups))
-	for i := range order {
-		order[i] = i
-	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(s.Groups[a].From, s.Groups[b].From) })
-	next, last := uint32(0), -1
-	for _, i := range order {
+func (c *checker) checkPartition(path string, s Service) {
+	byFrom := make([]int, len(s.Groups))
+	for i := range byFrom {
+		byFrom[i] = i
+	}
+	slices.SortStableFunc(byFrom, func(a, b int) int { return cmp.Compare(s.Groups[a].From, s.Groups[b].From) })
+	nextKey, lastGroup := uint32(0), -1
+	for _, i := range byFrom {
 		g := s.Groups[i]
-		at := fmt.Sprintf("%s.groups[%d].from", path, i)
-		if g.From < next {
-			c.refuse(at, "is %d and overlaps groups[%d], want %d", g.From, last, next)
+		fromPath := fmt.Sprintf("%s.groups[%d].from", path, i)
+		if g.From < nextKey {
+			c.reject(fromPath, "is %d and overlaps groups[%d], want %d", g.From, lastGroup, nextKey)
 		}
-		if g.From > next {
-			c.refuse(at, "is %d and leaves keys %d to %d without a group, want %d", g.From, next, g.From-1, next)
+		if g.From > nextKey {
+			c.reject(fromPath, "is %d and leaves keys %d to %d without a group, want %d", g.From, nextKey, g.From-1, nextKey)
 		}
-		if g.To > next {
-			next, last = g.To, i
+		if g.To > nextKey {
+			nextKey, lastGroup = g.To, i
 		}
 	}
-	if next < s.Keys {
-		c.refuse(path+".keys", "is %d but the groups end at %d, want %d", s.Keys, next, next)
+	if nextKey < s.Keys {
+		c.reject(path+".keys", "is %d but the groups end at %d, want %d", s.Keys, nextKey, nextKey)
 	}
 }
 
-func (c *checker) replicas(path string, replicas []Replica) {
+func (c *checker) checkReplicas(path string, replicas []Replica) {
 	if len(replicas) == 0 {
-		c.refuse(path+".replicas", "is empty, want at least one replica")
+		c.reject(path+".replicas", "is empty, want at least one replica")
 	}
 	names := make(map[string]string)
 	for i, r := range replicas {
-		at := fmt.Sprintf("%s.replicas[%d]", path, i)
-		c.name(at+".name", r.Name)
-		c.unique(names, at+".name", r.Name)
-		c.address(at+".address", r.Address, "")
-		c.number(at+".connections", int64(r.Connections), 1, MaxConnections)
-		c.number(at+".connect_ms", int64(r.ConnectMs), 0, int64(clock.Minute))
+		replicaPath := fmt.Sprintf("%s.replicas[%d]", path, i)
+		c.checkName(replicaPath+".name", r.Name)
+		c.checkUnique(names, replicaPath+".name", r.Name)
+		c.checkAddress(replicaPath+".address", r.Address, "")
+		c.checkNumber(replicaPath+".connections", int64(r.Connections), 1, MaxConnections)
+		c.checkNumber(replicaPath+".connect_ms", int64(r.ConnectMs), 0, int64(clock.Minute))
 	}
 }
 
-func (c *checker) number(path string, n, low, high int64) {
+func (c *checker) checkNumber(path string, n, low, high int64) {
 	if n < low || n > high {
-		c.refuse(path, "is %d, want %d to %d", n, low, high)
+		c.reject(path, "is %d, want %d to %d", n, low, high)
 	}
 }
 
-func (c *checker) name(path, name string) {
+func (c *checker) checkName(path, name string) {
 	if !namePattern.MatchString(name) {
-		c.refuse(path, "is %q, want 1 to 63 of a-z, 0-9 and -, not starting with -", name)
+		c.reject(path, "is %q, want 1 to 63 of a-z, 0-9 and -, not starting with -", name)
 	}
 }
 
-func (c *checker) unique(seen map[string]string, path, value string) {
+func (c *checker) checkUnique(seen map[string]string, path, value string) {
 	if first, ok := seen[value]; ok && value != "" {
-		c.refuse(path, "is %q like %s, want a unique value", value, first)
+		c.reject(path, "is %q like %s, want a unique value", value, first)
 		return
 	}
 	seen[value] = path
 }
 
-// address checks the form of an address and that no other field uses it. An
+// checkAddress checks the form of an address and that no other field uses it. An
 // address equal to shared may repeat.
-func (c *checker) address(path, address, shared string) {
+func (c *checker) checkAddress(path, address, mayEqual string) {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil || ap.Port() == 0 {
-		c.refuse(path, "is %q, want an IP address and a port from 1 to 65535, such as 127.0.0.1:8080", address)
+		c.reject(path, "is %q, want an IP address and a port from 1 to 65535, such as 127.0.0.1:8080", address)
 		return
 	}
-	if address == shared {
+	if address == mayEqual {
 		return
 	}
-	c.unique(c.addresses, path, address)
+	c.checkUnique(c.addresses, path, address)
 }
--- a/settings/example.go
+++ b/settings/example.go
@@ -9,21 +9,21 @@
 
 // Layout of an example's ports above its port base.
 const (
-	defaultPortBase = 21000
-	storePort       = 0
-	vmListPort      = 1
-	vmPorts         = 10 // three ports for each VM
-	upstreamPorts   = 100
+	defaultPortBase    = 21000
+	storePortOffset    = 0
+	vmListPortOffset   = 1
+	vmPortOffset       = 10 // three ports for each VM
+	upstreamPortOffset = 100
 )
 
 // ExampleVMs is the number of VMs that an example has addresses for.
 const ExampleVMs = 9
 
-// groupKeys is the number of keys of each group in an example.
-const groupKeys = 1000
+// keysPerGroup is the number of keys of each group in an example.
+const keysPerGroup = 1000
 
-// shape describes one service of an example.
-type shape struct {
+// serviceSpec describes one service of an example.
+type serviceSpec struct {
 	service     string
 	groups      []string
 	replicas    int
@@ -33,18 +33,18 @@
 }
 
 // deployments follow the sizes in section 1.6 of the design page.
-var deployments = map[string][]shape{
+var deployments = map[string][]serviceSpec{
 	"hautakukka": {
-		{"search", append(numbered("planner", 10), numbered("app", 10)...), 2, true, 25, 6},
-		{"orders", numbered("desk", 30), 2, false, 25, 6},
-		{"archive", numbered("archive", 15), 1, true, 110, 1},
-		{"roster", numbered("roster", 7), 1, true, 110, 1},
+		{"search", append(numberedNames("planner", 10), numberedNames("app", 10)...), 2, true, 25, 6},
+		{"orders", numberedNames("desk", 30), 2, false, 25, 6},
+		{"archive", numberedNames("archive", 15), 1, true, 110, 1},
+		{"roster", numberedNames("roster", 7), 1, true, 110, 1},
 	},
 	"pondslip": {
-		{"search", numbered("slots", 20), 2, true, 25, 6},
-		{"orders", numbered("membership", 30), 2, false, 25, 6},
-		{"renewal", numbered("renewal", 8), 1, true, 35, 1},
-		{"results", numbered("results", 4), 1, true, 35, 1},
+		{"search", numberedNames("slots", 20), 2, true, 25, 6},
+		{"orders", numberedNames("membership", 30), 2, false, 25, 6},
+		{"renewal", numberedNames("renewal", 8), 1, true, 35, 1},
+		{"results", numberedNames("results", 4), 1, true, 35, 1},
 	},
 }
 
@@ -54,12 +54,12 @@
 type example struct {
 	portBase int
 	vm       int
-	next     int // next free upstream port
+	nextPort int // next free upstream port
 }
 
 // Example returns settings of a deployment at its full size, on loopback.
 func Example(deployment string, opts ...Option) (*Settings, error) {
-	shapes, ok := deployments[deployment]
+	specs, ok := deployments[deployment]
 	if !ok {
 		err := fmt.Errorf("deployment %q is not one of %s", deployment, strings.Join(Deployments(), ", "))
 		return nil, &Error{op: "example", kind: KindUnknownDeployment, err: err}
@@ -71,47 +71,47 @@
 	if e.vm < 1 || e.vm > ExampleVMs {
 		return nil, &Error{op: "example", kind: KindInvalid, err: fmt.Errorf("VM is %d, want 1 to %d", e.vm, ExampleVMs)}
 	}
-	return New(e.document(shapes))
+	return New(e.document(specs))
 }
 
-func (e *example) document(shapes []shape) Document {
+func (e *example) document(specs []serviceSpec) Document {
 	doc := defaults()
 	doc.VM = fmt.Sprintf("vm-%d", e.vm)
 	doc.DataCentre = fmt.Sprintf("dc-%d", (e.vm-1)%3+1)
 	doc.Addresses = Addresses{Callers: e.vmAddress(e.vm, 0), Peers: e.vmAddress(e.vm, 1), Admin: e.vmAddress(e.vm, 2)}
-	doc.Store = e.address(storePort)
-	doc.VMList = e.address(vmListPort)
-	e.next = upstreamPorts
-	for _, s := range shapes {
+	doc.Store = e.address(storePortOffset)
+	doc.VMList = e.address(vmListPortOffset)
+	e.nextPort = upstreamPortOffset
+	for _, s := range specs {
 		doc.Services = append(doc.Services, e.service(s))
 	}
 	return doc
 }
 
-func (e *example) service(s shape) Service {
+func (e *example) service(s serviceSpec) Service {
 	svc := Service{Name: s.service}
 	for _, name := range s.groups {
 		g := Group{Name: name}
 		if s.keyed {
-			g.From, g.To = svc.Keys, svc.Keys+groupKeys
+			g.From, g.To = svc.Keys, svc.Keys+keysPerGroup
 			svc.Keys = g.To
 		}
 		for n := range s.replicas {
 			g.Replicas = append(g.Replicas, Replica{
-				Name: string(rune('a' + n)), Address: e.address(e.next), Connections: s.connections, ConnectMs: s.connectMs,
+				Name: string(rune('a' + n)), Address: e.address(e.nextPort), Connections: s.connections, ConnectMs: s.connectMs,
 			})
-			e.next++
+			e.nextPort++
 		}
 		svc.Groups = append(svc.Groups, g)
 	}
 	return svc
 }
 
-func (e *example) vmAddress(vm, n int) string { return e.address(vmPorts + 3*(vm-1) + n) }
+func (e *example) vmAddress(vm, index int) string { return e.address(vmPortOffset + 3*(vm-1) + index) }
 
 func (e *example) address(offset int) string { return fmt.Sprintf("127.0.0.1:%d", e.portBase+offset) }
 
-func numbered(name string, n int) []string {
+func numberedNames(name string, n int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf("%s-%02d", name, i+1)
--- a/settings/follow.go
+++ b/settings/follow.go
@@ -18,8 +18,8 @@
 // Watch calls apply after each change of a settings file, until ctx ends. A
 // value on again makes it look at once. A file that cannot be used leaves the
 // settings as they are and is passed to refuse once.
-func Watch(ctx context.Context, path string, again <-chan os.Signal, apply func(*Gateway), refuse func(error)) error {
-	last, _ := os.ReadFile(path) // a file that cannot be read counts as changed once it can be
+func Watch(ctx context.Context, path string, reload <-chan os.Signal, apply func(*Gateway), reject func(error)) error {
+	lastData, _ := os.ReadFile(path) // a file that cannot be read counts as changed once it can be
 	ticker := time.NewTicker(PollIntervalMs.Duration())
 	defer ticker.Stop()
 	for {
@@ -27,24 +27,24 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-again:
+		case <-reload:
 			signalled = true
 		case <-ticker.C:
 		}
 		data, err := os.ReadFile(path)
 		if err != nil {
 			if signalled {
-				refuse(&Error{op: "load", kind: KindRead, err: trace.ConvertSystemError(err)})
+				reject(&Error{op: "load", kind: KindRead, err: trace.ConvertSystemError(err)})
 			}
 			continue
 		}
-		if bytes.Equal(data, last) && !signalled {
+		if bytes.Equal(data, lastData) && !signalled {
 			continue
 		}
-		last = data
+		lastData = data
 		g, err := DecodeGateway(data)
 		if err != nil {
-			refuse(err)
+			reject(err)
 			continue
 		}
 		apply(g)
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -70,11 +70,11 @@
 		DrainMs: defaultDrainMs,
 		Retry:   RetryBudget{Ratio: 0.2, WindowSeconds: 10}, // the users' bounds of today
 	}
-	b := &binder{refused: make(map[string]bool)}
+	b := &binder{rejected: make(map[string]bool)}
 	b.bind("", v, reflect.ValueOf(g).Elem())
-	if !b.refused["(document)"] {
+	if !b.rejected["(document)"] {
 		c := checker{binder: b, addresses: make(map[string]string)}
-		c.gateway(g)
+		c.checkGateway(g)
 	}
 	if len(b.problems) > 0 {
 		return nil, &Error{op: "check", kind: KindInvalid, problems: b.problems}
@@ -82,28 +82,28 @@
 	return g, nil
 }
 
-func (c *checker) gateway(g *Gateway) {
-	c.name("vm", g.VM)
-	c.name("data_centre", g.DataCentre)
-	c.address("callers", g.Callers, "")
-	c.address("ready", g.Ready, "")
-	c.address("peers", g.Peers, "")
+func (c *checker) checkGateway(g *Gateway) {
+	c.checkName("vm", g.VM)
+	c.checkName("data_centre", g.DataCentre)
+	c.checkAddress("callers", g.Callers, "")
+	c.checkAddress("ready", g.Ready, "")
+	c.checkAddress("peers", g.Peers, "")
 	if g.Metrics != "" {
-		c.address("metrics", g.Metrics, "")
+		c.checkAddress("metrics", g.Metrics, "")
 	}
-	c.address("store", g.Store, "")
-	c.number("grace_s", g.GraceSeconds, 1, maxGraceSeconds)
-	c.number("retry_budget.window_s", g.Retry.WindowSeconds, 1, maxWindowSeconds)
-	c.number("memory_mb", g.MemoryMB, minMemoryMB, maxMemoryMB)
-	c.number("expected_vms", int64(g.ExpectedVMs), 1, maxVMs)
+	c.checkAddress("store", g.Store, "")
+	c.checkNumber("grace_s", g.GraceSeconds, 1, maxGraceSeconds)
+	c.checkNumber("retry_budget.window_s", g.Retry.WindowSeconds, 1, maxWindowSeconds)
+	c.checkNumber("memory_mb", g.MemoryMB, minMemoryMB, maxMemoryMB)
+	c.checkNumber("expected_vms", int64(g.ExpectedVMs), 1, maxVMs)
 	if g.CPUShare < 0 || g.CPUShare > maxCPUShare {
-		c.refuse("cpu_share", "is %v, want a number of cores from 0 to %d", g.CPUShare, maxCPUShare)
+		c.reject("cpu_share", "is %v, want a number of cores from 0 to %d", g.CPUShare, maxCPUShare)
 	}
-	c.number("drain_ms", int64(g.DrainMs), 1, int64(MaxTimeoutMs))
+	c.checkNumber("drain_ms", int64(g.DrainMs), 1, int64(MaxTimeoutMs))
 	if g.Retry.Ratio < 0 || g.Retry.Ratio > 1 {
-		c.refuse("retry_budget.ratio", "is %v, want a number from 0 to 1", g.Retry.Ratio)
+		c.reject("retry_budget.ratio", "is %v, want a number from 0 to 1", g.Retry.Ratio)
 	}
 	if g.Retry.Extra < 0 {
-		c.refuse("retry_budget.extra", "is %v, want a number that is not negative", g.Retry.Extra)
+		c.reject("retry_budget.extra", "is %v, want a number that is not negative", g.Retry.Extra)
 	}
 }
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestFollow guards against a reload that is missed, and against a broken file
+// TestWatch guards against a reload that is missed, and against a broken file
 // that takes the place of good settings.
-func TestFollow(t *testing.T) {
+func TestWatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -61,40 +61,40 @@
 	}
 	write(gatewayJSON)
 	ctx, cancel := context.WithCancel(context.Background())
-	hup, applied, refused, end := make(chan os.Signal), make(chan *settings.Gateway, 4), make(chan error, 4), make(chan error, 1)
+	reload, applied, rejected, done := make(chan os.Signal), make(chan *settings.Gateway, 4), make(chan error, 4), make(chan error, 1)
 	go func() {
-		end <- settings.Watch(ctx, path, hup, func(g *settings.Gateway) { applied <- g }, func(err error) { refused <- err })
+		done <- settings.Watch(ctx, path, reload, func(g *settings.Gateway) { applied <- g }, func(err error) { rejected <- err })
 	}()
-	const limit = 20 * time.Second
-	next := func(what string) *settings.Gateway {
+	const timeout = 20 * time.Second
+	awaitApplied := func(what string) *settings.Gateway {
 		t.Helper()
 		select {
 		case g := <-applied:
 			return g
-		case <-time.After(limit):
+		case <-time.After(timeout):
 			t.Fatalf("%s: not applied", what)
 			return nil
 		}
 	}
-	hup <- os.Interrupt
-	if got := next("signal"); got.GraceSeconds != 6 {
+	reload <- os.Interrupt
+	if got := awaitApplied("signal"); got.GraceSeconds != 6 {
 		t.Errorf("got grace %d, want 6", got.GraceSeconds)
 	}
 	write("not JSON")
 	select {
-	case err := <-refused:
+	case err := <-rejected:
 		if err == nil {
 			t.Error("got no error, want one")
 		}
-	case <-time.After(limit):
+	case <-time.After(timeout):
 		t.Fatal("a broken file is not refused")
 	}
 	write(strings.Replace(gatewayJSON, `"grace_s": 6`, `"grace_s": 9`, 1))
-	if got := next("silent change"); got.GraceSeconds != 9 {
+	if got := awaitApplied("silent change"); got.GraceSeconds != 9 {
 		t.Errorf("got grace %d, want 9", got.GraceSeconds)
 	}
 	cancel()
-	if err := <-end; err != nil {
+	if err := <-done; err != nil {
 		t.Errorf("got %v, want nil", err)
 	}
 }
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -12,7 +12,7 @@
 const maxDepth = 32
 
 var (
-	errDepth    = errors.New("nested too deeply")
+	errTooDeep  = errors.New("nested too deeply")
 	errTrailing = errors.New("data after the document")
 )
 
@@ -39,7 +39,7 @@
 
 func parseValue(dec *json.Decoder, depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, errDepth
+		return nil, errTooDeep
 	}
 	tok, err := dec.Token()
 	if errors.Is(err, io.EOF) {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -22,14 +22,14 @@
 		return nil, &Error{op: "decode", kind: KindSyntax, err: err}
 	}
 	doc := defaults()
-	b := &binder{refused: make(map[string]bool)}
+	b := &binder{rejected: make(map[string]bool)}
 	b.bind("", v, reflect.ValueOf(&doc).Elem())
-	return finish(b, doc)
+	return newSettings(b, doc)
 }
 
 // New checks a document that was built in code; it must hold every field.
 func New(doc Document) (*Settings, error) {
-	return finish(&binder{refused: make(map[string]bool)}, doc)
+	return newSettings(&binder{rejected: make(map[string]bool)}, doc)
 }
 
 // Load reads and checks a file. Its errors are of type *Error.
@@ -41,10 +41,10 @@
 	return Decode(data)
 }
 
-func finish(b *binder, doc Document) (*Settings, error) {
+func newSettings(b *binder, doc Document) (*Settings, error) {
 	c := checker{binder: b, addresses: make(map[string]string)}
-	if !b.refused["(document)"] {
-		c.check(&doc)
+	if !b.rejected["(document)"] {
+		c.checkDocument(&doc)
 	}
 	if len(b.problems) > 0 {
 		return nil, &Error{op: "check", kind: KindInvalid, problems: b.problems}
@@ -74,19 +74,19 @@
 func (s *Settings) Services() []upstream.Service {
 	out := make([]upstream.Service, 0, len(s.doc.Services))
 	for _, svc := range s.doc.Services {
-		to := upstream.Service{Name: svc.Name, Keys: svc.Keys}
+		converted := upstream.Service{Name: svc.Name, Keys: svc.Keys}
 		for _, g := range svc.Groups {
-			to.Groups = append(to.Groups, convertGroup(svc.Name, g))
+			converted.Groups = append(converted.Groups, convertGroup(svc.Name, g))
 		}
-		out = append(out, to)
+		out = append(out, converted)
 	}
 	return out
 }
 
 func convertGroup(service string, g Group) upstream.Group {
-	to := upstream.Group{Name: g.Name, Range: coverage.Range{From: g.From, To: g.To}}
+	converted := upstream.Group{Name: g.Name, Range: coverage.Range{From: g.From, To: g.To}}
 	for _, r := range g.Replicas {
-		to.Replicas = append(to.Replicas, upstream.Upstream{
+		converted.Replicas = append(converted.Replicas, upstream.Upstream{
 			ID:              upstream.ID(service + "/" + g.Name + "/" + r.Name),
 			Service:         service,
 			Group:           g.Name,
@@ -95,5 +95,5 @@
 			ConnectMs:       r.ConnectMs,
 		})
 	}
-	return to
+	return converted
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -119,11 +119,11 @@
 		if err != nil {
 			return
 		}
-		again, err := json.Marshal(s.Document())
+		encoded, err := json.Marshal(s.Document())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := settings.Decode(again); err != nil {
+		if _, err := settings.Decode(encoded); err != nil {
 			t.Errorf("encoded settings are refused: %v", err)
 		}
 	})
