--- a/settings/bind.go
+++ b/settings/bind.go
@@ -8,12 +8,13 @@
 	"strings"
 )
 
-// binder copies a parsed value into a document and collects problems.
+// binder copies a parsed value into a document and collects the rejected fields.
 type binder struct {
 	problems []Problem
 	rejected map[string]bool
 }
 
+// reject records a problem. Only the first problem of a path is kept.
 func (b *binder) reject(path, format string, args ...any) {
 	if path == "" {
 		path = "(document)"
@@ -123,7 +124,8 @@
 	return reflect.Value{}, false
 }
 
-// unknownField names the accepted fields, and the unit when only that is missing.
+// unknownField returns the reason for rejecting an unknown field: the accepted
+// fields, or the full name if only the unit suffix is missing.
 func unknownField(t reflect.Type, name string) string {
 	names := make([]string, t.NumField())
 	for i := range names {
--- a/settings/check.go
+++ b/settings/check.go
@@ -21,10 +21,10 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// checker finds values that are well formed but cannot be used.
+// checker validates values after they have been decoded.
 type checker struct {
 	*binder
-	addresses map[string]string // address to the path that uses it
+	addresses map[string]string // address to the path of its field
 }
 
 func (c *checker) checkDocument(doc *Document) {
@@ -104,8 +104,8 @@
 	return false
 }
 
-// checkPartition requires that the groups split the key space: an overlap would
-// count keys twice, and a gap would make a complete answer impossible.
+// checkPartition requires that the groups cover the key space exactly once. With
+// an overlap, keys would count twice; with a gap, no answer could be complete.
 func (c *checker) checkPartition(path string, s Service) {
 	byFrom := make([]int, len(s.Groups))
 	for i := range byFrom {
@@ -166,8 +166,8 @@
 	seen[value] = path
 }
 
-// checkAddress checks the form of an address and that no other field uses it. An
-// address equal to shared may repeat.
+// checkAddress requires an IP address and port that no other field uses. An
+// address equal to mayEqual is exempt from the uniqueness check.
 func (c *checker) checkAddress(path, address, mayEqual string) {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil || ap.Port() == 0 {
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -2,6 +2,6 @@
 //
 // Decoding is strict. Unknown fields, repeated fields, values of the wrong
 // type, duplicate addresses or names, and key ranges that overlap, leave gaps
-// or leave the key space are refused. All problems of a file are reported
-// together, each with the path of its field and the values that it accepts.
+// or exceed the key space are rejected. All problems of a file are reported
+// together, each with the path of its field and the accepted values.
 package settings
--- a/settings/document.go
+++ b/settings/document.go
@@ -2,7 +2,7 @@
 
 import "lentillink.example/lentillink/clock"
 
-// Document is the JSON document.
+// Document is the JSON document with the settings of one VM.
 type Document struct {
 	VM         string    `json:"vm"`
 	DataCentre string    `json:"data_centre"`
@@ -21,14 +21,15 @@
 	Admin   string `json:"admin"`
 }
 
-// Service is one service. Keys is 0 for a service that only takes orders.
+// Service is one service. Keys is the size of its key space, 0 for a service that
+// accepts only orders.
 type Service struct {
 	Name   string  `json:"name"`
 	Keys   uint32  `json:"keys"`
 	Groups []Group `json:"groups"`
 }
 
-// Group holds the keys [From, To) of its service on each replica.
+// Group is a set of replicas that all hold the keys [From, To) of the service.
 type Group struct {
 	Name     string    `json:"name"`
 	From     uint32    `json:"from"`
@@ -36,7 +37,7 @@
 	Replicas []Replica `json:"replicas"`
 }
 
-// Replica is one upstream.
+// Replica is one upstream of a group.
 type Replica struct {
 	Name        string       `json:"name"`
 	Address     string       `json:"address"`
@@ -44,7 +45,7 @@
 	ConnectMs   clock.Millis `json:"connect_ms"`
 }
 
-// Timeouts bound calls and idle connections. A field that is left out keeps its default.
+// Timeouts bound calls and idle connections. An omitted field has its default.
 type Timeouts struct {
 	StoreMs          clock.Millis `json:"store_ms"`
 	VMListMs         clock.Millis `json:"vm_list_ms"`
@@ -53,7 +54,7 @@
 	IdleConnectionMs clock.Millis `json:"idle_connection_ms"`
 }
 
-// Limits bound memory. A field that is left out keeps its default.
+// Limits bound memory use. An omitted field has its default.
 type Limits struct {
 	RequestBodyBytes int `json:"request_body_bytes"`
 	RingEvents       int `json:"ring_events"`
--- a/settings/error.go
+++ b/settings/error.go
@@ -9,7 +9,8 @@
 type Kind uint8
 
 // KindRead means that the file cannot be read, KindSyntax that it is not JSON,
-// KindInvalid that fields are refused, KindUnknownDeployment that there is no such example.
+// KindInvalid that fields were rejected, KindUnknownDeployment that no example
+// has the given name.
 const (
 	KindRead Kind = iota
 	KindSyntax
@@ -27,7 +28,7 @@
 	return "invalid_kind"
 }
 
-// Problem is one refused field.
+// Problem is one rejected field.
 type Problem struct {
 	Path   string `json:"path"`
 	Reason string `json:"reason"` // includes the accepted values
@@ -36,7 +37,7 @@
 // String formats the path and the reason.
 func (p Problem) String() string { return p.Path + ": " + p.Reason }
 
-// Error reports settings that cannot be used.
+// Error reports why settings were rejected.
 type Error struct {
 	op       string
 	kind     Kind
@@ -47,13 +48,13 @@
 // Op returns the operation that failed.
 func (e *Error) Op() string { return e.op }
 
-// Kind returns the class of the failure.
+// Kind returns the kind of the failure.
 func (e *Error) Kind() Kind { return e.kind }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
 
-// Problems returns every refused field in the order of the document's checks.
+// Problems returns all rejected fields in the order of the checks.
 func (e *Error) Problems() []Problem { return append([]Problem(nil), e.problems...) }
 
 // Error formats the operation, the kind, the cause and one line per problem.
--- a/settings/example.go
+++ b/settings/example.go
@@ -7,16 +7,16 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Layout of an example's ports above its port base.
+// Port layout of an example, as offsets from its port base.
 const (
 	defaultPortBase    = 21000
 	storePortOffset    = 0
 	vmListPortOffset   = 1
-	vmPortOffset       = 10 // three ports for each VM
+	vmPortOffset       = 10 // first of three ports per VM
 	upstreamPortOffset = 100
 )
 
-// ExampleVMs is the number of VMs that an example has addresses for.
+// ExampleVMs is the number of VMs for which an example reserves ports.
 const ExampleVMs = 9
 
 // keysPerGroup is the number of keys of each group in an example.
@@ -32,7 +32,7 @@
 	connectMs   clock.Millis
 }
 
-// deployments follow the sizes in section 1.6 of the design page.
+// deployments have the sizes given in section 1.6 of the design page.
 var deployments = map[string][]serviceSpec{
 	"hautakukka": {
 		{"search", append(numberedNames("planner", 10), numberedNames("app", 10)...), 2, true, 25, 6},
@@ -57,7 +57,7 @@
 	nextPort int // next free upstream port
 }
 
-// Example returns settings of a deployment at its full size, on loopback.
+// Example returns the settings of a full-size deployment on loopback addresses.
 func Example(deployment string, opts ...Option) (*Settings, error) {
 	specs, ok := deployments[deployment]
 	if !ok {
--- a/settings/follow.go
+++ b/settings/follow.go
@@ -11,15 +11,17 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// PollIntervalMs is how often the settings file is looked at without a signal.
-// The platform may change the file silently.
+// PollIntervalMs is the interval at which the settings file is read without a
+// signal. The platform may change the file without sending one.
 const PollIntervalMs = 2 * clock.Second
 
-// Watch calls apply after each change of a settings file, until ctx ends. A
-// value on again makes it look at once. A file that cannot be used leaves the
-// settings as they are and is passed to refuse once.
+// Watch calls apply after each change of a settings file, until ctx ends. It reads
+// the file every PollIntervalMs and on each value from reload; after a value from
+// reload it applies an unchanged file too. For invalid settings it calls reject
+// with the error, once per change or reload, and does not call apply. An
+// unreadable file is reported only after a value from reload.
 func Watch(ctx context.Context, path string, reload <-chan os.Signal, apply func(*Gateway), reject func(error)) error {
-	lastData, _ := os.ReadFile(path) // a file that cannot be read counts as changed once it can be
+	lastData, _ := os.ReadFile(path) // an unreadable file counts as changed once it can be read
 	ticker := time.NewTicker(PollIntervalMs.Duration())
 	defer ticker.Stop()
 	for {
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -9,26 +9,26 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Gateway are the settings of a VM that forwards requests by the operators'
-// configuration, which it reads from the platform's store.
+// Gateway holds the settings of a VM that forwards requests according to the
+// operators' configuration, which it reads from the platform's store.
 type Gateway struct {
 	VM           string       `json:"vm"`
 	DataCentre   string       `json:"data_centre"`
-	Callers      string       `json:"callers"` // address for requests of callers
-	Ready        string       `json:"ready"`   // address for the balancer's question
+	Callers      string       `json:"callers"` // address for requests from callers
+	Ready        string       `json:"ready"`   // address for the load balancer's readiness check
 	Peers        string       `json:"peers"`   // address for other VMs
-	Metrics      string       `json:"metrics"` // address for metrics and status, may be empty
+	Metrics      string       `json:"metrics"` // address for metrics and status; may be empty
 	Store        string       `json:"store"`   // address of the platform's store
-	GraceSeconds int64        `json:"grace_s"` // time between the order to stop and the kill
+	GraceSeconds int64        `json:"grace_s"` // time from the stop signal until the process is killed
 	Retry        RetryBudget  `json:"retry_budget"`
-	MemoryMB     int64        `json:"memory_mb"` // limit of the process
+	MemoryMB     int64        `json:"memory_mb"` // memory limit of the process
 	ExpectedVMs  int          `json:"expected_vms"`
-	CPUShare     float64      `json:"cpu_share"` // cores that the VM may use
-	DrainMs      clock.Millis `json:"drain_ms"`  // within it a leaving upstream gets no new work
+	CPUShare     float64      `json:"cpu_share"` // number of cores that the VM may use
+	DrainMs      clock.Millis `json:"drain_ms"`  // time after which a leaving upstream must get no new requests
 }
 
-// RetryBudget bounds the attempts beyond the first one, over all VMs: Ratio of
-// the requests of a service, plus Extra, in any window.
+// RetryBudget bounds the retries of a service in any window, over all VMs: Ratio
+// times its requests, plus Extra.
 type RetryBudget struct {
 	Ratio         float64 `json:"ratio"`
 	Extra         float64 `json:"extra"`
@@ -45,12 +45,12 @@
 	maxCPUShare      = 1024
 
 	defaultGraceSeconds = 6
-	defaultMemoryMB     = 284 // the users' smallest VMs of today
+	defaultMemoryMB     = 284 // memory of the users' smallest VMs
 	defaultExpectedVMs  = 9   // the users run 7 to 9 entry VMs
 	defaultDrainMs      = 3 * clock.Second
 )
 
-// LoadGateway reads and checks a file. Its errors are of type *Error.
+// LoadGateway reads, decodes and validates a file. Its errors are of type *Error.
 func LoadGateway(path string) (*Gateway, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return DecodeGateway(data)
 }
 
-// DecodeGateway checks a JSON document. Its errors are of type *Error.
+// DecodeGateway decodes and validates a JSON document. Its errors are of type *Error.
 func DecodeGateway(data []byte) (*Gateway, error) {
 	v, err := parse(data)
 	if err != nil {
@@ -68,7 +68,7 @@
 	g := &Gateway{
 		GraceSeconds: defaultGraceSeconds, MemoryMB: defaultMemoryMB, ExpectedVMs: defaultExpectedVMs,
 		DrainMs: defaultDrainMs,
-		Retry:   RetryBudget{Ratio: 0.2, WindowSeconds: 10}, // the users' bounds of today
+		Retry:   RetryBudget{Ratio: 0.2, WindowSeconds: 10}, // the users' bounds
 	}
 	b := &binder{rejected: make(map[string]bool)}
 	b.bind("", v, reflect.ValueOf(g).Elem())
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -18,7 +18,8 @@
   "grace_s": 6, "memory_mb": 284, "retry_budget": {"ratio": 0.2, "extra": 58, "window_s": 10}
 }`
 
-// TestDecodeGateway guards against settings that are taken although they cannot work.
+// TestDecodeGateway guards against accepting settings with a missing field, a
+// duplicate address or a value out of range.
 func TestDecodeGateway(t *testing.T) {
 	g, err := settings.DecodeGateway([]byte(gatewayJSON))
 	if err != nil {
@@ -28,13 +29,13 @@
 		t.Errorf("got %+v, want the values of the file and the default drain", g)
 	}
 	tests := []struct{ name, old, replacement, wantPath string }{
-		{"no VM", `"front-1"`, `""`, "vm"},
-		{"same address twice", `"10.0.0.1:8001"`, `"10.0.0.1:8000"`, "ready"},
-		{"no peers", `"peers": "10.0.0.1:8002",`, ``, "peers"},
+		{"empty VM", `"front-1"`, `""`, "vm"},
+		{"duplicate address", `"10.0.0.1:8001"`, `"10.0.0.1:8000"`, "ready"},
+		{"missing peers", `"peers": "10.0.0.1:8002",`, ``, "peers"},
 		{"ratio above 1", `"ratio": 0.2`, `"ratio": 2`, "retry_budget.ratio"},
-		{"ratio is a text", `"ratio": 0.2`, `"ratio": "much"`, "retry_budget.ratio"},
-		{"unit is missing", `"grace_s": 6`, `"grace": 6`, "grace"},
-		{"negative share", `0.4`, `-1`, "cpu_share"},
+		{"ratio is a string", `"ratio": 0.2`, `"ratio": "much"`, "retry_budget.ratio"},
+		{"missing unit", `"grace_s": 6`, `"grace": 6`, "grace"},
+		{"negative cpu_share", `0.4`, `-1`, "cpu_share"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -50,8 +51,8 @@
 	}
 }
 
-// TestWatch guards against a reload that is missed, and against a broken file
-// that takes the place of good settings.
+// TestWatch guards against missing a change of the file, with or without a signal,
+// and against replacing valid settings by a file that is not JSON.
 func TestWatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	write := func(text string) {
@@ -72,7 +73,7 @@
 		case g := <-applied:
 			return g
 		case <-time.After(timeout):
-			t.Fatalf("%s: not applied", what)
+			t.Fatalf("%s: settings not applied", what)
 			return nil
 		}
 	}
@@ -87,10 +88,10 @@
 			t.Error("got no error, want one")
 		}
 	case <-time.After(timeout):
-		t.Fatal("a broken file is not refused")
+		t.Fatal("got no error for a file that is not JSON, want one")
 	}
 	write(strings.Replace(gatewayJSON, `"grace_s": 6`, `"grace_s": 9`, 1))
-	if got := awaitApplied("silent change"); got.GraceSeconds != 9 {
+	if got := awaitApplied("change without a signal"); got.GraceSeconds != 9 {
 		t.Errorf("got grace %d, want 9", got.GraceSeconds)
 	}
 	cancel()
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -8,7 +8,8 @@
 	"io"
 )
 
-// maxDepth bounds nesting, so that a hostile file cannot exhaust the stack.
+// maxDepth bounds the nesting of JSON values, so that a malicious file cannot
+// exhaust the stack.
 const maxDepth = 32
 
 var (
@@ -21,7 +22,8 @@
 	value any
 }
 
-// object keeps members in file order; encoding/json would drop repeated names.
+// object holds members in file order, repeated names included; encoding/json
+// would drop them.
 type object []member
 
 func parse(data []byte) (any, error) {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -10,12 +10,12 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// Settings are checked settings. They do not change.
+// Settings are validated settings. They are immutable.
 type Settings struct {
 	doc Document
 }
 
-// Decode checks a JSON document. Its errors are of type *Error.
+// Decode decodes and validates a JSON document. Its errors are of type *Error.
 func Decode(data []byte) (*Settings, error) {
 	v, err := parse(data)
 	if err != nil {
@@ -27,12 +27,13 @@
 	return newSettings(b, doc)
 }
 
-// New checks a document that was built in code; it must hold every field.
+// New validates a document that was built in code. It fills in no defaults, so the
+// document must have every field.
 func New(doc Document) (*Settings, error) {
 	return newSettings(&binder{rejected: make(map[string]bool)}, doc)
 }
 
-// Load reads and checks a file. Its errors are of type *Error.
+// Load reads, decodes and validates a file. Its errors are of type *Error.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -55,13 +56,13 @@
 // Document returns the JSON document. The caller must not change its slices.
 func (s *Settings) Document() Document { return s.doc }
 
-// VM returns the identifier of the VM.
+// VM returns the identifier of this VM.
 func (s *Settings) VM() string { return s.doc.VM }
 
-// DataCentre returns the data centre of the VM.
+// DataCentre returns the data centre of this VM.
 func (s *Settings) DataCentre() string { return s.doc.DataCentre }
 
-// Addresses returns the addresses on which the VM listens.
+// Addresses returns the addresses on which this VM listens.
 func (s *Settings) Addresses() Addresses { return s.doc.Addresses }
 
 // Timeouts returns the timeouts, with defaults filled in.
@@ -70,7 +71,7 @@
 // Limits returns the limits, with defaults filled in.
 func (s *Settings) Limits() Limits { return s.doc.Limits }
 
-// Services returns the services as package upstream describes them.
+// Services returns the services in the types of package upstream.
 func (s *Settings) Services() []upstream.Service {
 	out := make([]upstream.Service, 0, len(s.doc.Services))
 	for _, svc := range s.doc.Services {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -18,8 +18,8 @@
 {"name":"g1","from":0,"to":10,"replicas":[{"name":"a","address":"127.0.0.1:2000","connections":25,"connect_ms":6}]},
 {"name":"g2","from":10,"to":20,"replicas":[{"name":"a","address":"127.0.0.1:2001","connections":25,"connect_ms":6}]}]}]}`
 
-// TestDecodeNamesField guards against a refused field that is not named by its
-// path, and against reporting only the first problem.
+// TestDecodeNamesField guards against an error that lacks the path of a rejected
+// field, and against reporting only the first problem.
 func TestDecodeNamesField(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -36,8 +36,8 @@
 		{"overlap", `"from":10`, `"from":9`, []string{"services[0].groups[1].from: is 9 and overlaps groups[0], want 10"}},
 		{"gap", `"from":10`, `"from":11`, []string{"services[0].groups[1].from: is 11 and leaves keys 10 to 10"}},
 		{"outside the key space", `"to":20`, `"to":21`, []string{"services[0].groups[1].to: is 21 and leaves the key space, want 11 to 20"}},
-		{"short of the key space", `"keys":20`, `"keys":21`, []string{"services[0].keys: is 21 but the groups end at 20"}},
-		{"limit too small", `"vm":`, `"limits":{"ring_events":1},"vm":`, []string{"limits.ring_events: is 1, want 16 to 1048576"}},
+		{"gap at the end of the key space", `"keys":20`, `"keys":21`, []string{"services[0].keys: is 21 but the groups end at 20"}},
+		{"limit below its minimum", `"vm":`, `"limits":{"ring_events":1},"vm":`, []string{"limits.ring_events: is 1, want 16 to 1048576"}},
 		{"zero timeout", `"vm":`, `"timeouts":{"store_ms":0},"vm":`, []string{"timeouts.store_ms: is 0, want 1 to 600000"}},
 		{"host name", `127.0.0.1:1002`, `store:1002`, []string{"store: is \"store:1002\", want an IP address"}},
 		{"repeated field", `"vm":`, `"vm":"vm-1","vm":`, []string{"vm: is given more than once"}},
@@ -62,7 +62,8 @@
 	}
 }
 
-// TestLoadKinds guards against a missing file or broken JSON that is reported as a refused field.
+// TestLoadKinds guards against reporting a missing file or malformed JSON as a
+// rejected field.
 func TestLoadKinds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	for text, want := range map[string]settings.Kind{valid + "{}": settings.KindSyntax, `{"vm":`: settings.KindSyntax, "": settings.KindSyntax, "[]": settings.KindInvalid} {
@@ -80,7 +81,8 @@
 	}
 }
 
-// TestExampleSizes guards against examples that lose upstreams or do not survive their own encoding.
+// TestExampleSizes guards against examples with missing upstreams, and against
+// examples that Decode rejects after encoding.
 func TestExampleSizes(t *testing.T) {
 	for name, want := range map[string]int{"hautakukka": 40 + 60 + 15 + 7, "pondslip": 40 + 60 + 8 + 4} {
 		s, err := settings.Example(name, settings.WithPortBase(30000), settings.WithVM(9))
@@ -109,7 +111,8 @@
 	}
 }
 
-// FuzzDecode guards against a panic, and against accepted settings that are refused when encoded again.
+// FuzzDecode guards against a panic, and against accepted settings that are
+// rejected after encoding them again.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{valid, `{}`, `[[[`, `{"services":[{"groups":[null]}]}`, `{"limits":{"ring_events":1e99}}`} {
 		f.Add([]byte(seed))
@@ -124,7 +127,7 @@
 			t.Fatal(err)
 		}
 		if _, err := settings.Decode(encoded); err != nil {
-			t.Errorf("encoded settings are refused: %v", err)
+			t.Errorf("Decode of encoded settings = %v, want nil", err)
 		}
 	})
 }
