--- a/gateway/front.go
+++ b/gateway/callers.go
@@ -28,45 +28,45 @@
 	idleTimeout       = 60 * time.Second
 )
 
-// newFront returns the server for callers. It is net/http's, because fasthttp
+// newCallerServer returns the server for callers. It is net/http's, because fasthttp
 // does not notice a caller that leaves while its request runs.
-func (g *Gateway) newFront() *http.Server {
+func (g *Gateway) newCallerServer() *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeaderBytes,
-		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: quietLog(),
+		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLog(),
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-			way, _ := socket.RoundTripTime(nc)
-			return context.WithValue(ctx, callerKey{}, &callerConn{wayMs: way})
+			roundTrip, _ := socket.RoundTripTime(nc)
+			return context.WithValue(ctx, callerConnKey{}, &callerConn{roundTripMs: roundTrip})
 		},
 	}
 }
 
-// callerKey finds the callerConn in a request's context.
-type callerKey struct{}
+// callerConnKey finds the callerConn in a request's context.
+type callerConnKey struct{}
 
 // callerConn is what is known of a caller's connection.
 type callerConn struct {
-	wayMs clock.Millis // round trip to the caller; 0 if not known
-	used  atomic.Bool  // it has carried a request before
+	roundTripMs clock.Millis // round trip to the caller; 0 if not known
+	reused      atomic.Bool  // it has carried a request before
 }
 
-// wayOf returns how long the network takes for a request and its answer. The
+// roundTripOf returns how long the network takes for a request and its answer. The
 // first request on a connection waited for the connection too.
-func wayOf(r *http.Request) clock.Millis {
-	c, ok := r.Context().Value(callerKey{}).(*callerConn)
+func roundTripOf(r *http.Request) clock.Millis {
+	c, ok := r.Context().Value(callerConnKey{}).(*callerConn)
 	if !ok {
 		return 0
 	}
-	if !c.used.Swap(true) {
-		return 2 * c.wayMs
+	if !c.reused.Swap(true) {
+		return 2 * c.roundTripMs
 	}
-	return c.wayMs
+	return c.roundTripMs
 }
 
-// newBalancer returns the server for the balancer's question.
-func (g *Gateway) newBalancer() *http.Server {
+// newReadyServer returns the server for the balancer's question.
+func (g *Gateway) newReadyServer() *http.Server {
 	return &http.Server{
-		Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: quietLog(),
+		Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLog(),
 	}
 }
 
@@ -98,21 +98,21 @@
 	if !strings.HasPrefix(uri, "/") {
 		uri = r.URL.RequestURI()
 	}
-	left, err := deadlineOf(r.Header.Get(g.headers.DeadlineMs))
+	remaining, err := parseRemaining(r.Header.Get(g.headers.DeadlineMs))
 	if id == "" || err != nil {
 		refuse(w, http.StatusBadRequest, 0)
 		return
 	}
 	c := &call{answer: make(chan relay.Answer, 1)}
-	c.request = exchange.NewRequest(g.headers.Headers, r.Method, uri, r.Host, id, g.forwarded(r.Header), body)
-	n := g.calls.Add(1)
-	g.post(item{call: c, relay: relay.ArrivalMsg{ID: n, Name: id, Host: r.Host, Path: uri, RemainingMs: left, RoundTripMs: wayOf(r)}})
+	c.request = exchange.NewRequest(g.headers.Headers, r.Method, uri, r.Host, id, g.forwardedFields(r.Header), body)
+	callID := g.lastCallID.Add(1)
+	g.post(loopMsg{call: c, relay: relay.ArrivalMsg{ID: callID, Name: id, Host: r.Host, Path: uri, RemainingMs: remaining, RoundTripMs: roundTripOf(r)}})
 	select {
 	case a := <-c.answer:
-		g.write(w, id, a)
+		g.writeAnswer(w, id, a)
 	case <-r.Context().Done():
-		g.post(item{relay: relay.CallerDisconnectedMsg{ID: n}})
-	case <-g.stopped:
+		g.post(loopMsg{relay: relay.CallerDisconnectedMsg{ID: callID}})
+	case <-g.loopDone:
 		panic(http.ErrAbortHandler) // a closed connection promises nothing
 	}
 }
@@ -157,8 +157,8 @@
 	return n
 }
 
-// deadlineOf reads how long the caller waits; 0 means that it does not say.
-func deadlineOf(value string) (clock.Millis, error) {
+// parseRemaining reads how long the caller waits; 0 means that it does not say.
+func parseRemaining(value string) (clock.Millis, error) {
 	if value == "" {
 		return 0, nil
 	}
@@ -169,8 +169,8 @@
 	return clock.Millis(max(n, 1)), nil
 }
 
-// forwarded returns the headers that are passed on as they are.
-func (g *Gateway) forwarded(h http.Header) []exchange.Field {
+// forwardedFields returns the headers that are passed on as they are.
+func (g *Gateway) forwardedFields(h http.Header) []exchange.Field {
 	dropped := make(map[string]bool)
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
@@ -179,7 +179,7 @@
 	}
 	var out []exchange.Field
 	for name, values := range h {
-		if dropped[name] || exchange.IsHopByHop(name) || g.own(name) {
+		if dropped[name] || exchange.IsHopByHop(name) || g.setsHeader(name) {
 			continue
 		}
 		for _, v := range values {
@@ -189,8 +189,8 @@
 	return out
 }
 
-// own reports whether this VM sets the header itself.
-func (g *Gateway) own(name string) bool {
+// setsHeader reports whether this VM sets the header itself.
+func (g *Gateway) setsHeader(name string) bool {
 	h := g.headers.Headers
 	return name == h.RequestID || name == h.DeadlineMs || name == h.ExpectInstance || name == "Expect"
 }
@@ -204,7 +204,7 @@
 	relay.NoRoute:  http.StatusNotFound,
 }
 
-func (g *Gateway) write(w http.ResponseWriter, id string, a relay.Answer) {
+func (g *Gateway) writeAnswer(w http.ResponseWriter, id string, a relay.Answer) {
 	h := w.Header()
 	h[g.headers.RequestID] = []string{id}
 	switch a.Outcome {
--- a/gateway/translator.go
+++ b/gateway/decoder.go
@@ -28,7 +28,7 @@
 	// Prefix returns the prefix of the keys to follow.
 	Prefix() string
 	// Decode decodes an item. The zero Change means that the item is of no concern.
-	Decode(it store.Item) (DecodedItem, error)
+	Decode(item store.Item) (DecodedItem, error)
 	// UpstreamID returns the upstream that a key names.
 	UpstreamID(key string) (string, bool)
 	// VMID returns the VM that a key names, and VMKey the key of a VM's entry.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -26,134 +26,134 @@
 
 // Gateway runs one VM.
 type Gateway struct {
-	feed         store.PrefixWatcher
-	translator   ItemDecoder
-	leases       store.Leases
-	store        store.Store
-	self         relay.VM
-	headers      Headers
-	callersAddr  string
-	readyAddr    string
-	metricsAddr  string
-	readyPath    string
-	logger       log.Logger
-	clock        clock.Clock
-	limits       Limits // at the start
-	pace         clock.Millis
-	listeners    *listeners // nil to listen on the addresses
-	seed         uint64
-	relayOptions []relay.Option
-
-	core     *relay.Model
-	catalog  *catalog.Model
-	register *roster.Registrar
-	mesh     *peer.Mesh
-	metrics  *metrics
-	client   *exchange.Client
-	inbox    chan item
-	stopped  chan struct{} // closed when the event loop has ended
-	ready    atomic.Bool
-	stopping atomic.Bool
-	graceMs  atomic.Int64
-	table    atomic.Pointer[route.Table]
-	presets  atomic.Pointer[preset.Record]
-	calls    atomic.Uint64
-	inFlight atomic.Int64 // requests that are read and not answered
-	ends     chan error
-
-	waiters map[uint64]*call     // owned by the event loop
-	handed  map[handedKey]uint64 // requests of other VMs, owned by the event loop
-	vms     map[string]relay.VM  // owned by the event loop
-	listNew bool                 // vms has changed; owned by the event loop
+	watcher       store.PrefixWatcher
+	decoder       ItemDecoder
+	leases        store.Leases
+	store         store.Store
+	self          relay.VM
+	headers       Headers
+	callersAddr   string
+	readyAddr     string
+	metricsAddr   string
+	readyPath     string
+	logger        log.Logger
+	clock         clock.Clock
+	limits        Limits // at the start
+	watchInterval clock.Millis
+	listeners     *listeners // nil to listen on the addresses
+	seed          uint64
+	relayOptions  []relay.Option
+
+	relayModel    *relay.Model
+	catalog       *catalog.Model
+	registrar     *roster.Registrar
+	mesh          *peer.Mesh
+	metrics       *metrics
+	client        *exchange.Client
+	inbox         chan loopMsg
+	loopDone      chan struct{} // closed when the event loop has ended
+	ready         atomic.Bool
+	stopping      atomic.Bool
+	gracePeriodMs atomic.Int64
+	table         atomic.Pointer[route.Table]
+	presets       atomic.Pointer[preset.Record]
+	lastCallID    atomic.Uint64
+	inFlight      atomic.Int64 // requests that are read and not answered
+	exits         chan error
+
+	calls         map[uint64]*call         // owned by the event loop
+	delegations   map[delegationKey]uint64 // requests of other VMs, owned by the event loop
+	vmList        map[string]relay.VM      // owned by the event loop
+	vmListChanged bool                     // vms has changed; owned by the event loop
 }
 
-// item is a message for the event loop.
-type item struct {
-	relay   relay.Msg
-	call    *call // of an ArrivalMsg
-	catalog catalog.Msg
-	roster  roster.RegistrarMsg
-	peer    *peerMsg
-	presets *preset.Record
-	result  *exchange.Result
+// loopMsg is a message for the event loop.
+type loopMsg struct {
+	relay     relay.Msg
+	call      *call // of an ArrivalMsg
+	catalog   catalog.Msg
+	registrar roster.RegistrarMsg
+	peer      *peerEvent
+	presets   *preset.Record
+	result    *exchange.Result
 }
 
 // call is a request of a caller that waits for its answer.
 type call struct {
-	request *exchange.Request
-	answer  chan relay.Answer
-	handed  *handedKey // set for a request of another VM, which has no channel
+	request    *exchange.Request
+	answer     chan relay.Answer
+	delegation *delegationKey // set for a request of another VM, which has no channel
 }
 
 // New returns a Gateway.
 func New(opts ...Option) *Gateway {
 	g := &Gateway{
-		logger: log.NewNopLogger(), clock: clock.NewMonotonic(), limits: Limits{GracePeriod: defaultGraceMs}, readyPath: "/ready",
-		inbox: make(chan item, inboxLen), stopped: make(chan struct{}), ends: make(chan error, endsLen),
-		waiters: make(map[uint64]*call), handed: make(map[handedKey]uint64), vms: make(map[string]relay.VM),
+		logger: log.NewNopLogger(), clock: clock.NewMonotonic(), limits: Limits{GracePeriod: defaultGracePeriodMs}, readyPath: "/ready",
+		inbox: make(chan loopMsg, inboxLen), loopDone: make(chan struct{}), exits: make(chan error, exitsLen),
+		calls: make(map[uint64]*call), delegations: make(map[delegationKey]uint64), vmList: make(map[string]relay.VM),
 	}
 	for _, opt := range opts {
 		opt(g)
 	}
-	g.graceMs.Store(int64(g.limits.GracePeriod))
-	g.core = relay.New(append([]relay.Option{relay.WithSeed(g.seed), relay.WithSelf(g.self.ID, g.self.DataCentre), relay.WithBudget(g.limits.Budget)}, g.relayOptions...)...)
-	shipped := preset.GatewayDefault()
-	g.presets.Store(&shipped)
-	g.core.Update(g.clock.Now(), relay.PresetMsg{Preset: shipped.CurrentPreset()})
+	g.gracePeriodMs.Store(int64(g.limits.GracePeriod))
+	g.relayModel = relay.New(append([]relay.Option{relay.WithSeed(g.seed), relay.WithSelf(g.self.ID, g.self.DataCentre), relay.WithBudget(g.limits.Budget)}, g.relayOptions...)...)
+	defaults := preset.GatewayDefault()
+	g.presets.Store(&defaults)
+	g.relayModel.Update(g.clock.Now(), relay.PresetMsg{Preset: defaults.CurrentPreset()})
 	g.metrics = newMetrics()
-	g.register = roster.NewRegistrar(g.seed)
+	g.registrar = roster.NewRegistrar(g.seed)
 	g.mesh = peer.New(g.self.ID, g.seed, meshHandler{g})
-	g.catalog = catalog.New(g.seed, catalog.WithWatchInterval(g.pace))
-	g.client = exchange.New(func(r exchange.Result) { g.post(item{result: &r}) },
+	g.catalog = catalog.New(g.seed, catalog.WithWatchInterval(g.watchInterval))
+	g.client = exchange.New(func(r exchange.Result) { g.post(loopMsg{result: &r}) },
 		exchange.WithHeaders(g.headers.Headers), exchange.WithClock(g.clock))
 	return g
 }
 
-// endsLen holds the ends of all long-lived goroutines.
-const endsLen = 16
+// exitsLen holds the ends of all long-lived goroutines.
+const exitsLen = 16
 
 // Run serves until ctx ends, then stops as planned: it is not ready, answers
 // what it has read, and closes each connection after its answer.
 func (g *Gateway) Run(ctx context.Context) error {
-	lis, err := g.listen(ctx)
+	open, err := g.listen(ctx)
 	if err != nil {
 		return err
 	}
 	// Input and output outlive ctx, because a planned stop finishes what is in flight.
-	io, stopIO := context.WithCancel(context.WithoutCancel(ctx))
+	ioCtx, stopIO := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopIO()
-	front := g.newFront()
-	servers := []*http.Server{front, g.newBalancer(), g.newAdmin()}
+	callerServer := g.newCallerServer()
+	servers := []*http.Server{callerServer, g.newReadyServer(), g.newAdminServer()}
 	running := 2
 	for i, s := range servers {
-		if lis.http[i] != nil {
+		if open.http[i] != nil {
 			running++
-			go func() { g.ends <- serve(s, lis.http[i]) }()
+			go func() { g.exits <- serve(s, open.http[i]) }()
 		}
 	}
-	go func() { g.ends <- g.client.Run(io) }()
-	go func() { g.ends <- g.mesh.Run(io, lis.peers) }()
-	loopEnd := make(chan error, 1)
-	go func() { loopEnd <- g.loop(io) }()
+	go func() { g.exits <- g.client.Run(ioCtx) }()
+	go func() { g.exits <- g.mesh.Run(ioCtx, open.peers) }()
+	loopExit := make(chan error, 1)
+	go func() { loopExit <- g.loop(ioCtx) }()
 	_ = g.logger.Log("event", "started", "callers", g.callersAddr, "ready", g.readyAddr)
 
-	var first error
+	var runErr error
 	select {
 	case <-ctx.Done():
-		g.stop(front)
-	case first = <-g.ends:
+		g.stop(callerServer)
+	case runErr = <-g.exits:
 		running--
 	}
 	for _, s := range servers {
-		first = errors.Join(first, s.Close())
+		runErr = errors.Join(runErr, s.Close())
 	}
 	stopIO()
-	first = errors.Join(first, <-loopEnd)
+	runErr = errors.Join(runErr, <-loopExit)
 	for range running {
-		first = errors.Join(first, <-g.ends)
+		runErr = errors.Join(runErr, <-g.exits)
 	}
-	_ = g.logger.Log("event", "stopped", "err", first)
-	return first
+	_ = g.logger.Log("event", "stopped", "err", runErr)
+	return runErr
 }
 
 // listeners are the addresses that are open. The one for metrics may be nil.
@@ -202,9 +202,9 @@
 }
 
 // post hands a message to the event loop. It is dropped once the loop has ended.
-func (g *Gateway) post(it item) {
+func (g *Gateway) post(msg loopMsg) {
 	select {
-	case g.inbox <- it:
-	case <-g.stopped:
+	case g.inbox <- msg:
+	case <-g.loopDone:
 	}
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -13,6 +13,6 @@
 
 // SetLimits puts other limits in force.
 func (g *Gateway) SetLimits(l Limits) {
-	g.graceMs.Store(int64(l.GracePeriod))
-	g.post(item{relay: l.Budget})
+	g.gracePeriodMs.Store(int64(l.GracePeriod))
+	g.post(loopMsg{relay: l.Budget})
 }
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -5,6 +5,6 @@
 	stdlog "log"
 )
 
-// quietLog drops what net/http prints about broken connections; events and
+// discardLog drops what net/http prints about broken connections; events and
 // metrics cover what matters.
-func quietLog() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
+func discardLog() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
--- a/gateway/logwriter.go
+++ b/gateway/logwriter.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// logLines is how many lines may wait for the output. More are dropped and
+	// maxQueuedLines is how many lines may wait for the output. More are dropped and
 	// counted, so that a slow output never holds up a request.
-	logLines = 2048
+	maxQueuedLines = 2048
 
-	// linesPerSecond bounds the lines that are written, after a burst of logLines.
-	linesPerSecond = 200
+	// maxLinesPerSecond bounds the lines that are written, after a burst of logLines.
+	maxLinesPerSecond = 200
 
-	// logReportEvery is how often dropped lines are reported.
-	logReportEvery = time.Second
+	// dropReportInterval is how often dropped lines are reported.
+	dropReportInterval = time.Second
 )
 
 // LogWriter writes log lines in the background. Its Write never blocks.
@@ -29,7 +29,7 @@
 
 // NewLogWriter returns a LogWriter. Lines are written once Run is called.
 func NewLogWriter(out io.Writer) *LogWriter {
-	return &LogWriter{out: out, lines: make(chan []byte, logLines)}
+	return &LogWriter{out: out, lines: make(chan []byte, maxQueuedLines)}
 }
 
 // Write queues one line, or drops and counts it.
@@ -47,22 +47,22 @@
 
 // Run writes lines until ctx ends, then writes what waits.
 func (l *LogWriter) Run(ctx context.Context) error {
-	ticker := time.NewTicker(logReportEvery)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
-	allowed := logLines
+	tokens := maxQueuedLines
 	for {
 		var lines chan []byte
-		if allowed > 0 {
+		if tokens > 0 {
 			lines = l.lines
 		}
 		select {
 		case line := <-lines:
-			allowed--
+			tokens--
 			if _, err := l.out.Write(line); err != nil {
 				return err
 			}
 		case <-ticker.C:
-			allowed = min(allowed+linesPerSecond, logLines)
+			tokens = min(tokens+maxLinesPerSecond, maxQueuedLines)
 			if err := l.report(); err != nil {
 				return err
 			}
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -12,101 +12,101 @@
 	"lentillink.example/lentillink/store"
 )
 
-// batchLen is how many waiting messages the loop handles before it looks at
+// maxBatch is how many waiting messages the loop handles before it looks at
 // its timer again.
-const batchLen = 64
+const maxBatch = 64
 
-// idleWakeMs is how often an idle loop looks at the clock, to notice that the
+// maxWaitMs is how often an idle loop looks at the clock, to notice that the
 // VM was suspended.
-const idleWakeMs = clock.Second
+const maxWaitMs = clock.Second
 
 // loop owns the state machines. It ends with io.
-func (g *Gateway) loop(io context.Context) error {
-	defer close(g.stopped)
+func (g *Gateway) loop(ioCtx context.Context) error {
+	defer close(g.loopDone)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(g.nextWake().Duration())
+		timer.Reset(g.timeToWake().Duration())
 		select {
-		case it := <-g.inbox:
-			g.accept(io, it)
-			g.acceptWaiting(io)
+		case msg := <-g.inbox:
+			g.handle(ioCtx, msg)
+			g.handleQueued(ioCtx)
 		case <-timer.C:
-			g.tick(io)
-		case <-io.Done():
+			g.tick(ioCtx)
+		case <-ioCtx.Done():
 			return nil
 		}
 	}
 }
 
-func (g *Gateway) acceptWaiting(io context.Context) {
-	for range batchLen {
+func (g *Gateway) handleQueued(ioCtx context.Context) {
+	for range maxBatch {
 		select {
-		case it := <-g.inbox:
-			g.accept(io, it)
+		case msg := <-g.inbox:
+			g.handle(ioCtx, msg)
 		default:
 			return
 		}
 	}
 }
 
-func (g *Gateway) accept(io context.Context, it item) {
+func (g *Gateway) handle(ioCtx context.Context, msg loopMsg) {
 	switch {
-	case it.catalog != nil:
-		g.stepCatalog(io, it.catalog)
-	case it.presets != nil:
-		g.setPresets(*it.presets)
-	case it.peer != nil:
-		g.acceptPeer(io, it.peer)
-	case it.roster != nil:
-		g.stepRegister(io, it.roster)
-	case it.result != nil:
-		g.step(resultMsg(*it.result))
-	case it.call != nil:
-		arrive := it.relay.(relay.ArrivalMsg)
-		g.waiters[arrive.ID] = it.call
-		g.step(arrive)
+	case msg.catalog != nil:
+		g.stepCatalog(ioCtx, msg.catalog)
+	case msg.presets != nil:
+		g.setPresets(*msg.presets)
+	case msg.peer != nil:
+		g.handlePeer(ioCtx, msg.peer)
+	case msg.registrar != nil:
+		g.stepRegistrar(ioCtx, msg.registrar)
+	case msg.result != nil:
+		g.stepRelay(attemptMsg(*msg.result))
+	case msg.call != nil:
+		arrival := msg.relay.(relay.ArrivalMsg)
+		g.calls[arrival.ID] = msg.call
+		g.stepRelay(arrival)
 	default:
-		g.step(it.relay)
-		if gone, ok := it.relay.(relay.CallerDisconnectedMsg); ok {
-			g.forgetCall(gone.ID)
+		g.stepRelay(msg.relay)
+		if disconnected, ok := msg.relay.(relay.CallerDisconnectedMsg); ok {
+			g.removeCall(disconnected.ID)
 		}
 	}
 }
 
-// resultMsg turns the end of an exchange into a message.
-func resultMsg(r exchange.Result) relay.Msg {
+// attemptMsg turns the end of an exchange into a message.
+func attemptMsg(r exchange.Result) relay.Msg {
 	if r.Err != nil {
 		return relay.AttemptFailedMsg{Attempt: r.Attempt, NotSent: !r.Err.Kind().MaybeSent(), Cause: r.Err.Kind().String()}
 	}
-	rep := r.Reply
+	reply := r.Reply
 	return relay.ReplyMsg{Attempt: r.Attempt, Reply: relay.Reply{
-		Status: rep.Status, Receipt: rep.Receipt, Body: rep.Body, NotRun: rep.NotRun,
-		WrongUpstream: rep.Status == statusMisdirected, Leaving: rep.CloseConn, Header: rep.Fields,
+		Status: reply.Status, Receipt: reply.Receipt, Body: reply.Body, NotRun: reply.NotRun,
+		WrongUpstream: reply.Status == statusMisdirected, Leaving: reply.CloseConn, Header: reply.Fields,
 	}}
 }
 
-func (g *Gateway) tick(io context.Context) {
+func (g *Gateway) tick(ioCtx context.Context) {
 	now := g.clock.Now()
 	if at, ok := g.catalog.NextWake(); ok && at <= now {
-		g.stepCatalog(io, catalog.TickMsg{})
+		g.stepCatalog(ioCtx, catalog.TickMsg{})
 	}
-	if at, ok := g.core.NextWake(); ok && at <= now {
-		g.step(relay.TickMsg{})
+	if at, ok := g.relayModel.NextWake(); ok && at <= now {
+		g.stepRelay(relay.TickMsg{})
 	}
-	if at, ok := g.register.NextWake(); ok && at <= now {
-		g.stepRegister(io, roster.TickMsg{})
+	if at, ok := g.registrar.NextWake(); ok && at <= now {
+		g.stepRegistrar(ioCtx, roster.TickMsg{})
 	}
 }
 
-// nextWake returns how long the loop may wait.
-func (g *Gateway) nextWake() clock.Millis {
+// timeToWake returns how long the loop may wait.
+func (g *Gateway) timeToWake() clock.Millis {
 	now := g.clock.Now()
-	wait := idleWakeMs
-	if at, ok := g.core.NextWake(); ok {
+	wait := maxWaitMs
+	if at, ok := g.relayModel.NextWake(); ok {
 		wait = min(wait, at-now)
 	}
-	if at, ok := g.register.NextWake(); ok {
+	if at, ok := g.registrar.NextWake(); ok {
 		wait = min(wait, at-now)
 	}
 	if at, ok := g.catalog.NextWake(); ok {
@@ -115,9 +115,9 @@
 	return max(wait, 0)
 }
 
-// step updates the relay and performs its commands.
-func (g *Gateway) step(msg relay.Msg) {
-	for _, cmd := range g.core.Update(g.clock.Now(), msg) {
+// stepRelay updates the relay and performs its commands.
+func (g *Gateway) stepRelay(msg relay.Msg) {
+	for _, cmd := range g.relayModel.Update(g.clock.Now(), msg) {
 		g.perform(cmd)
 	}
 }
@@ -125,14 +125,14 @@
 func (g *Gateway) perform(cmd relay.Cmd) {
 	switch c := cmd.(type) {
 	case relay.SendCmd:
-		g.metrics.sent.Inc()
-		w := g.waiters[c.Request]
-		if w == nil {
-			g.post(item{relay: relay.AttemptFailedMsg{Attempt: c.Attempt, NotSent: true, Cause: "no_request"}})
+		g.metrics.attempts.Inc()
+		pending := g.calls[c.Request]
+		if pending == nil {
+			g.post(loopMsg{relay: relay.AttemptFailedMsg{Attempt: c.Attempt, NotSent: true, Cause: "no_request"}})
 			return
 		}
 		g.client.Send(exchange.Call{
-			Attempt: c.Attempt, Upstream: c.Upstream, Address: c.Address, Request: w.request,
+			Attempt: c.Attempt, Upstream: c.Upstream, Address: c.Address, Request: pending.request,
 			RemainingMs: c.RemainingMs, NonIdempotent: c.NonIdempotent, NeedHeader: !c.Gather,
 		})
 	case relay.CancelCmd:
@@ -140,20 +140,20 @@
 	case relay.AnswerCmd:
 		g.answer(c)
 	case relay.PartialResultCmd:
-		if w := g.waiters[c.ID]; w != nil && w.handed != nil {
-			g.tell(w.handed.from, "", relay.DelegationResult{ID: w.handed.id, Answer: c.Answer, Partial: true, ExpectedMs: c.ExpectedMs})
+		if pending := g.calls[c.ID]; pending != nil && pending.delegation != nil {
+			g.sendPeer(pending.delegation.from, "", relay.DelegationResult{ID: pending.delegation.id, Answer: c.Answer, Partial: true, ExpectedMs: c.ExpectedMs})
 		}
 	case relay.AckDelegationCmd:
-		if w := g.waiters[c.ID]; w != nil && w.handed != nil {
-			g.tell(w.handed.from, "", relay.DelegationAck{ID: w.handed.id})
+		if pending := g.calls[c.ID]; pending != nil && pending.delegation != nil {
+			g.sendPeer(pending.delegation.from, "", relay.DelegationAck{ID: pending.delegation.id})
 		}
 	case relay.DelegateCmd:
-		g.metrics.handed.Inc()
-		w := g.waiters[c.Request]
-		c.Delegation.Head, c.Delegation.Body = w.request.Head(), w.request.Body()
-		g.tell(c.To, c.Address, c.Delegation)
+		g.metrics.delegations.Inc()
+		pending := g.calls[c.Request]
+		c.Delegation.Head, c.Delegation.Body = pending.request.Head(), pending.request.Body()
+		g.sendPeer(c.To, c.Address, c.Delegation)
 	case relay.CancelDelegationCmd:
-		g.tell(c.To, "", relay.DelegationCancel{ID: c.ID})
+		g.sendPeer(c.To, "", relay.DelegationCancel{ID: c.ID})
 	case relay.ConnectPeerCmd:
 		g.mesh.Connect(c.VM, c.Address)
 	case relay.ConnectUpstreamCmd:
@@ -167,109 +167,109 @@
 
 // answer passes an answer to the caller, or to the VM that handed the request over.
 func (g *Gateway) answer(c relay.AnswerCmd) {
-	w := g.waiters[c.ID]
-	if w == nil {
+	pending := g.calls[c.ID]
+	if pending == nil {
 		return
 	}
-	g.forgetCall(c.ID)
-	if w.handed != nil {
-		g.tell(w.handed.from, "", relay.DelegationResult{ID: w.handed.id, Answer: c.Answer, ExpectedMs: c.ExpectedMs})
+	g.removeCall(c.ID)
+	if pending.delegation != nil {
+		g.sendPeer(pending.delegation.from, "", relay.DelegationResult{ID: pending.delegation.id, Answer: c.Answer, ExpectedMs: c.ExpectedMs})
 		return
 	}
-	g.metrics.answered(c.Answer)
-	w.answer <- c.Answer
+	g.metrics.observe(c.Answer)
+	pending.answer <- c.Answer
 }
 
 // stepCatalog updates the catalog and performs its commands.
-func (g *Gateway) stepCatalog(io context.Context, msg catalog.Msg) {
+func (g *Gateway) stepCatalog(ioCtx context.Context, msg catalog.Msg) {
 	for _, cmd := range g.catalog.Update(g.clock.Now(), msg) {
 		switch c := cmd.(type) {
 		case catalog.ListCmd:
-			go func() { g.list(io, c.AllowStale) }()
+			go func() { g.list(ioCtx, c.AllowStale) }()
 		case catalog.WatchCmd:
-			go func() { g.follow(io, c) }()
+			go func() { g.watch(ioCtx, c) }()
 		case catalog.SubscribeCmd:
-			g.tell(c.To, "", c.Subscribe)
+			g.sendPeer(c.To, "", c.Subscribe)
 		case catalog.PublishCmd:
 			for _, to := range c.To {
-				g.tell(to, "", c.Update)
+				g.sendPeer(to, "", c.Update)
 			}
 		case catalog.PublisherCmd:
 			_ = g.logger.Log("event", "catalog_feeder", "feeder", c.VM)
-			g.stepRegister(io, roster.SubscriptionMsg{Subscribed: c.VM != ""})
+			g.stepRegistrar(ioCtx, roster.SubscriptionMsg{Subscribed: c.VM != ""})
 		case catalog.PutCmd:
-			g.put(c.Item)
+			g.applyItem(c.Item)
 		case catalog.DeleteCmd:
-			if id, ok := g.translator.UpstreamID(c.Key); ok {
-				g.step(relay.UpstreamRemovedMsg{ID: id})
+			if id, ok := g.decoder.UpstreamID(c.Key); ok {
+				g.stepRelay(relay.UpstreamRemovedMsg{ID: id})
 			}
-			if id, ok := g.translator.VMID(c.Key); ok {
+			if id, ok := g.decoder.VMID(c.Key); ok {
 				g.setVM(id, nil)
 			}
 		case catalog.StoreStatusCmd:
 			_ = g.logger.Log("event", "store_contact", "reached", c.Reachable, "cause", c.Kind)
 		}
 	}
-	if g.listNew {
-		g.listNew = false
-		g.setFleet(io)
+	if g.vmListChanged {
+		g.vmListChanged = false
+		g.applyVMList(ioCtx)
 	}
 	if g.stopping.Load() {
 		return
 	}
-	if ready := g.core.Ready(); ready != g.ready.Swap(ready) && ready {
-		g.stepRegister(io, roster.ReadyMsg{})
+	if ready := g.relayModel.Ready(); ready != g.ready.Swap(ready) && ready {
+		g.stepRegistrar(ioCtx, roster.ReadyMsg{})
 	}
 }
 
-// put applies an item. One that cannot be decoded names no upstream, and
+// applyItem applies an item. One that cannot be decoded names no upstream, and
 // leaves the configuration as it is.
-func (g *Gateway) put(it store.Item) {
-	change, err := g.translator.Decode(it)
+func (g *Gateway) applyItem(item store.Item) {
+	change, err := g.decoder.Decode(item)
 	if err != nil {
-		_ = g.logger.Log("event", "item_skipped", "key", it.Key, "revision", it.Revision, "err", err)
-		if id, ok := g.translator.UpstreamID(it.Key); ok {
-			g.step(relay.UpstreamRemovedMsg{ID: id})
+		_ = g.logger.Log("event", "item_skipped", "key", item.Key, "revision", item.Revision, "err", err)
+		if id, ok := g.decoder.UpstreamID(item.Key); ok {
+			g.stepRelay(relay.UpstreamRemovedMsg{ID: id})
 		}
 		return
 	}
 	switch {
 	case change.Table != nil:
-		g.step(relay.TableMsg{Table: change.Table})
+		g.stepRelay(relay.TableMsg{Table: change.Table})
 		if t := g.table.Load(); t == nil || t.Version() < change.Table.Version() {
 			g.table.Store(change.Table)
 		}
 	case change.Presets != nil:
 		g.setPresets(*change.Presets)
 	case change.VM != nil:
-		if id, ok := g.translator.VMID(it.Key); ok && id == change.VM.ID {
+		if id, ok := g.decoder.VMID(item.Key); ok && id == change.VM.ID {
 			g.setVM(id, change.VM)
 		}
 	case change.Upstream != nil:
-		g.step(relay.UpstreamMsg{Upstream: *change.Upstream})
+		g.stepRelay(relay.UpstreamMsg{Upstream: *change.Upstream})
 	}
 }
 
-func (g *Gateway) list(ctx context.Context, stale bool) {
-	batch, err := g.feed.ListPrefix(ctx, g.translator.Prefix(), stale)
+func (g *Gateway) list(ctx context.Context, allowStale bool) {
+	batch, err := g.watcher.ListPrefix(ctx, g.decoder.Prefix(), allowStale)
 	if err != nil {
-		g.post(item{catalog: g.failedCall(err)})
+		g.post(loopMsg{catalog: g.logStoreFailure(err)})
 		return
 	}
-	g.post(item{catalog: catalog.ListedMsg{Batch: batch}})
+	g.post(loopMsg{catalog: catalog.ListedMsg{Batch: batch}})
 }
 
-func (g *Gateway) follow(ctx context.Context, c catalog.WatchCmd) {
-	batch, err := g.feed.WatchPrefix(ctx, g.translator.Prefix(), c.After, c.WaitMs)
+func (g *Gateway) watch(ctx context.Context, c catalog.WatchCmd) {
+	batch, err := g.watcher.WatchPrefix(ctx, g.decoder.Prefix(), c.After, c.WaitMs)
 	if err != nil {
-		g.post(item{catalog: g.failedCall(err)})
+		g.post(loopMsg{catalog: g.logStoreFailure(err)})
 		return
 	}
-	g.post(item{catalog: catalog.WatchedMsg{Batch: batch}})
+	g.post(loopMsg{catalog: catalog.WatchedMsg{Batch: batch}})
 }
 
-// failedCall logs a call of the catalog that failed.
-func (g *Gateway) failedCall(err error) catalog.FailedMsg {
+// logStoreFailure logs a call of the catalog that failed.
+func (g *Gateway) logStoreFailure(err error) catalog.FailedMsg {
 	_ = g.logger.Log("event", "store_call_failed", "err", err)
 	return catalog.FailedMsg{Kind: store.KindOf(err)}
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -14,16 +14,16 @@
 
 // metrics holds the collectors. Every label has a small closed set of values.
 type metrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	late     prometheus.Counter
-	missing  prometheus.Counter
-	seconds  *prometheus.HistogramVec
-	events   *prometheus.CounterVec
-	sent     prometheus.Counter
-	handed   prometheus.Counter
-	version  prometheus.Gauge
-	ready    prometheus.Gauge
+	registry      *prometheus.Registry
+	requests      *prometheus.CounterVec
+	lateAnswers   prometheus.Counter
+	missingShards prometheus.Counter
+	duration      *prometheus.HistogramVec
+	events        *prometheus.CounterVec
+	attempts      prometheus.Counter
+	delegations   prometheus.Counter
+	configVersion prometheus.Gauge
+	ready         prometheus.Gauge
 }
 
 func newMetrics() *metrics {
@@ -32,7 +32,7 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: "lentillink", Subsystem: "gateway", Name: "requests_total", Help: "Requests answered, by outcome.",
 		}, []string{"outcome"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "lentillink", Subsystem: "gateway", Name: "request_duration_seconds",
 			Help: "Time from the end of the request to its answer, by outcome.", Buckets: latencyBuckets,
 		}, []string{"outcome"}),
@@ -50,28 +50,28 @@
 		m.registry.MustRegister(g)
 		return g
 	}
-	m.registry.MustRegister(m.requests, m.seconds, m.events)
-	m.late = counter("late_answers_total", "Answers after the target of their route.")
-	m.missing = counter("missing_parts_total", "Shards that were left out of gathered answers.")
-	m.sent = counter("attempts_total", "Attempts sent to upstreams.")
-	m.handed = counter("handovers_total", "Groups of shards handed over to carriers.")
-	m.version = gauge("config_version", "Version of the configuration in force.")
+	m.registry.MustRegister(m.requests, m.duration, m.events)
+	m.lateAnswers = counter("late_answers_total", "Answers after the target of their route.")
+	m.missingShards = counter("missing_parts_total", "Shards that were left out of gathered answers.")
+	m.attempts = counter("attempts_total", "Attempts sent to upstreams.")
+	m.delegations = counter("handovers_total", "Groups of shards handed over to carriers.")
+	m.configVersion = gauge("config_version", "Version of the configuration in force.")
 	m.ready = gauge("ready", "1 if the VM is ready for the balancer.")
 	return m
 }
 
-func (m *metrics) answered(a relay.Answer) {
+func (m *metrics) observe(a relay.Answer) {
 	outcome := a.Outcome.String()
 	m.requests.WithLabelValues(outcome).Inc()
-	m.seconds.WithLabelValues(outcome).Observe(a.TookMs.Duration().Seconds())
-	m.missing.Add(float64(a.Missing))
+	m.duration.WithLabelValues(outcome).Observe(a.TookMs.Duration().Seconds())
+	m.missingShards.Add(float64(a.Missing))
 	if a.Late {
-		m.late.Inc()
+		m.lateAnswers.Inc()
 	}
 }
 
-// newAdmin returns the server of metrics and presets.
-func (g *Gateway) newAdmin() *http.Server {
+// newAdminServer returns the server of metrics and presets.
+func (g *Gateway) newAdminServer() *http.Server {
 	mux := http.NewServeMux()
 	scrape := promhttp.HandlerFor(g.metrics.registry, promhttp.HandlerOpts{})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
@@ -82,11 +82,11 @@
 		if g.ready.Load() {
 			ready = 1
 		}
-		g.metrics.version.Set(float64(version))
+		g.metrics.configVersion.Set(float64(version))
 		g.metrics.ready.Set(ready)
 		scrape.ServeHTTP(w, r)
 	})
 	mux.HandleFunc("GET /v1/presets", g.servePresets)
-	mux.HandleFunc("POST /v1/presets", g.serveChange)
-	return &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: quietLog()}
+	mux.HandleFunc("POST /v1/presets", g.servePresetChange)
+	return &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLog()}
 }
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -14,8 +14,8 @@
 type Option func(*Gateway)
 
 // WithPrefixWatcher sets the store that is followed, and how its items are decoded.
-func WithPrefixWatcher(f store.PrefixWatcher, t ItemDecoder) Option {
-	return func(g *Gateway) { g.feed, g.translator = f, t }
+func WithPrefixWatcher(w store.PrefixWatcher, d ItemDecoder) Option {
+	return func(g *Gateway) { g.watcher, g.decoder = w, d }
 }
 
 // WithHeaders names the headers.
@@ -56,7 +56,7 @@
 func WithLimits(l Limits) Option { return func(g *Gateway) { g.limits = l } }
 
 // WithWatchInterval sets the least time between two watches of the store; 0 takes the default.
-func WithWatchInterval(ms clock.Millis) Option { return func(g *Gateway) { g.pace = ms } }
+func WithWatchInterval(ms clock.Millis) Option { return func(g *Gateway) { g.watchInterval = ms } }
 
 // WithSeed seeds the random choices.
 func WithSeed(seed uint64) Option { return func(g *Gateway) { g.seed = seed } }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -13,14 +13,14 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// handedKey identifies a request of another VM.
-type handedKey struct {
+// delegationKey identifies a request of another VM.
+type delegationKey struct {
 	from string
 	id   uint64
 }
 
-// peerMsg is what happened on a stream with another VM.
-type peerMsg struct {
+// peerEvent is what happened on a stream with another VM.
+type peerEvent struct {
 	vm     string
 	body   vm.PeerBody // nil if the stream broke
 	unsent bool
@@ -31,164 +31,164 @@
 
 // Received delivers a message.
 func (h meshHandler) Received(from string, _ clock.Timestamp, body vm.PeerBody) {
-	h.g.post(item{peer: &peerMsg{vm: from, body: body}})
+	h.g.post(loopMsg{peer: &peerEvent{vm: from, body: body}})
 }
 
 // Unsent reports a message that certainly never left this VM.
 func (h meshHandler) Unsent(to string, body vm.PeerBody) {
-	h.g.post(item{peer: &peerMsg{vm: to, body: body, unsent: true}})
+	h.g.post(loopMsg{peer: &peerEvent{vm: to, body: body, unsent: true}})
 }
 
 // Disconnected reports that a stream broke.
-func (h meshHandler) Disconnected(peer string) { h.g.post(item{peer: &peerMsg{vm: peer}}) }
+func (h meshHandler) Disconnected(peer string) { h.g.post(loopMsg{peer: &peerEvent{vm: peer}}) }
 
-// acceptPeer handles what happened on a stream.
-func (g *Gateway) acceptPeer(io context.Context, m *peerMsg) {
+// handlePeer handles what happened on a stream.
+func (g *Gateway) handlePeer(ioCtx context.Context, m *peerEvent) {
 	switch b := m.body.(type) {
 	case nil:
-		g.step(relay.PeerDisconnectedMsg{VM: m.vm})
-		g.callersGone(m.vm)
-		g.stepCatalog(io, catalog.PeerLostMsg{VM: m.vm})
+		g.stepRelay(relay.PeerDisconnectedMsg{VM: m.vm})
+		g.cancelDelegationsFrom(m.vm)
+		g.stepCatalog(ioCtx, catalog.PeerLostMsg{VM: m.vm})
 	case catalog.Subscribe:
 		if m.unsent {
-			g.stepCatalog(io, catalog.PeerLostMsg{VM: m.vm})
+			g.stepCatalog(ioCtx, catalog.PeerLostMsg{VM: m.vm})
 			return
 		}
-		g.stepCatalog(io, catalog.SubscribeMsg{From: m.vm, Subscribe: b})
+		g.stepCatalog(ioCtx, catalog.SubscribeMsg{From: m.vm, Subscribe: b})
 	case catalog.Update:
 		if !m.unsent {
-			g.stepCatalog(io, catalog.UpdateMsg{From: m.vm, Update: b})
+			g.stepCatalog(ioCtx, catalog.UpdateMsg{From: m.vm, Update: b})
 		}
 	case relay.Delegation:
 		if m.unsent {
-			g.step(relay.DelegationNotSentMsg{To: m.vm, ID: b.ID})
+			g.stepRelay(relay.DelegationNotSentMsg{To: m.vm, ID: b.ID})
 			return
 		}
-		g.acceptHandOver(m.vm, b)
+		g.acceptDelegation(m.vm, b)
 	case relay.DelegationAck:
 		if !m.unsent {
-			g.step(relay.DelegationAckMsg{From: m.vm, ID: b.ID})
+			g.stepRelay(relay.DelegationAckMsg{From: m.vm, ID: b.ID})
 		}
 	case relay.DelegationResult:
 		if !m.unsent {
-			g.step(relay.DelegationResultMsg{From: m.vm, Result: b})
+			g.stepRelay(relay.DelegationResultMsg{From: m.vm, Result: b})
 		}
 	case relay.DelegationCancel:
-		key := handedKey{m.vm, b.ID}
-		if n, ok := g.handed[key]; ok && !m.unsent {
-			g.forgetCall(n)
-			g.step(relay.CallerDisconnectedMsg{ID: n})
+		key := delegationKey{m.vm, b.ID}
+		if id, ok := g.delegations[key]; ok && !m.unsent {
+			g.removeCall(id)
+			g.stepRelay(relay.CallerDisconnectedMsg{ID: id})
 		}
 	}
 }
 
-// acceptHandOver takes a request of another VM.
-func (g *Gateway) acceptHandOver(from string, h relay.Delegation) {
-	key := handedKey{from, h.ID}
-	if _, ok := g.handed[key]; ok {
+// acceptDelegation takes a request of another VM.
+func (g *Gateway) acceptDelegation(from string, d relay.Delegation) {
+	key := delegationKey{from, d.ID}
+	if _, ok := g.delegations[key]; ok {
 		return
 	}
-	n := g.calls.Add(1)
-	g.handed[key] = n
-	g.waiters[n] = &call{request: exchange.NewDelegatedRequest(h.Name, h.Head, h.Body), handed: &key}
-	g.step(relay.ArrivalMsg{ID: n, Name: h.Name, Host: h.Host, Path: h.Path, RemainingMs: h.RemainingMs, Delegation: &h})
+	id := g.lastCallID.Add(1)
+	g.delegations[key] = id
+	g.calls[id] = &call{request: exchange.NewDelegatedRequest(d.Name, d.Head, d.Body), delegation: &key}
+	g.stepRelay(relay.ArrivalMsg{ID: id, Name: d.Name, Host: d.Host, Path: d.Path, RemainingMs: d.RemainingMs, Delegation: &d})
 }
 
-// callersGone ends the requests of a VM whose stream broke.
-func (g *Gateway) callersGone(from string) {
-	for key, n := range g.handed {
+// cancelDelegationsFrom ends the requests of a VM whose stream broke.
+func (g *Gateway) cancelDelegationsFrom(from string) {
+	for key, id := range g.delegations {
 		if key.from == from {
-			g.forgetCall(n)
-			g.step(relay.CallerDisconnectedMsg{ID: n})
+			g.removeCall(id)
+			g.stepRelay(relay.CallerDisconnectedMsg{ID: id})
 		}
 	}
 }
 
-// forgetCall forgets a request that needs no answer any more.
-func (g *Gateway) forgetCall(n uint64) {
-	if w := g.waiters[n]; w != nil && w.handed != nil {
-		delete(g.handed, *w.handed)
+// removeCall forgets a request that needs no answer any more.
+func (g *Gateway) removeCall(id uint64) {
+	if pending := g.calls[id]; pending != nil && pending.delegation != nil {
+		delete(g.delegations, *pending.delegation)
 	}
-	delete(g.waiters, n)
+	delete(g.calls, id)
 }
 
-// tell sends a message to another VM.
-func (g *Gateway) tell(to, address string, body vm.PeerBody) {
+// sendPeer sends a message to another VM.
+func (g *Gateway) sendPeer(to, address string, body vm.PeerBody) {
 	if address == "" {
-		address = g.vms[to].Address
+		address = g.vmList[to].Address
 	}
 	g.mesh.Send(to, address, clock.Timestamp{}, body)
 }
 
 // setVM takes over the entry of a VM, or its removal.
 func (g *Gateway) setVM(id string, v *relay.VM) {
-	g.listNew = true
+	g.vmListChanged = true
 	if v == nil {
-		delete(g.vms, id)
+		delete(g.vmList, id)
 	} else {
-		g.vms[id] = *v
+		g.vmList[id] = *v
 	}
 }
 
-// setFleet tells the state machines which VMs there are.
-func (g *Gateway) setFleet(io context.Context) {
-	list := make([]relay.VM, 0, len(g.vms))
-	for _, v := range g.vms {
+// applyVMList tells the state machines which VMs there are.
+func (g *Gateway) applyVMList(ioCtx context.Context) {
+	list := make([]relay.VM, 0, len(g.vmList))
+	for _, v := range g.vmList {
 		list = append(list, v)
 	}
-	g.step(relay.FleetMsg{VMs: list})
-	feeders, feeds := catalog.Publishers(g.self.ID, g.feedGroup(list))
-	g.stepCatalog(io, catalog.PublishersMsg{VMs: feeders, MayPublish: feeds})
+	g.stepRelay(relay.FleetMsg{VMs: list})
+	publishers, mayPublish := catalog.Publishers(g.self.ID, g.publisherCandidates(list))
+	g.stepCatalog(ioCtx, catalog.PublishersMsg{VMs: publishers, MayPublish: mayPublish})
 }
 
-// feedGroup returns the VMs of this one's data centre, which share what they read
+// publisherCandidates returns the VMs of this one's data centre, which share what they read
 // of the store. One group of all would need fewer calls, but each configuration
 // would cross data centres once for each VM.
-func (g *Gateway) feedGroup(list []relay.VM) []catalog.Member {
-	var group []catalog.Member
+func (g *Gateway) publisherCandidates(list []relay.VM) []catalog.Member {
+	var members []catalog.Member
 	for _, v := range list {
 		if v.DataCentre == g.self.DataCentre {
-			group = append(group, catalog.Member{ID: v.ID, Capacity: v.CPUMilli})
+			members = append(members, catalog.Member{ID: v.ID, Capacity: v.CPUMilli})
 		}
 	}
-	return group
+	return members
 }
 
-// stepRegister updates the registrar and makes its calls.
-func (g *Gateway) stepRegister(io context.Context, msg roster.RegistrarMsg) {
+// stepRegistrar updates the registrar and makes its calls.
+func (g *Gateway) stepRegistrar(ioCtx context.Context, msg roster.RegistrarMsg) {
 	if f, ok := msg.(roster.FailedMsg); ok && f.Kind != store.KindConflict {
 		// The store does not answer this VM, so a watch that waits may wait in vain.
-		g.feed.Reconnect()
+		g.watcher.Reconnect()
 	}
-	for _, cmd := range g.register.Update(g.clock.Now(), msg) {
-		go func() { g.post(item{roster: g.registerCall(io, cmd)}) }()
+	for _, cmd := range g.registrar.Update(g.clock.Now(), msg) {
+		go func() { g.post(loopMsg{registrar: g.callLeases(ioCtx, cmd)}) }()
 	}
 }
 
-// registerCall makes one call for the registrar and returns its result.
-func (g *Gateway) registerCall(ctx context.Context, cmd roster.RegistrarCmd) roster.RegistrarMsg {
+// callLeases makes one call for the registrar and returns its result.
+func (g *Gateway) callLeases(ctx context.Context, cmd roster.RegistrarCmd) roster.RegistrarMsg {
 	var err error
-	var done roster.RegistrarMsg
+	var msg roster.RegistrarMsg
 	switch c := cmd.(type) {
 	case roster.GrantCmd:
 		var id store.LeaseID
 		id, err = g.leases.Grant(ctx, c.TTL)
-		done = roster.GrantedMsg{Lease: id}
+		msg = roster.GrantedMsg{Lease: id}
 	case roster.WriteCmd:
 		var value []byte
 		if value, err = json.Marshal(g.self); err == nil {
-			err = g.leases.Put(ctx, g.translator.VMKey(g.self.ID), value, c.Lease)
+			err = g.leases.Put(ctx, g.decoder.VMKey(g.self.ID), value, c.Lease)
 		}
-		done = roster.WrittenMsg{}
+		msg = roster.WrittenMsg{}
 	case roster.RenewCmd:
 		err = g.leases.KeepAlive(ctx, c.Lease)
-		done = roster.RenewedMsg{}
+		msg = roster.RenewedMsg{}
 	case roster.RevokeCmd:
 		err = g.leases.Revoke(ctx, c.Lease)
-		done = roster.RenewedMsg{}
+		msg = roster.RenewedMsg{}
 	}
 	if err == nil {
-		return done
+		return msg
 	}
 	_ = g.logger.Log("event", "registration_failed", "err", err)
 	return roster.FailedMsg{Kind: store.KindOf(err)}
--- a/gateway/presets.go
+++ b/gateway/presets.go
@@ -16,7 +16,7 @@
 		return
 	}
 	g.presets.Store(&rec)
-	g.step(relay.PresetMsg{Preset: rec.CurrentPreset()})
+	g.stepRelay(relay.PresetMsg{Preset: rec.CurrentPreset()})
 	_ = g.logger.Log("event", "preset_in_force", "preset", rec.InForce, "revision", rec.Revision,
 		"author", rec.Author, "reason", rec.Reason)
 }
@@ -26,8 +26,8 @@
 	writeJSON(w, http.StatusOK, g.presets.Load())
 }
 
-// serveChange applies an operator's change to the record in the store.
-func (g *Gateway) serveChange(w http.ResponseWriter, r *http.Request) {
+// servePresetChange applies an operator's change to the record in the store.
+func (g *Gateway) servePresetChange(w http.ResponseWriter, r *http.Request) {
 	var change preset.Change
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, preset.MaxRecordBytes))
 	dec.DisallowUnknownFields()
@@ -38,7 +38,7 @@
 	change.At = clock.System{}.Now()
 	result := entry.ApplyChange(r.Context(), g.store, clock.System{}, change, *g.presets.Load())
 	if result.Record.Revision > 0 {
-		g.post(item{presets: &result.Record})
+		g.post(loopMsg{presets: &result.Record})
 	}
 	writeJSON(w, entry.ChangeStatus(result), entry.NewChangeDocument(result))
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// defaultGraceMs is the users' time between the order to stop and the kill.
-	defaultGraceMs = 6 * clock.Second
+	// defaultGracePeriodMs is the users' time between the order to stop and the kill.
+	defaultGracePeriodMs = 6 * clock.Second
 
-	// outOfRotationMs is how long callers may still come: the balancer asks once
+	// deregisterDelayMs is how long callers may still come: the balancer asks once
 	// a second and needs two misses, and the last caller needs time to connect.
-	outOfRotationMs = 3 * clock.Second
+	deregisterDelayMs = 3 * clock.Second
 
-	// graceReserveMs is kept from the time until the kill for the last answers.
-	graceReserveMs clock.Millis = 700
+	// stopReserveMs is kept from the time until the kill for the last answers.
+	stopReserveMs clock.Millis = 700
 
 	// stopPollMs is how often a stopping VM looks whether something is left.
 	stopPollMs clock.Millis = 50
 
-	// quietMs is how long nothing may be left before the process ends.
-	quietMs clock.Millis = 200
+	// minIdleMs is how long nothing may be left before the process ends.
+	minIdleMs clock.Millis = 200
 )
 
 // stop finishes what callers have sent. It returns when nothing is left, or
 // shortly before the process would be killed.
-func (g *Gateway) stop(front *http.Server) {
-	begin, grace := g.clock.Now(), clock.Millis(g.graceMs.Load())
-	end := begin + max(grace-graceReserveMs, 0)
+func (g *Gateway) stop(callerServer *http.Server) {
+	start, grace := g.clock.Now(), clock.Millis(g.gracePeriodMs.Load())
+	deadline := start + max(grace-stopReserveMs, 0)
 	g.stopping.Store(true)
 	g.ready.Store(false)
 	_ = g.logger.Log("event", "stopping", "grace_ms", int64(grace))
-	g.post(item{roster: roster.LeaveMsg{}})
-	g.post(item{relay: relay.StopMsg{Deadline: end}})
+	g.post(loopMsg{registrar: roster.LeaveMsg{}})
+	g.post(loopMsg{relay: relay.StopMsg{Deadline: deadline}})
 	idleSince := clock.Millis(0)
 	for {
 		time.Sleep(stopPollMs.Duration())
 		now := g.clock.Now()
-		if now >= end+graceReserveMs/2 {
+		if now >= deadline+stopReserveMs/2 {
 			return
 		}
-		if now-begin < min(outOfRotationMs, grace/2) {
+		if now-start < min(deregisterDelayMs, grace/2) {
 			continue
 		}
 		if g.inFlight.Load() > 0 {
@@ -54,10 +54,10 @@
 		if idleSince == 0 {
 			// Idle connections are told to close; one that has just sent a request
 			// is answered first.
-			front.SetKeepAlivesEnabled(false)
+			callerServer.SetKeepAlivesEnabled(false)
 			idleSince = now
 		}
-		if now-idleSince >= quietMs {
+		if now-idleSince >= minIdleMs {
 			return
 		}
 	}
