--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -20,7 +20,8 @@
 const (
 	statusMisdirected = http.StatusMisdirectedRequest
 
-	// Bounds that hold while no configuration states narrower ones.
+	// Limits of a caller's request, in bytes and time. The configuration may set other
+	// limits for the bytes of header and body.
 	maxHeaderBytes    = 64 << 10
 	maxBodyBytes      = 8 << 20
 	readHeaderTimeout = 10 * time.Second
@@ -28,8 +29,8 @@
 	idleTimeout       = 60 * time.Second
 )
 
-// newCallerServer returns the server for callers. It is net/http's, because fasthttp
-// does not notice a caller that leaves while its request runs.
+// newCallerServer returns the server for callers. It uses net/http, because fasthttp
+// does not notice that a caller disconnects while its request runs.
 func (g *Gateway) newCallerServer() *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeaderBytes,
@@ -41,17 +42,17 @@
 	}
 }
 
-// callerConnKey finds the callerConn in a request's context.
+// callerConnKey is the context key of a request's callerConn.
 type callerConnKey struct{}
 
-// callerConn is what is known of a caller's connection.
+// callerConn holds measurements of a caller's connection.
 type callerConn struct {
-	roundTripMs clock.Millis // round trip to the caller; 0 if not known
-	reused      atomic.Bool  // it has carried a request before
+	roundTripMs clock.Millis // round-trip time to the caller; 0 if unknown
+	reused      atomic.Bool  // the connection has carried a request before
 }
 
-// roundTripOf returns how long the network takes for a request and its answer. The
-// first request on a connection waited for the connection too.
+// roundTripOf returns the network time of a request and its answer. The first request
+// on a connection counts twice, because it also had to wait for the TCP handshake.
 func roundTripOf(r *http.Request) clock.Millis {
 	c, ok := r.Context().Value(callerConnKey{}).(*callerConn)
 	if !ok {
@@ -63,7 +64,7 @@
 	return c.roundTripMs
 }
 
-// newReadyServer returns the server for the balancer's question.
+// newReadyServer returns the server for the load balancer's readiness checks.
 func (g *Gateway) newReadyServer() *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLog(),
@@ -113,11 +114,12 @@
 	case <-r.Context().Done():
 		g.post(loopMsg{relay: relay.CallerDisconnectedMsg{ID: callID}})
 	case <-g.loopDone:
-		panic(http.ErrAbortHandler) // a closed connection promises nothing
+		panic(http.ErrAbortHandler) // closes the connection: the request may or may not have run
 	}
 }
 
-// readBody reads the whole body. A status other than 0 refuses the request.
+// readBody reads the whole body. If the request must be refused, it returns the status
+// of the refusal, else 0.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, int) {
 	limit := int64(maxBodyBytes)
 	if t := g.table.Load(); t != nil {
@@ -157,7 +159,8 @@
 	return n
 }
 
-// parseRemaining reads how long the caller waits; 0 means that it does not say.
+// parseRemaining parses the remaining time that the caller states, at least 1 ms. It
+// returns 0 if the header is missing.
 func parseRemaining(value string) (clock.Millis, error) {
 	if value == "" {
 		return 0, nil
@@ -169,7 +172,7 @@
 	return clock.Millis(max(n, 1)), nil
 }
 
-// forwardedFields returns the headers that are passed on as they are.
+// forwardedFields returns the headers that are forwarded unchanged.
 func (g *Gateway) forwardedFields(h http.Header) []exchange.Field {
 	dropped := make(map[string]bool)
 	for _, line := range h["Connection"] {
@@ -189,13 +192,14 @@
 	return out
 }
 
-// setsHeader reports whether this VM sets the header itself.
+// setsHeader reports whether the header is not forwarded because this VM sets it itself
+// or answers it (Expect).
 func (g *Gateway) setsHeader(name string) bool {
 	h := g.headers.Headers
 	return name == h.RequestID || name == h.DeadlineMs || name == h.ExpectInstance || name == "Expect"
 }
 
-// statusOf maps outcomes to statuses. 503 promises that the request did not run.
+// statusOf maps outcomes to HTTP statuses. 503 guarantees that the request was not executed.
 var statusOf = map[relay.Outcome]int{
 	relay.Refused:  http.StatusServiceUnavailable,
 	relay.NotReady: http.StatusServiceUnavailable,
@@ -210,7 +214,7 @@
 	switch a.Outcome {
 	case relay.Relayed:
 		fields, _ := a.Reply.Header.([]exchange.Field)
-		h["Content-Type"] = nil // net/http must not guess one
+		h["Content-Type"] = nil // keeps net/http from guessing a type
 		for _, f := range fields {
 			name := http.CanonicalHeaderKey(f.Name)
 			if name == g.headers.RequestID {
--- a/gateway/decoder.go
+++ b/gateway/decoder.go
@@ -8,14 +8,14 @@
 	"lentillink.example/lentillink/store"
 )
 
-// Headers names the headers that callers, upstreams and this VM exchange.
+// Headers holds the names of the headers that callers, upstreams and this VM exchange.
 type Headers struct {
 	exchange.Headers
-	Receipts      string // of a gathered answer: the receipts of its parts
-	MissingShards string // of a gathered answer: how many shards are left out
+	Receipts      string // of a gathered answer: the receipts of its sub-requests
+	MissingShards string // of a gathered answer: the number of shards that are missing
 }
 
-// DecodedItem is what an item of the store means. At most one field is set.
+// DecodedItem is the decoded value of an item of the store. At most one field is set.
 type DecodedItem struct {
 	Table    *route.Table
 	Upstream *relay.Upstream
@@ -25,13 +25,14 @@
 
 // ItemDecoder decodes items of the store.
 type ItemDecoder interface {
-	// Prefix returns the prefix of the keys to follow.
+	// Prefix returns the prefix of the keys to watch.
 	Prefix() string
-	// Decode decodes an item. The zero Change means that the item is of no concern.
+	// Decode decodes an item. The zero DecodedItem means that the gateway ignores the item.
 	Decode(item store.Item) (DecodedItem, error)
-	// UpstreamID returns the upstream that a key names.
+	// UpstreamID returns the ID of the upstream that a key names.
 	UpstreamID(key string) (string, bool)
-	// VMID returns the VM that a key names, and VMKey the key of a VM's entry.
+	// VMID returns the ID of the VM that a key names.
 	VMID(key string) (string, bool)
+	// VMKey returns the key of a VM's entry.
 	VMKey(id string) string
 }
--- a/gateway/error.go
+++ b/gateway/error.go
@@ -5,10 +5,10 @@
 // Kind classifies an Error.
 type Kind uint8
 
-// KindListen means that an address cannot be used, KindServe that a server failed.
+// The kinds of failures.
 const (
-	KindListen Kind = iota
-	KindServe
+	KindListen Kind = iota // listening on an address failed
+	KindServe              // a running server failed
 )
 
 var kindNames = [...]string{"listen", "serve"}
@@ -21,7 +21,7 @@
 	return "unknown"
 }
 
-// Error reports a failure of the runtime.
+// Error reports a failure of a listener or server of the gateway.
 type Error struct {
 	op   string
 	kind Kind
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,7 +21,7 @@
 	"lentillink.example/lentillink/store"
 )
 
-// inboxLen bounds the messages that wait for the event loop.
+// inboxLen bounds the messages that are queued for the event loop.
 const inboxLen = 1 << 12
 
 // Gateway runs one VM.
@@ -38,9 +38,9 @@
 	readyPath     string
 	logger        log.Logger
 	clock         clock.Clock
-	limits        Limits // at the start
+	limits        Limits // initial values; SetLimits does not change this field
 	watchInterval clock.Millis
-	listeners     *listeners // nil to listen on the addresses
+	listeners     *listeners // nil: listen on the addresses
 	seed          uint64
 	relayOptions  []relay.Option
 
@@ -58,16 +58,17 @@
 	table         atomic.Pointer[route.Table]
 	presets       atomic.Pointer[preset.Record]
 	lastCallID    atomic.Uint64
-	inFlight      atomic.Int64 // requests that are read and not answered
+	inFlight      atomic.Int64 // requests of callers that are not answered yet
 	exits         chan error
 
 	calls         map[uint64]*call         // owned by the event loop
 	delegations   map[delegationKey]uint64 // requests of other VMs, owned by the event loop
 	vmList        map[string]relay.VM      // owned by the event loop
-	vmListChanged bool                     // vms has changed; owned by the event loop
+	vmListChanged bool                     // vmList was changed and is to be applied; owned by the event loop
 }
 
-// loopMsg is a message for the event loop.
+// loopMsg is a message for the event loop. One field is set, except that call comes with
+// an ArrivalMsg in relay.
 type loopMsg struct {
 	relay     relay.Msg
 	call      *call // of an ArrivalMsg
@@ -78,11 +79,11 @@
 	result    *exchange.Result
 }
 
-// call is a request of a caller that waits for its answer.
+// call is an unanswered request of a caller or another VM.
 type call struct {
 	request    *exchange.Request
 	answer     chan relay.Answer
-	delegation *delegationKey // set for a request of another VM, which has no channel
+	delegation *delegationKey // set for a request that another VM delegated; answer is then nil
 }
 
 // New returns a Gateway.
@@ -109,17 +110,18 @@
 	return g
 }
 
-// exitsLen holds the ends of all long-lived goroutines.
+// exitsLen has room for the results of all long-lived goroutines, so that none blocks.
 const exitsLen = 16
 
-// Run serves until ctx ends, then stops as planned: it is not ready, answers
-// what it has read, and closes each connection after its answer.
+// Run serves until ctx is cancelled, then drains: it withdraws readiness, answers the
+// requests in flight and closes each connection after its answer.
 func (g *Gateway) Run(ctx context.Context) error {
 	open, err := g.listen(ctx)
 	if err != nil {
 		return err
 	}
-	// Input and output outlive ctx, because a planned stop finishes what is in flight.
+	// The event loop and the connections outlive ctx, because a planned stop finishes the
+	// requests in flight.
 	ioCtx, stopIO := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopIO()
 	callerServer := g.newCallerServer()
@@ -156,7 +158,7 @@
 	return runErr
 }
 
-// listeners are the addresses that are open. The one for metrics may be nil.
+// listeners holds the open listeners. The one for metrics may be nil.
 type listeners struct {
 	http  [3]net.Listener // callers, balancer, metrics
 	peers net.Listener
@@ -201,7 +203,7 @@
 	return nil
 }
 
-// post hands a message to the event loop. It is dropped once the loop has ended.
+// post queues a message for the event loop. The message is dropped if the loop has ended.
 func (g *Gateway) post(msg loopMsg) {
 	select {
 	case g.inbox <- msg:
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -5,13 +5,13 @@
 	"lentillink.example/lentillink/relay"
 )
 
-// Limits can change while the VM runs.
+// Limits holds settings that can change while the VM runs.
 type Limits struct {
-	GracePeriod clock.Millis // time between the order to stop and the kill
+	GracePeriod clock.Millis // time from the stop signal until the process is killed
 	Budget      relay.BudgetMsg
 }
 
-// SetLimits puts other limits in force.
+// SetLimits replaces the limits.
 func (g *Gateway) SetLimits(l Limits) {
 	g.gracePeriodMs.Store(int64(l.GracePeriod))
 	g.post(loopMsg{relay: l.Budget})
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -5,6 +5,6 @@
 	stdlog "log"
 )
 
-// discardLog drops what net/http prints about broken connections; events and
-// metrics cover what matters.
+// discardLog returns a logger that drops the messages of net/http about broken
+// connections. The gateway reports failures as events and metrics.
 func discardLog() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
--- a/gateway/logwriter.go
+++ b/gateway/logwriter.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// maxQueuedLines is how many lines may wait for the output. More are dropped and
-	// counted, so that a slow output never holds up a request.
+	// maxQueuedLines bounds the lines that are queued for the output. Further lines
+	// are dropped and counted, so that a slow output never delays a request.
 	maxQueuedLines = 2048
 
-	// maxLinesPerSecond bounds the lines that are written, after a burst of logLines.
+	// maxLinesPerSecond bounds the rate of written lines, after a burst of maxQueuedLines.
 	maxLinesPerSecond = 200
 
-	// dropReportInterval is how often dropped lines are reported.
+	// dropReportInterval is the time between two reports of dropped lines.
 	dropReportInterval = time.Second
 )
 
-// LogWriter writes log lines in the background. Its Write never blocks.
+// LogWriter writes log lines in the background, at a limited rate. Its Write never blocks.
 type LogWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewLogWriter returns a LogWriter. Lines are written once Run is called.
+// NewLogWriter returns a LogWriter. Lines are queued until Run is called.
 func NewLogWriter(out io.Writer) *LogWriter {
 	return &LogWriter{out: out, lines: make(chan []byte, maxQueuedLines)}
 }
 
-// Write queues one line, or drops and counts it.
+// Write queues one line. If the queue is full, the line is dropped and counted.
 func (l *LogWriter) Write(p []byte) (int, error) {
 	select {
 	case l.lines <- append([]byte(nil), p...):
@@ -42,10 +42,10 @@
 	return len(p), nil
 }
 
-// Dropped returns how many lines were dropped and not yet reported.
+// Dropped returns the number of lines that were dropped and are not yet reported.
 func (l *LogWriter) Dropped() int64 { return l.dropped.Load() }
 
-// Run writes lines until ctx ends, then writes what waits.
+// Run writes lines until ctx is cancelled, then writes the lines that are still queued.
 func (l *LogWriter) Run(ctx context.Context) error {
 	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
@@ -72,7 +72,7 @@
 	}
 }
 
-// report writes how many lines were dropped since the last report.
+// report writes the number of lines that were dropped since the last report.
 func (l *LogWriter) report() error {
 	n := l.dropped.Swap(0)
 	if n == 0 {
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -12,15 +12,16 @@
 	"lentillink.example/lentillink/store"
 )
 
-// maxBatch is how many waiting messages the loop handles before it looks at
-// its timer again.
+// maxBatch bounds the queued messages that the event loop handles before it
+// checks its timer again.
 const maxBatch = 64
 
-// maxWaitMs is how often an idle loop looks at the clock, to notice that the
-// VM was suspended.
+// maxWaitMs bounds the time that an idle event loop waits before it reads the
+// clock, so that it notices that the VM was suspended.
 const maxWaitMs = clock.Second
 
-// loop owns the state machines. It ends with io.
+// loop is the event loop. It alone updates the state machines, and returns when
+// ioCtx is cancelled.
 func (g *Gateway) loop(ioCtx context.Context) error {
 	defer close(g.loopDone)
 	timer := time.NewTimer(0)
@@ -74,7 +75,7 @@
 	}
 }
 
-// attemptMsg turns the end of an exchange into a message.
+// attemptMsg converts the result of an exchange into a message for the relay.
 func attemptMsg(r exchange.Result) relay.Msg {
 	if r.Err != nil {
 		return relay.AttemptFailedMsg{Attempt: r.Attempt, NotSent: !r.Err.Kind().MaybeSent(), Cause: r.Err.Kind().String()}
@@ -99,7 +100,7 @@
 	}
 }
 
-// timeToWake returns how long the loop may wait.
+// timeToWake returns the time until the next wake-up of a state machine, at most maxWaitMs.
 func (g *Gateway) timeToWake() clock.Millis {
 	now := g.clock.Now()
 	wait := maxWaitMs
@@ -115,7 +116,7 @@
 	return max(wait, 0)
 }
 
-// stepRelay updates the relay and performs its commands.
+// stepRelay passes msg to the relay's state machine and performs the commands that it returns.
 func (g *Gateway) stepRelay(msg relay.Msg) {
 	for _, cmd := range g.relayModel.Update(g.clock.Now(), msg) {
 		g.perform(cmd)
@@ -165,7 +166,7 @@
 	}
 }
 
-// answer passes an answer to the caller, or to the VM that handed the request over.
+// answer passes an answer to the caller, or to the VM that delegated the request.
 func (g *Gateway) answer(c relay.AnswerCmd) {
 	pending := g.calls[c.ID]
 	if pending == nil {
@@ -180,7 +181,7 @@
 	pending.answer <- c.Answer
 }
 
-// stepCatalog updates the catalog and performs its commands.
+// stepCatalog passes msg to the catalog's state machine and performs the commands that it returns.
 func (g *Gateway) stepCatalog(ioCtx context.Context, msg catalog.Msg) {
 	for _, cmd := range g.catalog.Update(g.clock.Now(), msg) {
 		switch c := cmd.(type) {
@@ -222,8 +223,8 @@
 	}
 }
 
-// applyItem applies an item. One that cannot be decoded names no upstream, and
-// leaves the configuration as it is.
+// applyItem applies an item of the store. If the item of an upstream cannot be
+// decoded, the upstream is removed. Other undecodable items change nothing.
 func (g *Gateway) applyItem(item store.Item) {
 	change, err := g.decoder.Decode(item)
 	if err != nil {
@@ -268,7 +269,7 @@
 	g.post(loopMsg{catalog: catalog.WatchedMsg{Batch: batch}})
 }
 
-// logStoreFailure logs a call of the catalog that failed.
+// logStoreFailure logs a failed store call of the catalog, and returns the message about it.
 func (g *Gateway) logStoreFailure(err error) catalog.FailedMsg {
 	_ = g.logger.Log("event", "store_call_failed", "err", err)
 	return catalog.FailedMsg{Kind: store.KindOf(err)}
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -9,10 +9,12 @@
 	"lentillink.example/lentillink/relay"
 )
 
-// latencyBuckets are in seconds, around the users' targets of 50 ms to 1.2 s.
+// latencyBuckets holds bucket bounds in seconds. They surround the users'
+// latency targets, 50 ms to 1.2 s.
 var latencyBuckets = []float64{0.005, 0.01, 0.02, 0.03, 0.04, 0.05, 0.075, 0.1, 0.15, 0.25, 0.5, 1, 2, 4}
 
-// metrics holds the collectors. Every label has a small closed set of values.
+// metrics holds the collectors. Every label has a small fixed set of values, which bounds
+// the number of time series.
 type metrics struct {
 	registry      *prometheus.Registry
 	requests      *prometheus.CounterVec
@@ -70,7 +72,7 @@
 	}
 }
 
-// newAdminServer returns the server of metrics and presets.
+// newAdminServer returns the server for metrics and presets.
 func (g *Gateway) newAdminServer() *http.Server {
 	mux := http.NewServeMux()
 	scrape := promhttp.HandlerFor(g.metrics.registry, promhttp.HandlerOpts{})
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -13,36 +13,37 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// delegationKey identifies a request of another VM.
+// delegationKey identifies a request that another VM delegated to this one.
 type delegationKey struct {
 	from string
 	id   uint64
 }
 
-// peerEvent is what happened on a stream with another VM.
+// peerEvent is an event on the stream to another VM: a received message, a message
+// that was not sent, or the end of the stream.
 type peerEvent struct {
 	vm     string
 	body   vm.PeerBody // nil if the stream broke
 	unsent bool
 }
 
-// meshHandler passes what happens on the streams to the event loop.
+// meshHandler passes events of the peer streams to the event loop.
 type meshHandler struct{ g *Gateway }
 
-// Received delivers a message.
+// Received queues a message from another VM.
 func (h meshHandler) Received(from string, _ clock.Timestamp, body vm.PeerBody) {
 	h.g.post(loopMsg{peer: &peerEvent{vm: from, body: body}})
 }
 
-// Unsent reports a message that certainly never left this VM.
+// Unsent queues the report of a message that provably never left this VM.
 func (h meshHandler) Unsent(to string, body vm.PeerBody) {
 	h.g.post(loopMsg{peer: &peerEvent{vm: to, body: body, unsent: true}})
 }
 
-// Disconnected reports that a stream broke.
+// Disconnected queues the report of a broken stream.
 func (h meshHandler) Disconnected(peer string) { h.g.post(loopMsg{peer: &peerEvent{vm: peer}}) }
 
-// handlePeer handles what happened on a stream.
+// handlePeer handles an event of a peer stream.
 func (g *Gateway) handlePeer(ioCtx context.Context, m *peerEvent) {
 	switch b := m.body.(type) {
 	case nil:
@@ -82,7 +83,7 @@
 	}
 }
 
-// acceptDelegation takes a request of another VM.
+// acceptDelegation starts a request that another VM delegated. A duplicate is ignored.
 func (g *Gateway) acceptDelegation(from string, d relay.Delegation) {
 	key := delegationKey{from, d.ID}
 	if _, ok := g.delegations[key]; ok {
@@ -94,7 +95,7 @@
 	g.stepRelay(relay.ArrivalMsg{ID: id, Name: d.Name, Host: d.Host, Path: d.Path, RemainingMs: d.RemainingMs, Delegation: &d})
 }
 
-// cancelDelegationsFrom ends the requests of a VM whose stream broke.
+// cancelDelegationsFrom cancels the requests that a VM delegated, after its stream broke.
 func (g *Gateway) cancelDelegationsFrom(from string) {
 	for key, id := range g.delegations {
 		if key.from == from {
@@ -104,7 +105,7 @@
 	}
 }
 
-// removeCall forgets a request that needs no answer any more.
+// removeCall removes a request that was answered or cancelled.
 func (g *Gateway) removeCall(id uint64) {
 	if pending := g.calls[id]; pending != nil && pending.delegation != nil {
 		delete(g.delegations, *pending.delegation)
@@ -112,7 +113,7 @@
 	delete(g.calls, id)
 }
 
-// sendPeer sends a message to another VM.
+// sendPeer sends a message to another VM. An empty address stands for the one in the VM list.
 func (g *Gateway) sendPeer(to, address string, body vm.PeerBody) {
 	if address == "" {
 		address = g.vmList[to].Address
@@ -120,7 +121,7 @@
 	g.mesh.Send(to, address, clock.Timestamp{}, body)
 }
 
-// setVM takes over the entry of a VM, or its removal.
+// setVM stores the entry of a VM, or removes it if v is nil.
 func (g *Gateway) setVM(id string, v *relay.VM) {
 	g.vmListChanged = true
 	if v == nil {
@@ -130,7 +131,7 @@
 	}
 }
 
-// applyVMList tells the state machines which VMs there are.
+// applyVMList passes the VM list to the state machines.
 func (g *Gateway) applyVMList(ioCtx context.Context) {
 	list := make([]relay.VM, 0, len(g.vmList))
 	for _, v := range g.vmList {
@@ -141,9 +142,10 @@
 	g.stepCatalog(ioCtx, catalog.PublishersMsg{VMs: publishers, MayPublish: mayPublish})
 }
 
-// publisherCandidates returns the VMs of this one's data centre, which share what they read
-// of the store. One group of all would need fewer calls, but each configuration
-// would cross data centres once for each VM.
+// publisherCandidates returns the VMs of this VM's data centre. They choose publishers
+// among themselves, which read the store and publish its changes to the others. One set
+// of publishers for all data centres would need fewer store calls, but would send each
+// configuration across data centres once for each VM.
 func (g *Gateway) publisherCandidates(list []relay.VM) []catalog.Member {
 	var members []catalog.Member
 	for _, v := range list {
@@ -154,10 +156,10 @@
 	return members
 }
 
-// stepRegistrar updates the registrar and makes its calls.
+// stepRegistrar passes msg to the registrar, and starts the store calls that it asks for.
 func (g *Gateway) stepRegistrar(ioCtx context.Context, msg roster.RegistrarMsg) {
 	if f, ok := msg.(roster.FailedMsg); ok && f.Kind != store.KindConflict {
-		// The store does not answer this VM, so a watch that waits may wait in vain.
+		// The store does not answer this VM, so a pending watch may never return.
 		g.watcher.Reconnect()
 	}
 	for _, cmd := range g.registrar.Update(g.clock.Now(), msg) {
@@ -165,7 +167,7 @@
 	}
 }
 
-// callLeases makes one call for the registrar and returns its result.
+// callLeases makes one store call for the registrar and returns its result.
 func (g *Gateway) callLeases(ctx context.Context, cmd roster.RegistrarCmd) roster.RegistrarMsg {
 	var err error
 	var msg roster.RegistrarMsg
--- a/gateway/presets.go
+++ b/gateway/presets.go
@@ -10,7 +10,7 @@
 	"lentillink.example/lentillink/relay"
 )
 
-// setPresets puts a record in force that is newer than the one that is.
+// setPresets applies a preset record if it is newer than the one in force.
 func (g *Gateway) setPresets(rec preset.Record) {
 	if old := g.presets.Load(); old != nil && rec.Revision <= old.Revision {
 		return
@@ -21,12 +21,12 @@
 		"author", rec.Author, "reason", rec.Reason)
 }
 
-// servePresets returns the record in force.
+// servePresets answers with the preset record in force.
 func (g *Gateway) servePresets(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, g.presets.Load())
 }
 
-// servePresetChange applies an operator's change to the record in the store.
+// servePresetChange applies an operator's change to the preset record in the store.
 func (g *Gateway) servePresetChange(w http.ResponseWriter, r *http.Request) {
 	var change preset.Change
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, preset.MaxRecordBytes))
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -10,25 +10,28 @@
 )
 
 const (
-	// defaultGracePeriodMs is the users' time between the order to stop and the kill.
+	// defaultGracePeriodMs is the time from the stop signal until the process is killed,
+	// as on the users' platform.
 	defaultGracePeriodMs = 6 * clock.Second
 
-	// deregisterDelayMs is how long callers may still come: the balancer asks once
-	// a second and needs two misses, and the last caller needs time to connect.
+	// deregisterDelayMs is how long new callers may still connect after readiness is
+	// withdrawn: the load balancer checks once a second and removes the VM after two
+	// failed checks, and the last caller needs time to connect.
 	deregisterDelayMs = 3 * clock.Second
 
-	// stopReserveMs is kept from the time until the kill for the last answers.
+	// stopReserveMs is the end of the grace period that is reserved for sending the last
+	// answers.
 	stopReserveMs clock.Millis = 700
 
-	// stopPollMs is how often a stopping VM looks whether something is left.
+	// stopPollMs is the interval at which a stopping VM checks for requests in flight.
 	stopPollMs clock.Millis = 50
 
-	// minIdleMs is how long nothing may be left before the process ends.
+	// minIdleMs is how long no request may be in flight before the process ends.
 	minIdleMs clock.Millis = 200
 )
 
-// stop finishes what callers have sent. It returns when nothing is left, or
-// shortly before the process would be killed.
+// stop drains the VM: it withdraws readiness and answers the requests in flight. It
+// returns when none is left, or shortly before the process would be killed.
 func (g *Gateway) stop(callerServer *http.Server) {
 	start, grace := g.clock.Now(), clock.Millis(g.gracePeriodMs.Load())
 	deadline := start + max(grace-stopReserveMs, 0)
@@ -52,8 +55,8 @@
 			continue
 		}
 		if idleSince == 0 {
-			// Idle connections are told to close; one that has just sent a request
-			// is answered first.
+			// Idle connections are closed. A connection that has just sent a request
+			// gets its answer first.
 			callerServer.SetKeepAlivesEnabled(false)
 			idleSince = now
 		}
