--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -23,34 +23,34 @@
 }
 
 func benchStreams(b *testing.B, n int) {
-	hub := startNode(b, "hub")
-	peers := make([]*node, n)
+	hub := startVM(b, "hub")
+	peers := make([]*testVM, n)
 	for i := range peers {
-		peers[i] = startNode(b, fmt.Sprintf("vm-%d", i))
+		peers[i] = startVM(b, fmt.Sprintf("vm-%d", i))
 	}
-	memory, goroutines := inUse()
+	memoryBefore, goroutinesBefore := resourcesInUse()
 	for i, p := range peers {
 		hub.mesh.Send(fmt.Sprintf("vm-%d", i), p.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hello")})
 	}
 	for _, p := range peers {
 		select {
-		case <-p.rec.received:
+		case <-p.recorder.received:
 		case <-time.After(waitLimit):
 			b.Fatal("no message arrived")
 		}
 	}
-	grew, more := inUse()
+	memoryAfter, goroutinesAfter := resourcesInUse()
 	ends := float64(2 * n)
-	b.ReportMetric((grew-memory)/ends, "bytes/end")
-	b.ReportMetric(float64(more-goroutines)/ends, "goroutines/end")
+	b.ReportMetric((memoryAfter-memoryBefore)/ends, "bytes/end")
+	b.ReportMetric(float64(goroutinesAfter-goroutinesBefore)/ends, "goroutines/end")
 	for _, p := range peers {
 		p.stop()
 	}
 	hub.stop()
 }
 
-// inUse returns the bytes of heap and stacks in use, and the number of goroutines.
-func inUse() (float64, int) {
+// resourcesInUse returns the bytes of heap and stacks in use, and the number of goroutines.
+func resourcesInUse() (float64, int) {
 	runtime.GC()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
--- a/peer/claim.go
+++ b/peer/claim.go
@@ -16,14 +16,14 @@
 	return order.Token{VM: t.GetVm(), Incarnation: t.GetIncarnation(), Seq: t.GetSeq()}
 }
 
-func encodeClaim(m order.ClaimRequestMsg) *peerpb.Claim {
+func encodeClaimRequest(m order.ClaimRequestMsg) *peerpb.Claim {
 	return &peerpb.Claim{
 		From: m.From, Op: uint32(m.Op), Token: encodeToken(m.Token), Id: m.ID[:],
 		IssuedMs: int64(m.IssuedAt), BudgetMs: int64(m.Timeout), Wait: m.WaitForStore,
 	}
 }
 
-func decodeClaim(c *peerpb.Claim) (order.ClaimRequestMsg, error) {
+func decodeClaimRequest(c *peerpb.Claim) (order.ClaimRequestMsg, error) {
 	if len(c.GetId()) != order.HashSize || c.GetOp() > uint32(order.OpMarkDone) {
 		return order.ClaimRequestMsg{}, wrap("decode claim", KindDecode, errors.New("id or op out of range"))
 	}
@@ -33,7 +33,7 @@
 	}, nil
 }
 
-func decodeClaimed(c *peerpb.Claimed) (order.ClaimResponseMsg, error) {
+func decodeClaimResponse(c *peerpb.Claimed) (order.ClaimResponseMsg, error) {
 	if c.GetResult() > uint32(order.ResultReleased) {
 		return order.ClaimResponseMsg{}, wrap("decode claimed", KindDecode, errors.New("result out of range"))
 	}
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -27,7 +27,7 @@
 	case vm.FleetMessage:
 		env.Body = &peerpb.Envelope_Fleet{Fleet: b.Payload}
 	case vm.ClaimRequest:
-		env.Body = &peerpb.Envelope_Claim{Claim: encodeClaim(b.Msg)}
+		env.Body = &peerpb.Envelope_Claim{Claim: encodeClaimRequest(b.Msg)}
 	case vm.ClaimResponse:
 		env.Body = &peerpb.Envelope_Claimed{Claimed: &peerpb.Claimed{
 			Token: encodeToken(b.Msg.Token), Result: uint32(b.Msg.Result),
@@ -35,11 +35,11 @@
 	case vm.AdminRequest:
 		env.Body = &peerpb.Envelope_Ask{Ask: &peerpb.Ask{Id: b.ID, Kind: uint32(b.Kind), Payload: b.Payload}}
 	case relay.Delegation:
-		env.Body = &peerpb.Envelope_HandOver{HandOver: encodeHandOver(b)}
+		env.Body = &peerpb.Envelope_HandOver{HandOver: encodeDelegation(b)}
 	case relay.DelegationAck:
 		env.Body = &peerpb.Envelope_Taken{Taken: &peerpb.Taken{Id: b.ID}}
 	case relay.DelegationResult:
-		env.Body = &peerpb.Envelope_HandBack{HandBack: encodeHandBack(b)}
+		env.Body = &peerpb.Envelope_HandBack{HandBack: encodeDelegationResult(b)}
 	case relay.DelegationCancel:
 		env.Body = &peerpb.Envelope_Withdraw{Withdraw: &peerpb.Withdraw{Id: b.ID}}
 	case catalog.Subscribe:
@@ -67,20 +67,20 @@
 	case *peerpb.Envelope_Fleet:
 		return vm.FleetMessage{Payload: b.Fleet}, stamp, nil
 	case *peerpb.Envelope_Claim:
-		msg, err := decodeClaim(b.Claim)
+		msg, err := decodeClaimRequest(b.Claim)
 		return vm.ClaimRequest{Msg: msg}, stamp, err
 	case *peerpb.Envelope_Claimed:
-		msg, err := decodeClaimed(b.Claimed)
+		msg, err := decodeClaimResponse(b.Claimed)
 		return vm.ClaimResponse{Msg: msg}, stamp, err
 	case *peerpb.Envelope_Ask:
 		return vm.AdminRequest{ID: b.Ask.GetId(), Kind: vm.AdminKind(b.Ask.GetKind()), Payload: b.Ask.GetPayload()}, stamp, nil
 	case *peerpb.Envelope_HandOver:
-		return decodeHandOver(b.HandOver), stamp, nil
+		return decodeDelegation(b.HandOver), stamp, nil
 	case *peerpb.Envelope_Taken:
 		return relay.DelegationAck{ID: b.Taken.GetId()}, stamp, nil
 	case *peerpb.Envelope_HandBack:
-		back, err := decodeHandBack(b.HandBack)
-		return back, stamp, err
+		result, err := decodeDelegationResult(b.HandBack)
+		return result, stamp, err
 	case *peerpb.Envelope_Withdraw:
 		return relay.DelegationCancel{ID: b.Withdraw.GetId()}, stamp, nil
 	case *peerpb.Envelope_Subscribe:
--- a/peer/handover_test.go
+++ b/peer/delegation_test.go
@@ -13,8 +13,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// TestHandOverCodec guards against a field of a handed request that is lost on the way.
-func TestHandOverCodec(t *testing.T) {
+// TestDelegationCodecRoundTrip guards against a field of a handed request that is lost on the way.
+func TestDelegationCodecRoundTrip(t *testing.T) {
 	bodies := []vm.PeerBody{
 		relay.Delegation{
 			ID: 1, Version: 2, Name: "r", Host: "h", Path: "/p", Services: []string{"a", "b"}, Head: []byte("GET"), Body: []byte("x"),
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestHandBackOutcome guards against an outcome that would be passed on as an answer.
-func TestHandBackOutcome(t *testing.T) {
+// TestDelegationResultRejectsOutcome guards against an outcome that would be passed on as an answer.
+func TestDelegationResultRejectsOutcome(t *testing.T) {
 	for _, outcome := range []uint32{uint32(relay.Relayed), 99} {
 		env := &peerpb.Envelope{Body: &peerpb.Envelope_HandBack{HandBack: &peerpb.HandBack{Id: 1, Outcome: outcome}}}
 		if _, _, err := peer.Decode(0, env); err == nil {
--- a/peer/link.go
+++ b/peer/link.go
@@ -5,8 +5,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// outgoing is a message that waits for a stream.
-type outgoing struct {
+// queuedMsg is a message that waits for a stream.
+type queuedMsg struct {
 	stamp clock.Timestamp
 	body  vm.PeerBody
 }
@@ -15,39 +15,39 @@
 // Mesh. The queue grows as needed: a VM has a link to nearly every other VM,
 // and nearly all of the queues are empty.
 type link struct {
-	peer   string
-	limit  int
-	queue  []outgoing
-	ready  chan struct{} // holds a token while the queue may have messages
-	closed bool
+	peer     string
+	maxLen   int
+	queue    []queuedMsg
+	nonEmpty chan struct{} // holds a token while the queue may have messages
+	closed   bool
 }
 
-func newLink(peer string, limit int) *link {
-	return &link{peer: peer, limit: limit, ready: make(chan struct{}, 1)}
+func newLink(peer string, maxLen int) *link {
+	return &link{peer: peer, maxLen: maxLen, nonEmpty: make(chan struct{}, 1)}
 }
 
-// push queues a message. It reports false if the queue is full or closed.
-func (l *link) push(out outgoing) bool {
-	if l.closed || len(l.queue) >= l.limit {
+// enqueue queues a message. It reports false if the queue is full or closed.
+func (l *link) enqueue(out queuedMsg) bool {
+	if l.closed || len(l.queue) >= l.maxLen {
 		return false
 	}
 	l.queue = append(l.queue, out)
 	select {
-	case l.ready <- struct{}{}:
+	case l.nonEmpty <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// take returns all waiting messages.
-func (l *link) take() []outgoing {
+// takeAll returns all waiting messages.
+func (l *link) takeAll() []queuedMsg {
 	out := l.queue
 	l.queue = nil
 	return out
 }
 
 // close ends the queue and returns the messages that were not taken.
-func (l *link) close() []outgoing {
+func (l *link) close() []queuedMsg {
 	l.closed = true
-	return l.take()
+	return l.takeAll()
 }
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -39,21 +39,21 @@
 	handler     Handler
 	clock       clock.Clock
 	queueLen    int
-	idle        clock.Millis
+	idleTimeout clock.Millis
 	dialTimeout clock.Millis
 	dial        func(string, clock.Millis) (net.Conn, error)
 
-	mu      sync.Mutex
-	links   map[string]*link
-	ctx     context.Context // set by Run; streams end with it
-	running sync.WaitGroup  // one count per stream goroutine
+	mu         sync.Mutex
+	links      map[string]*link
+	ctx        context.Context // set by Run; streams end with it
+	goroutines sync.WaitGroup  // one count per stream goroutine
 }
 
 // New returns a Mesh for the VM self. Call Run before Send.
 func New(self string, incarnation uint64, h Handler, opts ...Option) *Mesh {
 	m := &Mesh{
 		self: self, incarnation: incarnation, handler: h, clock: clock.System{},
-		queueLen: defaultQueueLen, idle: defaultIdle, dialTimeout: defaultDialTimeout, dial: dialTCP,
+		queueLen: defaultQueueLen, idleTimeout: defaultIdle, dialTimeout: defaultDialTimeout, dial: dialTCP,
 		links: make(map[string]*link), ctx: context.Background(),
 	}
 	for _, opt := range opts {
@@ -72,7 +72,7 @@
 		return wrap("register", KindServe, err)
 	}
 	err := drpcserver.New(mux).Serve(ctx, lis)
-	m.running.Wait()
+	m.goroutines.Wait()
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return wrap("serve", KindServe, err)
 	}
@@ -84,7 +84,7 @@
 func (m *Mesh) Send(to, address string, stamp clock.Timestamp, body vm.PeerBody) {
 	m.mu.Lock()
 	l := m.link(to, address)
-	queued := l.push(outgoing{stamp: stamp, body: body})
+	queued := l.enqueue(queuedMsg{stamp: stamp, body: body})
 	m.mu.Unlock()
 	if !queued {
 		m.handler.Unsent(to, body)
@@ -106,23 +106,23 @@
 		l = newLink(to, m.queueLen)
 		m.links[to] = l
 		ctx := m.ctx
-		m.start(func() { m.dialLink(ctx, l, address) })
+		m.startGoroutine(func() { m.dialLink(ctx, l, address) })
 	}
 	return l
 }
 
-// start runs f in a goroutine that Run waits for. The caller holds mu.
-func (m *Mesh) start(f func()) { m.running.Go(f) }
+// startGoroutine runs f in a goroutine that Run waits for. The caller holds mu.
+func (m *Mesh) startGoroutine(f func()) { m.goroutines.Go(f) }
 
-// remove drops l and reports the messages that were still queued.
-func (m *Mesh) remove(l *link) {
+// removeLink drops l and reports the messages that were still queued.
+func (m *Mesh) removeLink(l *link) {
 	m.mu.Lock()
 	if m.links[l.peer] == l {
 		delete(m.links, l.peer)
 	}
-	rest := l.close()
+	queued := l.close()
 	m.mu.Unlock()
-	m.unsent(l.peer, rest)
+	m.reportUnsent(l.peer, queued)
 }
 
 // NumStreams returns the number of peers with an open or opening stream.
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -23,22 +23,22 @@
 
 // recorder collects what a Mesh reports.
 type recorder struct {
-	received chan string
-	unsent   chan string
-	down     chan string
+	received     chan string
+	unsent       chan string
+	disconnected chan string
 }
 
 func newRecorder() *recorder {
-	return &recorder{received: make(chan string, 4096), unsent: make(chan string, 4096), down: make(chan string, 64)}
+	return &recorder{received: make(chan string, 4096), unsent: make(chan string, 4096), disconnected: make(chan string, 64)}
 }
 
 func (r *recorder) Received(from string, _ clock.Timestamp, body vm.PeerBody) {
-	r.received <- fmt.Sprintf("%s:%s", from, payload(body))
+	r.received <- fmt.Sprintf("%s:%s", from, payloadOf(body))
 }
-func (r *recorder) Unsent(_ string, body vm.PeerBody) { r.unsent <- payload(body) }
-func (r *recorder) Disconnected(peer string)          { r.down <- peer }
+func (r *recorder) Unsent(_ string, body vm.PeerBody) { r.unsent <- payloadOf(body) }
+func (r *recorder) Disconnected(peer string)          { r.disconnected <- peer }
 
-func payload(body vm.PeerBody) string {
+func payloadOf(body vm.PeerBody) string {
 	if f, ok := body.(vm.FleetMessage); ok {
 		return string(f.Payload)
 	}
@@ -56,27 +56,27 @@
 	}
 }
 
-type node struct {
-	mesh *peer.Mesh
-	rec  *recorder
-	addr string
-	stop func()
+type testVM struct {
+	mesh     *peer.Mesh
+	recorder *recorder
+	addr     string
+	stop     func()
 }
 
-func startNode(t testing.TB, name string, opts ...peer.Option) *node {
+func startVM(t testing.TB, name string, opts ...peer.Option) *testVM {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &node{rec: newRecorder(), addr: lis.Addr().String()}
-	n.mesh = peer.New(name, 1, n.rec, opts...)
+	n := &testVM{recorder: newRecorder(), addr: lis.Addr().String()}
+	n.mesh = peer.New(name, 1, n.recorder, opts...)
 	ctx, cancel := context.WithCancel(t.Context())
-	end := make(chan error, 1)
-	go func() { end <- n.mesh.Run(ctx, lis) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- n.mesh.Run(ctx, lis) }()
 	n.stop = func() {
 		cancel()
-		if err := <-end; err != nil {
+		if err := <-runErr; err != nil {
 			t.Errorf("Run: %v", err)
 		}
 	}
@@ -84,15 +84,15 @@
 	return n
 }
 
-// TestMeshBothWays guards against a reply path that needs a second connection.
-func TestMeshBothWays(t *testing.T) {
-	a, b := startNode(t, "vm-a"), startNode(t, "vm-b")
+// TestMeshRepliesOnSameStream guards against a reply path that needs a second connection.
+func TestMeshRepliesOnSameStream(t *testing.T) {
+	a, b := startVM(t, "vm-a"), startVM(t, "vm-b")
 	a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hi")})
-	if got, want := await(t, b.rec.received, "message at b"), "vm-a:hi"; got != want {
+	if got, want := await(t, b.recorder.received, "message at b"), "vm-a:hi"; got != want {
 		t.Fatalf("b received %q, want %q", got, want)
 	}
 	b.mesh.Send("vm-a", "127.0.0.1:1", clock.Timestamp{}, vm.FleetMessage{Payload: []byte("back")})
-	if got, want := await(t, a.rec.received, "message at a"), "vm-b:back"; got != want {
+	if got, want := await(t, a.recorder.received, "message at a"), "vm-b:back"; got != want {
 		t.Fatalf("a received %q, want %q", got, want)
 	}
 }
@@ -101,9 +101,9 @@
 // reported as possibly received, or not reported at all.
 func TestMeshReportsUnsent(t *testing.T) {
 	refuse := func(string, clock.Millis) (net.Conn, error) { return nil, errors.New("refused") }
-	a := startNode(t, "vm-a", peer.WithDialer(refuse))
+	a := startVM(t, "vm-a", peer.WithDialer(refuse))
 	a.mesh.Send("vm-b", "127.0.0.1:1", clock.Timestamp{}, vm.FleetMessage{Payload: []byte("lost")})
-	if got, want := await(t, a.rec.unsent, "unsent report"), "lost"; got != want {
+	if got, want := await(t, a.recorder.unsent, "unsent report"), "lost"; got != want {
 		t.Errorf("unsent = %q, want %q", got, want)
 	}
 }
@@ -111,28 +111,28 @@
 // TestMeshWrongPeer guards against delivering to a VM that took over the
 // address of another one.
 func TestMeshWrongPeer(t *testing.T) {
-	a, b := startNode(t, "vm-a"), startNode(t, "vm-b")
+	a, b := startVM(t, "vm-a"), startVM(t, "vm-b")
 	a.mesh.Send("vm-c", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("for c")})
-	if got, want := await(t, a.rec.unsent, "unsent report"), "for c"; got != want {
+	if got, want := await(t, a.recorder.unsent, "unsent report"), "for c"; got != want {
 		t.Errorf("unsent = %q, want %q", got, want)
 	}
 }
 
-// TestMeshReportsDown guards against waiting for ever on a VM that stopped.
-func TestMeshReportsDown(t *testing.T) {
-	a, b := startNode(t, "vm-a"), startNode(t, "vm-b")
+// TestMeshReportsDisconnect guards against waiting for ever on a VM that stopped.
+func TestMeshReportsDisconnect(t *testing.T) {
+	a, b := startVM(t, "vm-a"), startVM(t, "vm-b")
 	a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hi")})
-	await(t, b.rec.received, "message at b")
+	await(t, b.recorder.received, "message at b")
 	b.stop()
-	if got, want := await(t, a.rec.down, "down report"), "vm-b"; got != want {
+	if got, want := await(t, a.recorder.disconnected, "down report"), "vm-b"; got != want {
 		t.Errorf("down = %q, want %q", got, want)
 	}
 }
 
-// TestMeshOpen guards against a stream that is opened only by its first message,
+// TestMeshConnect guards against a stream that is opened only by its first message,
 // and against the loss of a peer that nothing was sent to yet.
-func TestMeshOpen(t *testing.T) {
-	a, b := startNode(t, "a"), startNode(t, "b")
+func TestMeshConnect(t *testing.T) {
+	a, b := startVM(t, "a"), startVM(t, "b")
 	a.mesh.Connect("b", b.addr)
 	for end := time.Now().Add(waitLimit); b.mesh.NumStreams() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -140,25 +140,25 @@
 		}
 	}
 	b.stop()
-	if got := await(t, a.rec.down, "loss"); got != "b" {
+	if got := await(t, a.recorder.disconnected, "loss"); got != "b" {
 		t.Errorf("got the loss of %q, want b", got)
 	}
 }
 
-// TestMeshKeepsOrderAndLosesNothing guards against reordered or dropped
+// TestMeshConcurrentSendKeepsOrder guards against reordered or dropped
 // messages while both sides open a stream at once.
-func TestMeshKeepsOrderAndLosesNothing(t *testing.T) {
-	a, b := startNode(t, "vm-a"), startNode(t, "vm-b")
+func TestMeshConcurrentSendKeepsOrder(t *testing.T) {
+	a, b := startVM(t, "vm-a"), startVM(t, "vm-b")
 	const n = 500
 	for i := range n {
 		a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: fmt.Appendf(nil, "%d", i)})
 		b.mesh.Send("vm-a", a.addr, clock.Timestamp{}, vm.FleetMessage{Payload: fmt.Appendf(nil, "%d", i)})
 	}
 	for i := range n {
-		if got, want := await(t, b.rec.received, "message at b"), fmt.Sprintf("vm-a:%d", i); got != want {
+		if got, want := await(t, b.recorder.received, "message at b"), fmt.Sprintf("vm-a:%d", i); got != want {
 			t.Fatalf("b received %q, want %q", got, want)
 		}
-		if got, want := await(t, a.rec.received, "message at a"), fmt.Sprintf("vm-b:%d", i); got != want {
+		if got, want := await(t, a.recorder.received, "message at a"), fmt.Sprintf("vm-b:%d", i); got != want {
 			t.Fatalf("a received %q, want %q", got, want)
 		}
 	}
--- a/peer/options.go
+++ b/peer/options.go
@@ -18,7 +18,7 @@
 func WithQueueLen(n int) Option { return func(m *Mesh) { m.queueLen = n } }
 
 // WithIdleTimeout sets how long a stream without traffic stays open.
-func WithIdleTimeout(d clock.Millis) Option { return func(m *Mesh) { m.idle = d } }
+func WithIdleTimeout(d clock.Millis) Option { return func(m *Mesh) { m.idleTimeout = d } }
 
 // WithDialTimeout bounds the time to open a connection.
 func WithDialTimeout(d clock.Millis) Option { return func(m *Mesh) { m.dialTimeout = d } }
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -23,8 +23,8 @@
 	RawFlush() error
 }
 
-// flusherOf returns the flusher behind a generated stream.
-func flusherOf(s stream) (flusher, bool) {
+// asFlusher returns the flusher behind a generated stream.
+func asFlusher(s stream) (flusher, bool) {
 	g, ok := s.(interface{ GetStream() drpc.Stream })
 	if !ok {
 		return nil, false
@@ -45,12 +45,12 @@
 	if err := s.Send(a.m.hello()); err != nil {
 		return wrap("accept", KindStream, err)
 	}
-	return a.m.serveStream(s.Context(), peer, s, a.m.adopt(peer))
+	return a.m.serveStream(s.Context(), peer, s, a.m.addAcceptedLink(peer))
 }
 
-// adopt returns the link that the accepted stream should write for, or nil if
+// addAcceptedLink returns the link that the accepted stream should write for, or nil if
 // another stream already writes to that peer.
-func (m *Mesh) adopt(peer string) *link {
+func (m *Mesh) addAcceptedLink(peer string) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, ok := m.links[peer]; ok {
@@ -63,30 +63,30 @@
 
 // dialLink opens a stream for l and serves it until it ends.
 func (m *Mesh) dialLink(ctx context.Context, l *link, address string) {
-	raw, err := m.dial(address, m.dialTimeout)
+	netConn, err := m.dial(address, m.dialTimeout)
 	if err != nil {
-		m.remove(l)
+		m.removeLink(l)
 		return
 	}
-	conn := drpcconn.New(raw)
+	conn := drpcconn.New(netConn)
 	defer func() { _ = conn.Close() }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s, err := peerpb.NewDRPCPeerClient(conn).Exchange(ctx)
 	if err != nil {
-		m.remove(l)
+		m.removeLink(l)
 		return
 	}
-	peer, err := m.greet(s)
+	peer, err := m.handshake(s)
 	if err != nil || peer != l.peer {
 		// Nothing but the hello was sent, so every queued message is unsent.
-		m.remove(l)
+		m.removeLink(l)
 		return
 	}
 	_ = m.serveStream(ctx, peer, s, l)
 }
 
-func (m *Mesh) greet(s stream) (string, error) {
+func (m *Mesh) handshake(s stream) (string, error) {
 	if err := s.Send(m.hello()); err != nil {
 		return "", wrap("dial", KindStream, err)
 	}
@@ -112,24 +112,24 @@
 // serveStream reads s until it breaks, and writes the queue of l to it. It
 // reports Down exactly once for the stream.
 func (m *Mesh) serveStream(ctx context.Context, peer string, s stream, l *link) error {
-	if f, ok := flusherOf(s); ok {
+	if f, ok := asFlusher(s); ok {
 		f.SetManualFlush(true) // before the reader starts, which looks at it
 	}
-	r := &reader{end: make(chan error, 1), active: make(chan struct{}, 1)}
+	r := &readState{done: make(chan error, 1), active: make(chan struct{}, 1)}
 	m.mu.Lock()
-	m.start(func() { r.end <- m.readLoop(peer, s, r.active) })
+	m.startGoroutine(func() { r.done <- m.readLoop(peer, s, r.active) })
 	m.mu.Unlock()
 	err := m.writeLoop(ctx, s, l, r)
 	if l != nil {
-		m.remove(l)
+		m.removeLink(l)
 	}
 	m.handler.Disconnected(peer)
 	return err
 }
 
-// reader is the receiving half of a stream, seen from its writer.
-type reader struct {
-	end    chan error    // receives the reason when reading ends
+// readState is the receiving half of a stream, seen from its writer.
+type readState struct {
+	done   chan error    // receives the reason when reading ends
 	active chan struct{} // holds a token if something arrived
 }
 
@@ -152,19 +152,19 @@
 }
 
 // writeLoop returns when the stream breaks, the context ends or the stream is idle.
-func (m *Mesh) writeLoop(ctx context.Context, s stream, l *link, r *reader) error {
+func (m *Mesh) writeLoop(ctx context.Context, s stream, l *link, r *readState) error {
 	var ready chan struct{}
 	if l != nil {
-		ready = l.ready
+		ready = l.nonEmpty
 	}
-	idle := time.NewTimer(m.idle.Duration())
+	idle := time.NewTimer(m.idleTimeout.Duration())
 	defer idle.Stop()
 	for {
 		select {
-		case err := <-r.end:
+		case err := <-r.done:
 			return err
 		case <-r.active:
-			idle.Reset(m.idle.Duration())
+			idle.Reset(m.idleTimeout.Duration())
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-idle.C:
@@ -173,7 +173,7 @@
 			if err := m.writeQueue(s, l); err != nil {
 				return err
 			}
-			idle.Reset(m.idle.Duration())
+			idle.Reset(m.idleTimeout.Duration())
 		}
 	}
 }
@@ -182,12 +182,12 @@
 // failed may have arrived; those after it never left and are reported as unsent.
 func (m *Mesh) writeQueue(s stream, l *link) error {
 	m.mu.Lock()
-	batch := l.take()
+	batch := l.takeAll()
 	m.mu.Unlock()
-	f, canFlush := flusherOf(s)
+	f, canFlush := asFlusher(s)
 	for i, out := range batch {
 		if err := s.Send(Encode(m.clock.Now(), out.stamp, out.body)); err != nil {
-			m.unsent(l.peer, batch[i+1:])
+			m.reportUnsent(l.peer, batch[i+1:])
 			return wrap("send", KindStream, err)
 		}
 	}
@@ -200,8 +200,8 @@
 	return nil
 }
 
-func (m *Mesh) unsent(peer string, list []outgoing) {
-	for _, out := range list {
+func (m *Mesh) reportUnsent(peer string, msgs []queuedMsg) {
+	for _, out := range msgs {
 		m.handler.Unsent(peer, out.body)
 	}
 }
--- a/peer/throughput_test.go
+++ b/peer/throughput_test.go
@@ -12,7 +12,7 @@
 // stream takes them.
 func BenchmarkThroughput(b *testing.B) {
 	const burst = 64
-	from, to := startNode(b, "from"), startNode(b, "to")
+	from, to := startVM(b, "from"), startVM(b, "to")
 	body := vm.Forward{Request: attempt.Request{Upstream: "search/g/0", Service: "search", Group: "g", Body: make([]byte, 100)}}
 	b.ReportAllocs()
 	for sent := 0; sent < b.N; sent += burst {
@@ -20,7 +20,7 @@
 			from.mesh.Send("to", to.addr, clock.Timestamp{}, body)
 		}
 		for range burst {
-			<-to.rec.received
+			<-to.recorder.received
 		}
 	}
 }
