--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -10,8 +10,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// BenchmarkStreams reports the memory and goroutines of one end of a stream
-// while one VM has a stream with each of many others.
+// BenchmarkStreams measures the memory and goroutines per end of a stream, while
+// one VM has a stream to each of many others.
 func BenchmarkStreams(b *testing.B) {
 	for _, n := range []int{10, 30, 60} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -49,7 +49,8 @@
 	hub.stop()
 }
 
-// resourcesInUse returns the bytes of heap and stacks in use, and the number of goroutines.
+// resourcesInUse returns the bytes of heap and stacks in use, and the number of
+// goroutines.
 func resourcesInUse() (float64, int) {
 	runtime.GC()
 	var s runtime.MemStats
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -13,8 +13,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// Encode converts a message to its wire form. Deadlines become the budget
-// that remains at now.
+// Encode converts a message to its wire form. A deadline is sent as the remaining
+// time at now.
 func Encode(now clock.Millis, stamp clock.Timestamp, body vm.PeerBody) *peerpb.Envelope {
 	env := &peerpb.Envelope{WallMs: int64(stamp.WallMs), Logical: stamp.Logical}
 	switch b := body.(type) {
@@ -52,7 +52,8 @@
 	return env
 }
 
-// Decode converts a wire message. Budgets become deadlines on the local clock.
+// Decode converts a message from its wire form. Remaining time becomes a deadline on
+// the local clock.
 func Decode(now clock.Millis, env *peerpb.Envelope) (vm.PeerBody, clock.Timestamp, error) {
 	stamp := clock.Timestamp{WallMs: clock.Millis(env.GetWallMs()), Logical: env.GetLogical()}
 	switch b := env.GetBody().(type) {
--- a/peer/delegation_test.go
+++ b/peer/delegation_test.go
@@ -13,7 +13,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// TestDelegationCodecRoundTrip guards against a field of a handed request that is lost on the way.
+// TestDelegationCodecRoundTrip guards against a field of a delegation or an
+// update that the encoding loses.
 func TestDelegationCodecRoundTrip(t *testing.T) {
 	bodies := []vm.PeerBody{
 		relay.Delegation{
@@ -39,7 +40,8 @@
 	}
 }
 
-// TestDelegationResultRejectsOutcome guards against an outcome that would be passed on as an answer.
+// TestDelegationResultRejectsOutcome guards against a delegation result whose
+// outcome is unknown or not allowed, and which would reach the caller as an answer.
 func TestDelegationResultRejectsOutcome(t *testing.T) {
 	for _, outcome := range []uint32{uint32(relay.Relayed), 99} {
 		env := &peerpb.Envelope{Body: &peerpb.Envelope_HandBack{HandBack: &peerpb.HandBack{Id: 1, Outcome: outcome}}}
--- a/peer/error.go
+++ b/peer/error.go
@@ -6,7 +6,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Kind classifies a failure between VMs.
+// Kind classifies a failure of the communication between VMs.
 type Kind string
 
 // The kinds of failures.
@@ -18,7 +18,7 @@
 	KindNoHello Kind = "no_hello"
 )
 
-// Error reports a failed operation between VMs.
+// Error reports a failure of the communication between VMs.
 type Error struct {
 	op   string
 	kind Kind
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -15,8 +15,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// FuzzDecode guards against a panic on bytes from another VM, and against a
-// message that is accepted but changes when it is sent on.
+// FuzzDecode guards against a panic on bytes from another VM, and against an
+// accepted message that changes when it is encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	id := attempt.ID{VM: "vm-1", Incarnation: 7, Seq: 9}
 	for _, body := range []vm.PeerBody{
--- a/peer/link.go
+++ b/peer/link.go
@@ -5,15 +5,15 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// queuedMsg is a message that waits for a stream.
+// queuedMsg is a message that waits to be sent.
 type queuedMsg struct {
 	stamp clock.Timestamp
 	body  vm.PeerBody
 }
 
-// link is the outgoing queue to one peer. Its methods need the lock of the
-// Mesh. The queue grows as needed: a VM has a link to nearly every other VM,
-// and nearly all of the queues are empty.
+// link is the queue of messages to one peer. The lock of the Mesh guards it and
+// must be held by callers of its methods. The queue grows on demand: a VM has a
+// link to nearly every other VM, and nearly all of the queues are empty.
 type link struct {
 	peer     string
 	maxLen   int
@@ -26,7 +26,7 @@
 	return &link{peer: peer, maxLen: maxLen, nonEmpty: make(chan struct{}, 1)}
 }
 
-// enqueue queues a message. It reports false if the queue is full or closed.
+// enqueue adds a message. It returns false if the queue is full or closed.
 func (l *link) enqueue(out queuedMsg) bool {
 	if l.closed || len(l.queue) >= l.maxLen {
 		return false
@@ -39,14 +39,14 @@
 	return true
 }
 
-// takeAll returns all waiting messages.
+// takeAll removes and returns all queued messages.
 func (l *link) takeAll() []queuedMsg {
 	out := l.queue
 	l.queue = nil
 	return out
 }
 
-// close ends the queue and returns the messages that were not taken.
+// close closes the queue and returns the messages that are still in it.
 func (l *link) close() []queuedMsg {
 	l.closed = true
 	return l.takeAll()
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -14,25 +14,26 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// Defaults of a Mesh.
+// Default settings of a Mesh.
 const (
 	defaultQueueLen    = 8192
 	defaultIdle        = 120 * clock.Second
 	defaultDialTimeout = 500 // milliseconds
 )
 
-// Handler receives what happens on the streams. Its methods are called from
+// Handler receives messages and events of the streams. Its methods are called from
 // several goroutines and must not block.
 type Handler interface {
-	// Received delivers a message.
+	// Received handles a message from a peer.
 	Received(from string, stamp clock.Timestamp, body vm.PeerBody)
-	// Unsent reports a message that certainly never left this VM.
+	// Unsent handles a message that provably never left this VM.
 	Unsent(to string, body vm.PeerBody)
-	// Disconnected reports that a stream with a VM broke; what was sent may or may not have arrived.
+	// Disconnected handles the end of a stream. Messages sent on it may or may not have
+	// arrived.
 	Disconnected(peer string)
 }
 
-// Mesh holds the streams between this VM and its peers.
+// Mesh holds the streams between this VM and its peers, at most one link for each peer.
 type Mesh struct {
 	self        string
 	incarnation uint64
@@ -45,11 +46,11 @@
 
 	mu         sync.Mutex
 	links      map[string]*link
-	ctx        context.Context // set by Run; streams end with it
+	ctx        context.Context // set by Run; its end closes the dialed streams
 	goroutines sync.WaitGroup  // one count per stream goroutine
 }
 
-// New returns a Mesh for the VM self. Call Run before Send.
+// New returns a Mesh for the VM with the ID self. Call Run before Send.
 func New(self string, incarnation uint64, h Handler, opts ...Option) *Mesh {
 	m := &Mesh{
 		self: self, incarnation: incarnation, handler: h, clock: clock.System{},
@@ -62,7 +63,7 @@
 	return m
 }
 
-// Run accepts streams on lis until ctx ends, then waits for every stream to close.
+// Run accepts streams on lis until ctx is cancelled, then waits until all streams are closed.
 func (m *Mesh) Run(ctx context.Context, lis net.Listener) error {
 	m.mu.Lock()
 	m.ctx = ctx
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// Send queues a message for a peer and opens a stream if there is none. A
-// message that does not fit in the queue is reported as unsent.
+// Send queues a message for a peer and opens a stream if there is none. If the
+// queue is full, the message is reported as unsent.
 func (m *Mesh) Send(to, address string, stamp clock.Timestamp, body vm.PeerBody) {
 	m.mu.Lock()
 	l := m.link(to, address)
@@ -92,14 +93,15 @@
 }
 
 // Connect opens a stream to a peer if there is none, so that the first message
-// does not wait for it.
+// is not delayed by connecting.
 func (m *Mesh) Connect(to, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.link(to, address)
 }
 
-// link returns the link to a peer and dials it if there is none. The caller holds mu.
+// link returns the link to a peer. If there is none, it creates one and dials the peer.
+// The caller holds mu.
 func (m *Mesh) link(to, address string) *link {
 	l, ok := m.links[to]
 	if !ok {
@@ -111,10 +113,10 @@
 	return l
 }
 
-// startGoroutine runs f in a goroutine that Run waits for. The caller holds mu.
+// startGoroutine runs f in a goroutine whose end Run waits for. The caller holds mu.
 func (m *Mesh) startGoroutine(f func()) { m.goroutines.Go(f) }
 
-// removeLink drops l and reports the messages that were still queued.
+// removeLink removes l and reports the messages that are still queued as unsent.
 func (m *Mesh) removeLink(l *link) {
 	m.mu.Lock()
 	if m.links[l.peer] == l {
@@ -125,7 +127,7 @@
 	m.reportUnsent(l.peer, queued)
 }
 
-// NumStreams returns the number of peers with an open or opening stream.
+// NumStreams returns the number of peers to which a stream is open or being opened.
 func (m *Mesh) NumStreams() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -19,9 +19,10 @@
 	"lentillink.example/lentillink/vm"
 )
 
+// waitLimit bounds the wait for an expected event.
 const waitLimit = 10 * time.Second
 
-// recorder collects what a Mesh reports.
+// recorder is a Handler that records messages and events.
 type recorder struct {
 	received     chan string
 	unsent       chan string
@@ -84,7 +85,8 @@
 	return n
 }
 
-// TestMeshRepliesOnSameStream guards against a reply path that needs a second connection.
+// TestMeshRepliesOnSameStream guards against a reply that needs a second
+// connection: the address of vm-a that vm-b is given refuses connections.
 func TestMeshRepliesOnSameStream(t *testing.T) {
 	a, b := startVM(t, "vm-a"), startVM(t, "vm-b")
 	a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hi")})
@@ -108,8 +110,8 @@
 	}
 }
 
-// TestMeshWrongPeer guards against delivering to a VM that took over the
-// address of another one.
+// TestMeshWrongPeer guards against delivery to the wrong VM, after the address of
+// one VM was reassigned to another.
 func TestMeshWrongPeer(t *testing.T) {
 	a, b := startVM(t, "vm-a"), startVM(t, "vm-b")
 	a.mesh.Send("vm-c", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("for c")})
@@ -118,7 +120,8 @@
 	}
 }
 
-// TestMeshReportsDisconnect guards against waiting for ever on a VM that stopped.
+// TestMeshReportsDisconnect guards against a VM that stopped without a report,
+// so that senders would wait for it for ever.
 func TestMeshReportsDisconnect(t *testing.T) {
 	a, b := startVM(t, "vm-a"), startVM(t, "vm-b")
 	a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hi")})
@@ -130,7 +133,7 @@
 }
 
 // TestMeshConnect guards against a stream that is opened only by its first message,
-// and against the loss of a peer that nothing was sent to yet.
+// and against a missing report when a peer disconnects before any message was sent.
 func TestMeshConnect(t *testing.T) {
 	a, b := startVM(t, "a"), startVM(t, "b")
 	a.mesh.Connect("b", b.addr)
@@ -145,8 +148,8 @@
 	}
 }
 
-// TestMeshConcurrentSendKeepsOrder guards against reordered or dropped
-// messages while both sides open a stream at once.
+// TestMeshConcurrentSendKeepsOrder guards against reordered or lost messages
+// while both sides open a stream at the same time.
 func TestMeshConcurrentSendKeepsOrder(t *testing.T) {
 	a, b := startVM(t, "vm-a"), startVM(t, "vm-b")
 	const n = 500
@@ -164,7 +167,8 @@
 	}
 }
 
-// TestCodecRoundTrip guards against a field that is lost on the way between VMs.
+// TestCodecRoundTrip guards against a field of a request, reply or cancellation that
+// the encoding loses.
 func TestCodecRoundTrip(t *testing.T) {
 	id := rapid.Custom(func(t *rapid.T) attempt.ID {
 		return attempt.ID{VM: rapid.String().Draw(t, "vm"), Incarnation: rapid.Uint64().Draw(t, "inc"), Seq: rapid.Uint64().Draw(t, "seq")}
--- a/peer/options.go
+++ b/peer/options.go
@@ -10,20 +10,21 @@
 // Option configures a Mesh.
 type Option func(*Mesh)
 
-// WithClock sets the clock that converts deadlines to budgets.
+// WithClock sets the clock that converts between deadlines and remaining time.
 func WithClock(c clock.Clock) Option { return func(m *Mesh) { m.clock = c } }
 
-// WithQueueLen sets how many envelopes may wait for one peer. Envelopes beyond
-// it are reported as unsent.
+// WithQueueLen bounds the messages that are queued for one peer. Further messages
+// are reported as unsent.
 func WithQueueLen(n int) Option { return func(m *Mesh) { m.queueLen = n } }
 
-// WithIdleTimeout sets how long a stream without traffic stays open.
+// WithIdleTimeout sets the time after which a stream without traffic is closed.
 func WithIdleTimeout(d clock.Millis) Option { return func(m *Mesh) { m.idleTimeout = d } }
 
-// WithDialTimeout bounds the time to open a connection.
+// WithDialTimeout bounds the time to open a TCP connection.
 func WithDialTimeout(d clock.Millis) Option { return func(m *Mesh) { m.dialTimeout = d } }
 
-// WithDialer replaces the function that opens connections, for example to cut links in tests.
+// WithDialer replaces the function that opens connections, for example to break
+// connections in tests.
 func WithDialer(dial func(address string, timeout clock.Millis) (net.Conn, error)) Option {
 	return func(m *Mesh) { m.dial = dial }
 }
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -11,19 +11,19 @@
 	"lentillink.example/lentillink/peer/peerpb"
 )
 
-// stream is one open exchange, seen from either side.
+// stream is the client or server side of an open drpc stream.
 type stream interface {
 	Send(*peerpb.Envelope) error
 	Recv() (*peerpb.Envelope, error)
 }
 
-// flusher is a stream that can collect messages before it writes them.
+// flusher is a stream that can buffer messages and write them together.
 type flusher interface {
 	SetManualFlush(bool)
 	RawFlush() error
 }
 
-// asFlusher returns the flusher behind a generated stream.
+// asFlusher returns the flusher that a generated stream wraps, if there is one.
 func asFlusher(s stream) (flusher, bool) {
 	g, ok := s.(interface{ GetStream() drpc.Stream })
 	if !ok {
@@ -33,10 +33,10 @@
 	return f, ok
 }
 
-// acceptor serves the streams that peers open.
+// acceptor implements the drpc service that peers call to open a stream.
 type acceptor struct{ m *Mesh }
 
-// Exchange answers the hello of a peer and serves the stream until it ends.
+// Exchange exchanges hellos with a peer and serves the stream until it ends.
 func (a acceptor) Exchange(s peerpb.DRPCPeer_ExchangeStream) error {
 	peer, err := a.m.readHello(s)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return a.m.serveStream(s.Context(), peer, s, a.m.addAcceptedLink(peer))
 }
 
-// addAcceptedLink returns the link that the accepted stream should write for, or nil if
-// another stream already writes to that peer.
+// addAcceptedLink adds and returns the link whose queue is sent on an accepted stream.
+// It returns nil if the peer already has a link, which another stream serves.
 func (m *Mesh) addAcceptedLink(peer string) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 	peer, err := m.handshake(s)
 	if err != nil || peer != l.peer {
-		// Nothing but the hello was sent, so every queued message is unsent.
+		// Only the hello was sent, so every queued message is reported as unsent.
 		m.removeLink(l)
 		return
 	}
@@ -109,11 +109,11 @@
 	return hello.GetVm(), nil
 }
 
-// serveStream reads s until it breaks, and writes the queue of l to it. It
-// reports Down exactly once for the stream.
+// serveStream receives from s and sends the queue of l on it, until the stream
+// breaks. Then it calls Disconnected exactly once. A nil l sends nothing.
 func (m *Mesh) serveStream(ctx context.Context, peer string, s stream, l *link) error {
 	if f, ok := asFlusher(s); ok {
-		f.SetManualFlush(true) // before the reader starts, which looks at it
+		f.SetManualFlush(true) // before the reading goroutine starts, which reads this setting
 	}
 	r := &readState{done: make(chan error, 1), active: make(chan struct{}, 1)}
 	m.mu.Lock()
@@ -127,10 +127,10 @@
 	return err
 }
 
-// readState is the receiving half of a stream, seen from its writer.
+// readState connects the goroutine that reads a stream to the one that writes it.
 type readState struct {
-	done   chan error    // receives the reason when reading ends
-	active chan struct{} // holds a token if something arrived
+	done   chan error    // receives the error that ended reading
+	active chan struct{} // holds a token if a message arrived
 }
 
 func (m *Mesh) readLoop(peer string, s stream, active chan<- struct{}) error {
@@ -151,7 +151,8 @@
 	}
 }
 
-// writeLoop returns when the stream breaks, the context ends or the stream is idle.
+// writeLoop sends queued messages until the stream breaks, the context is cancelled or
+// the idle timeout expires.
 func (m *Mesh) writeLoop(ctx context.Context, s stream, l *link, r *readState) error {
 	var ready chan struct{}
 	if l != nil {
@@ -178,8 +179,8 @@
 	}
 }
 
-// writeQueue sends the messages that wait. After a failure the message that
-// failed may have arrived; those after it never left and are reported as unsent.
+// writeQueue sends the queued messages. After a failure, the message that failed may
+// have arrived; those after it never left this VM and are reported as unsent.
 func (m *Mesh) writeQueue(s stream, l *link) error {
 	m.mu.Lock()
 	batch := l.takeAll()
--- a/peer/throughput_test.go
+++ b/peer/throughput_test.go
@@ -8,8 +8,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// BenchmarkThroughput sends forwards from one VM to another as fast as the
-// stream takes them.
+// BenchmarkThroughput measures how fast one stream carries forwarded requests from
+// one VM to another.
 func BenchmarkThroughput(b *testing.B) {
 	const burst = 64
 	from, to := startVM(b, "from"), startVM(b, "to")
