--- a/peer/claim.go
+++ b/peer/claim.go
@@ -25,7 +25,7 @@
 
 func decodeClaimRequest(c *peerpb.Claim) (order.ClaimRequestMsg, error) {
 	if len(c.GetId()) != order.HashSize || c.GetOp() > uint32(order.OpMarkDone) {
-		return order.ClaimRequestMsg{}, wrap("decode claim", KindDecode, errors.New("id or op out of range"))
+		return order.ClaimRequestMsg{}, wrap("decode claim", KindDecode, errors.New("ID of the order has the wrong length, or the operation is unknown"))
 	}
 	return order.ClaimRequestMsg{
 		From: c.GetFrom(), Op: order.Op(c.GetOp()), Token: decodeToken(c.GetToken()), ID: order.Hash(c.GetId()),
@@ -35,7 +35,7 @@
 
 func decodeClaimResponse(c *peerpb.Claimed) (order.ClaimResponseMsg, error) {
 	if c.GetResult() > uint32(order.ResultReleased) {
-		return order.ClaimResponseMsg{}, wrap("decode claimed", KindDecode, errors.New("result out of range"))
+		return order.ClaimResponseMsg{}, wrap("decode claimed", KindDecode, errors.New("unknown result of a claim"))
 	}
 	return order.ClaimResponseMsg{Token: decodeToken(c.GetToken()), Result: order.ClaimResult(c.GetResult())}, nil
 }
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -91,7 +91,7 @@
 	case *peerpb.Envelope_Told:
 		return vm.AdminResponse{ID: b.Told.GetId(), Payload: b.Told.GetPayload()}, stamp, nil
 	}
-	return nil, stamp, wrap("decode", KindDecode, errors.New("unknown envelope body"))
+	return nil, stamp, wrap("decode", KindDecode, errors.New("envelope has no body, or one of an unknown type"))
 }
 
 func encodeID(id attempt.ID) *peerpb.AttemptID {
@@ -112,7 +112,7 @@
 
 func decodeRequest(now clock.Millis, f *peerpb.Forward) (attempt.Request, error) {
 	if f.GetRank() >= rank.Count || f.GetKind() > uint32(attempt.Order) {
-		return attempt.Request{}, wrap("decode forward", KindDecode, errors.New("rank or kind out of range"))
+		return attempt.Request{}, wrap("decode forward", KindDecode, errors.New("unknown rank or kind of request"))
 	}
 	return attempt.Request{
 		ID: decodeID(f.GetId()), Upstream: f.GetUpstream(), Kind: attempt.Kind(f.GetKind()),
@@ -138,7 +138,7 @@
 
 func decodeReply(r *peerpb.Result) (attempt.Reply, error) {
 	if r.GetStatus() > uint32(attempt.NotCarrier) || r.GetRan() > uint32(attempt.Executed) {
-		return attempt.Reply{}, wrap("decode result", KindDecode, errors.New("status or ran out of range"))
+		return attempt.Reply{}, wrap("decode result", KindDecode, errors.New("unknown status or execution state of a reply"))
 	}
 	reply := attempt.Reply{
 		ID: decodeID(r.GetId()), Upstream: r.GetUpstream(), Status: attempt.Status(r.GetStatus()), Execution: attempt.Execution(r.GetRan()),
--- a/peer/delegation.go
+++ b/peer/delegation.go
@@ -36,7 +36,7 @@
 func decodeDelegationResult(r *peerpb.HandBack) (relay.DelegationResult, error) {
 	outcome := relay.Outcome(r.GetOutcome())
 	if r.GetOutcome() > uint32(relay.NotReady) || outcome == relay.Relayed {
-		return relay.DelegationResult{}, wrap("decode", KindDecode, errors.New("outcome of a gathered answer is unknown"))
+		return relay.DelegationResult{}, wrap("decode", KindDecode, errors.New("outcome of a delegation result is unknown or not allowed"))
 	}
 	return relay.DelegationResult{ID: r.GetId(), Partial: r.GetMore(), ExpectedMs: clock.Millis(r.GetExpectedMs()), Answer: relay.Answer{
 		Outcome: outcome, Body: r.GetBody(), Receipts: r.GetReceipts(), Missing: int(r.GetMissing()),
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -127,8 +127,8 @@
 	a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hi")})
 	await(t, b.recorder.received, "message at b")
 	b.stop()
-	if got, want := await(t, a.recorder.disconnected, "down report"), "vm-b"; got != want {
-		t.Errorf("down = %q, want %q", got, want)
+	if got, want := await(t, a.recorder.disconnected, "disconnect report"), "vm-b"; got != want {
+		t.Errorf("disconnected = %q, want %q", got, want)
 	}
 }
 
@@ -139,12 +139,12 @@
 	a.mesh.Connect("b", b.addr)
 	for end := time.Now().Add(waitLimit); b.mesh.NumStreams() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("got no stream within %s", waitLimit)
+			t.Fatalf("b has no stream within %s", waitLimit)
 		}
 	}
 	b.stop()
-	if got := await(t, a.recorder.disconnected, "loss"); got != "b" {
-		t.Errorf("got the loss of %q, want b", got)
+	if got := await(t, a.recorder.disconnected, "disconnect report"); got != "b" {
+		t.Errorf("disconnected = %q, want b", got)
 	}
 }
 
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -104,7 +104,7 @@
 	}
 	hello := env.GetHello()
 	if hello.GetVm() == "" {
-		return "", wrap("hello", KindNoHello, errors.New("first envelope names no VM"))
+		return "", wrap("hello", KindNoHello, errors.New("first envelope is not a hello that names a VM"))
 	}
 	return hello.GetVm(), nil
 }
