--- a/exchange/client.go
+++ b/exchange/client.go
@@ -15,26 +15,26 @@
 	// links, and shorter than what patient work can spare.
 	defaultConnectTimeout = clock.Second
 
-	// defaultReplyBytes bounds the memory that one reply takes.
-	defaultReplyBytes = 4 << 20
+	// defaultMaxReplyBytes bounds the memory that one reply takes.
+	defaultMaxReplyBytes = 4 << 20
 
-	// unstatedIdleMs is how long a kept connection is used again if the upstream
+	// defaultIdleTimeoutMs is how long a kept connection is used again if the upstream
 	// does not state its idle timeout, which is then below a second.
-	unstatedIdleMs clock.Millis = 700
+	defaultIdleTimeoutMs clock.Millis = 700
 
-	// idleReserveMs is kept from a stated idle timeout, so that a request does
+	// idleMarginMs is kept from a stated idle timeout, so that a request does
 	// not cross the upstream's close.
-	idleReserveMs clock.Millis = 700
+	idleMarginMs clock.Millis = 700
 
-	// reapMs is the age from which an idle connection is closed, and reapEveryMs how
+	// closeIdleAfterMs is the age from which an idle connection is closed, and reapEveryMs how
 	// often that is looked at. Upstreams bound the connections of all VMs together,
 	// and a VM that was a carrier once must not hold them for good.
-	reapMs      = 8 * clock.Second
-	reapEveryMs = clock.Second
+	closeIdleAfterMs = 8 * clock.Second
+	idleCheckMs      = clock.Second
 
-	// freshIdleMs is how long a kept connection may have been idle to carry a
+	// nonIdempotentIdleMs is how long a kept connection may have been idle to carry a
 	// request that must not repeat.
-	freshIdleMs clock.Millis = 400
+	nonIdempotentIdleMs clock.Millis = 400
 )
 
 // Call is one request to one upstream.
@@ -60,40 +60,40 @@
 	headers        Headers
 	report         func(Result)
 	connectTimeout clock.Millis
-	replyBytes     int
+	maxReplyBytes  int
 	clock          clock.Clock
 
-	ctx     context.Context // of the opening of connections
-	cancel  context.CancelFunc
-	ends    chan struct{} // one for each goroutine that has ended; their errors are results
-	mu      sync.Mutex
-	running int
-	hosts   map[string]*host
-	jobs    map[uint64]*job
+	ctx        context.Context // of the opening of connections
+	cancel     context.CancelFunc
+	exits      chan struct{} // one for each goroutine that has ended; their errors are results
+	mu         sync.Mutex
+	goroutines int
+	upstreams  map[string]*upstreamConns
+	calls      map[uint64]*pendingCall
 }
 
-// host holds the connections to one upstream.
-type host struct {
-	upstream string
-	address  string
-	idle     []*conn // least recently used first
-	open     int
+// upstreamConns holds the connections to one upstream.
+type upstreamConns struct {
+	id        string
+	address   string
+	idle      []*conn // least recently used first
+	openConns int
 }
 
-// job is a call that has not ended.
-type job struct {
-	call   Call
-	conn   *conn
-	cancel context.CancelFunc // ends the opening of a connection
-	sent   bool
-	wrote  bool // the whole request is written
+// pendingCall is a call that has not ended.
+type pendingCall struct {
+	call    Call
+	conn    *conn
+	cancel  context.CancelFunc // ends the opening of a connection
+	sent    bool
+	written bool // the whole request is written
 }
 
 // New returns a client that reports results through report, from any goroutine.
 func New(report func(Result), opts ...Option) *Client {
 	c := &Client{
-		report: report, connectTimeout: defaultConnectTimeout, replyBytes: defaultReplyBytes, clock: clock.NewMonotonic(),
-		ends: make(chan struct{}, 64), hosts: make(map[string]*host), jobs: make(map[uint64]*job),
+		report: report, connectTimeout: defaultConnectTimeout, maxReplyBytes: defaultMaxReplyBytes, clock: clock.NewMonotonic(),
+		exits: make(chan struct{}, 64), upstreams: make(map[string]*upstreamConns), calls: make(map[uint64]*pendingCall),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	for _, opt := range opts {
@@ -104,107 +104,107 @@
 
 // Run waits until ctx ends, then closes every connection and waits for their goroutines.
 func (c *Client) Run(ctx context.Context) error {
-	ticker := time.NewTicker(reapEveryMs.Duration())
+	ticker := time.NewTicker(idleCheckMs.Duration())
 	defer ticker.Stop()
 	for {
 		select {
-		case <-c.ends:
-			c.ended()
+		case <-c.exits:
+			c.goroutineEnded()
 		case <-ticker.C:
-			c.reap(c.clock.Now())
+			c.closeExpired(c.clock.Now())
 		case <-ctx.Done():
 			c.cancel() // a connection that is being opened would hold up the end
 			c.closeAll()
-			for c.left() > 0 {
-				<-c.ends
-				c.ended()
+			for c.runningGoroutines() > 0 {
+				<-c.exits
+				c.goroutineEnded()
 			}
 			return nil
 		}
 	}
 }
 
-func (c *Client) ended() {
+func (c *Client) goroutineEnded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.running--
+	c.goroutines--
 }
 
-func (c *Client) left() int {
+func (c *Client) runningGoroutines() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.running
+	return c.goroutines
 }
 
 func (c *Client) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, j := range c.jobs {
-		j.stop()
+	for _, p := range c.calls {
+		p.abort()
 	}
-	for _, h := range c.hosts {
-		h.closeIdle()
+	for _, u := range c.upstreams {
+		u.closeIdle()
 	}
 }
 
-// reap closes connections that have been idle for long.
-func (c *Client) reap(now clock.Millis) {
+// closeExpired closes connections that have been idle for long.
+func (c *Client) closeExpired(now clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, h := range c.hosts {
-		kept := h.idle[:0]
-		for _, cn := range h.idle {
-			if now-cn.usedAt < min(reapMs, cn.idleMs) {
+	for _, u := range c.upstreams {
+		kept := u.idle[:0]
+		for _, cn := range u.idle {
+			if now-cn.lastUsedAt < min(closeIdleAfterMs, cn.maxIdleMs) {
 				kept = append(kept, cn)
 				continue
 			}
 			_ = cn.nc.Close()
 		}
-		clear(h.idle[len(kept):])
-		h.idle = kept
+		clear(u.idle[len(kept):])
+		u.idle = kept
 	}
 }
 
-// start runs f in a goroutine whose end Run reads. The caller holds c.mu.
-func (c *Client) start(f func()) {
-	c.running++
+// startGoroutine runs f in a goroutine whose end Run reads. The caller holds c.mu.
+func (c *Client) startGoroutine(f func()) {
+	c.goroutines++
 	go func() {
 		f()
-		c.ends <- struct{}{}
+		c.exits <- struct{}{}
 	}()
 }
 
-func (c *Client) host(upstream, address string) *host {
-	h := c.hosts[upstream]
-	if h == nil {
-		h = &host{upstream: upstream, address: address}
-		c.hosts[upstream] = h
+func (c *Client) connsOf(upstream, address string) *upstreamConns {
+	u := c.upstreams[upstream]
+	if u == nil {
+		u = &upstreamConns{id: upstream, address: address}
+		c.upstreams[upstream] = u
 	}
-	return h
+	return u
 }
 
 // Send starts a call. Its result is reported later.
 func (c *Client) Send(call Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.host(call.Upstream, call.Address)
-	j := &job{call: call}
-	c.jobs[call.Attempt] = j
-	if cn := h.take(c.clock.Now(), call.NonIdempotent); cn != nil {
-		j.conn = cn
-		cn.job = j
-		c.write(cn, j)
+	u := c.connsOf(call.Upstream, call.Address)
+	p := &pendingCall{call: call}
+	c.calls[call.Attempt] = p
+	if cn := u.takeIdle(c.clock.Now(), call.NonIdempotent); cn != nil {
+		p.conn = cn
+		cn.pending = p
+		c.write(cn, p)
 		return
 	}
-	c.dial(h, j)
+	c.dial(u, p)
 }
 
 // Connect opens a connection to an upstream if there is none.
 func (c *Client) Connect(upstream, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.host(upstream, address); h.open == 0 {
-		c.dial(h, nil)
+	if u := c.connsOf(upstream, address); u.openConns == 0 {
+		c.dial(u, nil)
 	}
 }
 
@@ -213,18 +213,18 @@
 func (c *Client) Cancel(attempt uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if j := c.jobs[attempt]; j != nil {
-		delete(c.jobs, attempt)
-		j.stop()
+	if p := c.calls[attempt]; p != nil {
+		delete(c.calls, attempt)
+		p.abort()
 	}
 }
 
-func (j *job) stop() {
-	if j.cancel != nil {
-		j.cancel()
+func (p *pendingCall) abort() {
+	if p.cancel != nil {
+		p.cancel()
 	}
-	if j.conn != nil {
-		_ = j.conn.nc.Close()
+	if p.conn != nil {
+		_ = p.conn.nc.Close()
 	}
 }
 
@@ -232,19 +232,19 @@
 func (c *Client) CloseIdle(upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.hosts[upstream]; h != nil {
-		h.closeIdle()
-		delete(c.hosts, upstream)
+	if u := c.upstreams[upstream]; u != nil {
+		u.closeIdle()
+		delete(c.upstreams, upstream)
 	}
 }
 
-// take removes the most recently used connection that is still good from the
+// takeIdle removes the most recently used connection that is still good from the
 // idle ones. Older ones are closed.
-func (h *host) take(now clock.Millis, fresh bool) *conn {
-	for len(h.idle) > 0 {
-		cn := h.idle[len(h.idle)-1]
-		h.idle = h.idle[:len(h.idle)-1]
-		if cn.good(now, fresh) {
+func (u *upstreamConns) takeIdle(now clock.Millis, nonIdempotent bool) *conn {
+	for len(u.idle) > 0 {
+		cn := u.idle[len(u.idle)-1]
+		u.idle = u.idle[:len(u.idle)-1]
+		if cn.usable(now, nonIdempotent) {
 			return cn
 		}
 		_ = cn.nc.Close()
@@ -252,106 +252,106 @@
 	return nil
 }
 
-func (h *host) closeIdle() {
-	for _, cn := range h.idle {
+func (u *upstreamConns) closeIdle() {
+	for _, cn := range u.idle {
 		_ = cn.nc.Close()
 	}
-	h.idle = nil
+	u.idle = nil
 }
 
-func (h *host) unidle(cn *conn) {
-	for i, o := range h.idle {
+func (u *upstreamConns) removeIdle(cn *conn) {
+	for i, o := range u.idle {
 		if o == cn {
-			h.idle = append(h.idle[:i], h.idle[i+1:]...)
+			u.idle = append(u.idle[:i], u.idle[i+1:]...)
 			return
 		}
 	}
 }
 
 // dial opens a connection, and sends j on it unless j is nil. The caller holds c.mu.
-func (c *Client) dial(h *host, j *job) {
+func (c *Client) dial(u *upstreamConns, p *pendingCall) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.connectTimeout.Duration())
-	if j != nil {
-		j.cancel = cancel
+	if p != nil {
+		p.cancel = cancel
 	}
-	h.open++
-	c.start(func() {
+	u.openConns++
+	c.startGoroutine(func() {
 		defer cancel()
-		nc, err := dialer.DialContext(ctx, "tcp", h.address)
-		c.dialed(h, j, nc, err)
+		nc, err := dialer.DialContext(ctx, "tcp", u.address)
+		c.finishDial(u, p, nc, err)
 	})
 }
 
-func (c *Client) dialed(h *host, j *job, nc net.Conn, err error) {
+func (c *Client) finishDial(u *upstreamConns, p *pendingCall, nc net.Conn, err error) {
 	c.mu.Lock()
 	if err != nil {
-		h.open--
+		u.openConns--
 		c.mu.Unlock()
-		if j != nil {
-			c.end(j, Result{Attempt: j.call.Attempt, Err: &Error{op: "dial", kind: KindDial, err: err}})
+		if p != nil {
+			c.finish(p, Result{Attempt: p.call.Attempt, Err: &Error{op: "dial", kind: KindDial, err: err}})
 		}
 		return
 	}
-	cn := &conn{client: c, host: h, nc: nc, idleMs: unstatedIdleMs, usedAt: c.clock.Now()}
-	wanted := j != nil && c.jobs[j.call.Attempt] == j
-	if wanted {
-		j.conn, j.cancel = cn, nil
-		cn.job = j
-		c.write(cn, j)
+	cn := &conn{client: c, conns: u, nc: nc, maxIdleMs: defaultIdleTimeoutMs, lastUsedAt: c.clock.Now()}
+	stillPending := p != nil && c.calls[p.call.Attempt] == p
+	if stillPending {
+		p.conn, p.cancel = cn, nil
+		cn.pending = p
+		c.write(cn, p)
 	} else {
-		h.idle = append(h.idle, cn)
+		u.idle = append(u.idle, cn)
 	}
-	c.start(cn.read)
+	c.startGoroutine(cn.read)
 	c.mu.Unlock()
 }
 
-// inlineBytes is the size up to which a request is written by the caller's own
+// maxInlineBytes is the size up to which a request is written by the caller's own
 // goroutine: the socket takes it whole, because only one request is open on it.
-const inlineBytes = 8 << 10
+const maxInlineBytes = 8 << 10
 
 // writeTimeout bounds the writing of a large body.
 const writeTimeout = 10 * time.Second
 
 // write sends the request of j. The caller holds c.mu.
-func (c *Client) write(cn *conn, j *job) {
-	b := j.call.Request.appendTo(nil, c.headers, j.call.Upstream, j.call.RemainingMs)
-	j.sent = true
-	if len(b) <= inlineBytes {
+func (c *Client) write(cn *conn, p *pendingCall) {
+	b := p.call.Request.appendTo(nil, c.headers, p.call.Upstream, p.call.RemainingMs)
+	p.sent = true
+	if len(b) <= maxInlineBytes {
 		n, err := cn.nc.Write(b)
-		c.wrote(cn, j, n, err)
+		c.finishWrite(cn, p, n, err)
 		return
 	}
 	_ = cn.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-	c.start(func() {
+	c.startGoroutine(func() {
 		n, err := cn.nc.Write(b)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.wrote(cn, j, n, err)
+		c.finishWrite(cn, p, n, err)
 	})
 }
 
-// wrote notes the end of a write. A failed one closes the connection, and the
+// finishWrite notes the end of a write. A failed one closes the connection, and the
 // reader reports it. The caller holds c.mu.
-func (c *Client) wrote(cn *conn, j *job, n int, err error) {
+func (c *Client) finishWrite(cn *conn, p *pendingCall, n int, err error) {
 	if err == nil {
-		j.wrote = true
+		p.written = true
 		return
 	}
 	if n == 0 {
-		j.sent = false
+		p.sent = false
 	}
 	_ = cn.nc.Close()
 }
 
-// end reports the result of a job once, unless it was cancelled.
-func (c *Client) end(j *job, r Result) {
+// finish reports the result of a job once, unless it was cancelled.
+func (c *Client) finish(p *pendingCall, r Result) {
 	c.mu.Lock()
-	open := c.jobs[j.call.Attempt] == j
-	if open {
-		delete(c.jobs, j.call.Attempt)
+	pending := c.calls[p.call.Attempt] == p
+	if pending {
+		delete(c.calls, p.call.Attempt)
 	}
 	c.mu.Unlock()
-	if open {
+	if pending {
 		c.report(r)
 	}
 }
--- a/exchange/client_test.go
+++ b/exchange/client_test.go
@@ -18,53 +18,53 @@
 
 var headers = exchange.Headers{RequestID: "Request", DeadlineMs: "Deadline", ExpectInstance: "Instance", Receipt: "Receipt", NotRun: "Not-Run"}
 
-// rig is a client and an upstream that counts its connections.
-type rig struct {
-	client  *exchange.Client
-	clock   *clock.Manual
-	results chan exchange.Result
-	open    atomic.Int64
-	opened  atomic.Int64
-	address string
-	next    uint64
+// fixture is a client and an upstream that counts its connections.
+type fixture struct {
+	client      *exchange.Client
+	clock       *clock.Manual
+	results     chan exchange.Result
+	openConns   atomic.Int64
+	totalConns  atomic.Int64
+	address     string
+	lastAttempt uint64
 }
 
-func newRig(t *testing.T, h http.HandlerFunc) *rig {
+func newFixture(t *testing.T, h http.HandlerFunc) *fixture {
 	t.Helper()
-	r := &rig{clock: clock.NewManual(1000), results: make(chan exchange.Result, 16)}
+	f := &fixture{clock: clock.NewManual(1000), results: make(chan exchange.Result, 16)}
 	server := httptest.NewUnstartedServer(h)
 	server.Config.ConnState = func(_ net.Conn, s http.ConnState) {
 		switch s {
 		case http.StateNew:
-			r.open.Add(1)
-			r.opened.Add(1)
+			f.openConns.Add(1)
+			f.totalConns.Add(1)
 		case http.StateClosed, http.StateHijacked:
-			r.open.Add(-1)
+			f.openConns.Add(-1)
 		}
 	}
 	server.Start()
-	r.address = server.Listener.Addr().String()
-	r.client = exchange.New(func(res exchange.Result) { r.results <- res }, exchange.WithHeaders(headers), exchange.WithClock(r.clock))
-	ctx, stop := context.WithCancel(context.Background())
-	end := make(chan error, 1)
-	go func() { end <- r.client.Run(ctx) }()
+	f.address = server.Listener.Addr().String()
+	f.client = exchange.New(func(res exchange.Result) { f.results <- res }, exchange.WithHeaders(headers), exchange.WithClock(f.clock))
+	ctx, cancel := context.WithCancel(context.Background())
+	runErr := make(chan error, 1)
+	go func() { runErr <- f.client.Run(ctx) }()
 	t.Cleanup(func() {
-		stop()
-		if err := <-end; err != nil {
+		cancel()
+		if err := <-runErr; err != nil {
 			t.Errorf("run: got %v, want nil", err)
 		}
 		server.Close()
 	})
-	return r
+	return f
 }
 
-func (r *rig) call(t *testing.T, fresh bool) exchange.Result {
+func (f *fixture) call(t *testing.T, nonIdempotent bool) exchange.Result {
 	t.Helper()
-	r.next++
+	f.lastAttempt++
 	req := exchange.NewRequest(headers, http.MethodGet, "/p", "h", "id", nil, nil)
-	r.client.Send(exchange.Call{Attempt: r.next, Upstream: "u", Address: r.address, Request: req, RemainingMs: 100, NonIdempotent: fresh})
+	f.client.Send(exchange.Call{Attempt: f.lastAttempt, Upstream: "u", Address: f.address, Request: req, RemainingMs: 100, NonIdempotent: nonIdempotent})
 	select {
-	case res := <-r.results:
+	case res := <-f.results:
 		return res
 	case <-time.After(waitLimit):
 		t.Fatal("got no result")
@@ -72,9 +72,9 @@
 	}
 }
 
-func await(t *testing.T, what string, ok func() bool) {
+func await(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s: not within %s", what, waitLimit)
 		}
@@ -88,70 +88,70 @@
 	_, _ = w.Write([]byte("body"))
 }
 
-// TestConnections guards against a connection for each request, and against
+// TestConnectionReuseAndIdleClose guards against a connection for each request, and against
 // connections that a VM keeps although it has no more work: upstreams bound
 // those of all VMs together.
-func TestConnections(t *testing.T) {
-	r := newRig(t, answer)
+func TestConnectionReuseAndIdleClose(t *testing.T) {
+	f := newFixture(t, answer)
 	for range 10 {
-		if res := r.call(t, false); res.Err != nil || string(res.Reply.Body) != "body" || res.Reply.Receipt != "x" {
+		if res := f.call(t, false); res.Err != nil || string(res.Reply.Body) != "body" || res.Reply.Receipt != "x" {
 			t.Fatalf("got %+v, want the reply", res)
 		}
 	}
-	if got := r.opened.Load(); got != 1 {
+	if got := f.totalConns.Load(); got != 1 {
 		t.Errorf("got %d connections for 10 requests in turn, want 1", got)
 	}
-	r.clock.Advance(8 * clock.Second)
-	await(t, "idle connection closed", func() bool { return r.open.Load() == 0 })
+	f.clock.Advance(8 * clock.Second)
+	await(t, "idle connection closed", func() bool { return f.openConns.Load() == 0 })
 }
 
-// TestFresh guards against a request that must not repeat on a connection that
+// TestNonIdempotentUsesRecentConnection guards against a request that must not repeat on a connection that
 // the upstream may be about to close.
-func TestFresh(t *testing.T) {
-	r := newRig(t, answer)
-	r.call(t, false)
-	r.clock.Advance(500)
-	r.call(t, true)
-	if got := r.opened.Load(); got != 2 {
+func TestNonIdempotentUsesRecentConnection(t *testing.T) {
+	f := newFixture(t, answer)
+	f.call(t, false)
+	f.clock.Advance(500)
+	f.call(t, true)
+	if got := f.totalConns.Load(); got != 2 {
 		t.Errorf("got %d connections, want a new one", got)
 	}
-	r.clock.Advance(100)
-	r.call(t, true)
-	if got := r.opened.Load(); got != 2 {
+	f.clock.Advance(100)
+	f.call(t, true)
+	if got := f.totalConns.Load(); got != 2 {
 		t.Errorf("got %d connections, want the recent one again", got)
 	}
 }
 
-// TestCancel guards against work that goes on at the upstream after its attempt was cancelled.
-func TestCancel(t *testing.T) {
-	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
-	r := newRig(t, func(_ http.ResponseWriter, req *http.Request) {
-		begun <- struct{}{}
+// TestCancelStopsUpstreamWork guards against work that goes on at the upstream after its attempt was cancelled.
+func TestCancelStopsUpstreamWork(t *testing.T) {
+	started, cancelled := make(chan struct{}, 1), make(chan struct{}, 1)
+	f := newFixture(t, func(_ http.ResponseWriter, req *http.Request) {
+		started <- struct{}{}
 		<-req.Context().Done()
-		ended <- struct{}{}
+		cancelled <- struct{}{}
 	})
 	req := exchange.NewRequest(headers, http.MethodGet, "/p", "h", "id", nil, nil)
-	r.client.Send(exchange.Call{Attempt: 1, Upstream: "u", Address: r.address, Request: req, RemainingMs: 100})
-	await(t, "begun", func() bool { return len(begun) == 1 })
-	r.client.Cancel(1)
-	await(t, "ended", func() bool { return len(ended) == 1 })
-	if got := len(r.results); got != 0 {
+	f.client.Send(exchange.Call{Attempt: 1, Upstream: "u", Address: f.address, Request: req, RemainingMs: 100})
+	await(t, "begun", func() bool { return len(started) == 1 })
+	f.client.Cancel(1)
+	await(t, "ended", func() bool { return len(cancelled) == 1 })
+	if got := len(f.results); got != 0 {
 		t.Errorf("got %d results after the cancel, want none", got)
 	}
 }
 
-// TestRefusedConnection guards against a refused connection that counts as sent.
-func TestRefusedConnection(t *testing.T) {
-	r := newRig(t, answer)
+// TestRefusedConnectionNotSent guards against a refused connection that counts as sent.
+func TestRefusedConnectionNotSent(t *testing.T) {
+	f := newFixture(t, answer)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.address = lis.Addr().String()
+	f.address = lis.Addr().String()
 	if err := lis.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if res := r.call(t, false); res.Err == nil || res.Err.Kind() != exchange.KindDial || res.Err.Kind().MaybeSent() {
+	if res := f.call(t, false); res.Err == nil || res.Err.Kind() != exchange.KindDial || res.Err.Kind().MaybeSent() {
 		t.Errorf("got %v, want a dial failure that proves that nothing was sent", res.Err)
 	}
 }
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -14,13 +14,13 @@
 	"lentillink.example/lentillink/httpcall"
 )
 
-// readBytes is the size of a connection's read buffer.
-const readBytes = 4 << 10
+// readBufferBytes is the size of a connection's read buffer.
+const readBufferBytes = 4 << 10
 
 var (
-	errForeign  = errors.New("reply carries another request's identifier")
-	errNoReply  = errors.New("connection ended before a reply")
-	errNotWhole = errors.New("reply ended early")
+	errWrongRequest = errors.New("reply carries another request's identifier")
+	errNoReply      = errors.New("connection ended before a reply")
+	errBadReply     = errors.New("reply ended early")
 )
 
 // Reply is a whole reply.
@@ -35,87 +35,87 @@
 
 // conn is one connection to an upstream.
 type conn struct {
-	client *Client
-	host   *host
-	nc     net.Conn
-	job    *job // nil while idle
-	usedAt clock.Millis
-	idleMs clock.Millis // how long it may be idle
+	client     *Client
+	conns      *upstreamConns
+	nc         net.Conn
+	pending    *pendingCall // nil while idle
+	lastUsedAt clock.Millis
+	maxIdleMs  clock.Millis // how long it may be idle
 }
 
-func (cn *conn) good(now clock.Millis, fresh bool) bool {
-	idle := now - cn.usedAt
-	if fresh {
-		return idle < min(freshIdleMs, cn.idleMs) && httpcall.Reusable(cn.nc)
+func (cn *conn) usable(now clock.Millis, nonIdempotent bool) bool {
+	idle := now - cn.lastUsedAt
+	if nonIdempotent {
+		return idle < min(nonIdempotentIdleMs, cn.maxIdleMs) && httpcall.Reusable(cn.nc)
 	}
-	return idle < cn.idleMs
+	return idle < cn.maxIdleMs
 }
 
 // read reads replies until the connection ends.
 func (cn *conn) read() {
-	br := bufio.NewReaderSize(cn.nc, readBytes)
+	br := bufio.NewReaderSize(cn.nc, readBufferBytes)
 	var resp fasthttp.Response
 	for {
 		_, err := br.Peek(1)
-		j := cn.current()
-		if err != nil || j == nil {
-			cn.close(j, errNoReply, err)
+		p := cn.current()
+		if err != nil || p == nil {
+			cn.close(p, errNoReply, err)
 			return
 		}
 		resp.Reset()
-		resp.SkipBody = j.call.Request.bare
-		if err := resp.ReadLimitBody(br, cn.client.replyBytes); err != nil {
-			cn.close(j, errNotWhole, err)
+		resp.SkipBody = p.call.Request.noReplyBody
+		if err := resp.ReadLimitBody(br, cn.client.maxReplyBytes); err != nil {
+			cn.close(p, errBadReply, err)
 			return
 		}
-		if !cn.deliver(j, &resp, br.Buffered()) {
+		if !cn.deliver(p, &resp, br.Buffered()) {
 			return
 		}
 	}
 }
 
-func (cn *conn) current() *job {
+func (cn *conn) current() *pendingCall {
 	cn.client.mu.Lock()
 	defer cn.client.mu.Unlock()
-	return cn.job
+	return cn.pending
 }
 
 // close ends the connection, and the job that is open on it.
-func (cn *conn) close(j *job, reason, cause error) {
+func (cn *conn) close(p *pendingCall, reason, cause error) {
 	c := cn.client
 	_ = cn.nc.Close()
 	c.mu.Lock()
-	if j == nil {
-		j = cn.job // taken between the last read and now
+	if p == nil {
+		p = cn.pending // taken between the last read and now
 	}
-	cn.job = nil
-	cn.host.open--
-	cn.host.unidle(cn)
-	sent := j != nil && j.sent
+	cn.pending = nil
+	cn.conns.openConns--
+	cn.conns.removeIdle(cn)
+	sent := p != nil && p.sent
 	c.mu.Unlock()
-	if j == nil {
+	if p == nil {
 		return
 	}
 	kind := KindBroken
 	switch {
 	case !sent:
 		kind = KindNotSent
-	case errors.Is(reason, errForeign):
+	case errors.Is(reason, errWrongRequest):
 		kind = KindWrongRequest
-	case errors.Is(reason, errNotWhole) && errors.Is(cause, io.ErrUnexpectedEOF):
+	case errors.Is(reason, errBadReply) && errors.Is(cause, io.ErrUnexpectedEOF):
 		kind = KindTruncated
-	case errors.Is(reason, errNotWhole):
+	case errors.Is(reason, errBadReply):
 		kind = KindInvalid
 	}
 	err := errors.Join(reason, cause)
-	c.end(j, Result{Attempt: j.call.Attempt, Err: &Error{op: "read", kind: kind, err: err}})
+	c.finish(p, Result{Attempt: p.call.Attempt, Err: &Error{op: "read", kind: kind, err: err}})
 }
 
 // deliver checks and reports a reply. It returns whether the connection stays open.
-func (cn *conn) deliver(j *job, resp *fasthttp.Response, surplus int) bool {
+func (cn *conn) deliver(p *pendingCall, resp *fasthttp.Response, buffered int) bool {
 	c := cn.client
-	if id := string(resp.Header.Peek(c.headers.RequestID)); id != "" && id != j.call.Request.id {
-		cn.close(j, errForeign, nil)
+	if id := string(resp.Header.Peek(c.headers.RequestID)); id != "" && id != p.call.Request.id {
+		cn.close(p, errWrongRequest, nil)
 		return false
 	}
 	reply := Reply{
@@ -125,54 +125,54 @@
 		NotRun:    len(resp.Header.Peek(c.headers.NotRun)) > 0 || resp.StatusCode() == fasthttp.StatusMisdirectedRequest,
 		CloseConn: resp.ConnectionClose(),
 	}
-	if j.call.NeedHeader {
-		reply.Fields = fieldsOf(resp)
+	if p.call.NeedHeader {
+		reply.Fields = forwardedFields(resp)
 	}
 	const noLength = -2 // fasthttp's mark of a body that ends with its connection
-	keep := !reply.CloseConn && surplus == 0 && (resp.Header.ContentLength() > noLength || resp.SkipBody)
+	keepOpen := !reply.CloseConn && buffered == 0 && (resp.Header.ContentLength() > noLength || resp.SkipBody)
 	c.mu.Lock()
-	keep = keep && j.wrote && c.hosts[cn.host.upstream] == cn.host
-	cn.job = nil
-	cn.usedAt = c.clock.Now()
-	cn.idleMs = statedIdle(string(resp.Header.Peek(fasthttp.HeaderKeepAlive)))
-	if keep {
-		cn.host.idle = append(cn.host.idle, cn)
+	keepOpen = keepOpen && p.written && c.upstreams[cn.conns.id] == cn.conns
+	cn.pending = nil
+	cn.lastUsedAt = c.clock.Now()
+	cn.maxIdleMs = parseIdleTimeout(string(resp.Header.Peek(fasthttp.HeaderKeepAlive)))
+	if keepOpen {
+		cn.conns.idle = append(cn.conns.idle, cn)
 	} else {
-		cn.host.open--
+		cn.conns.openConns--
 	}
 	c.mu.Unlock()
-	if !keep {
+	if !keepOpen {
 		_ = cn.nc.Close()
 	}
-	c.end(j, Result{Attempt: j.call.Attempt, Reply: reply})
-	return keep
+	c.finish(p, Result{Attempt: p.call.Attempt, Reply: reply})
+	return keepOpen
 }
 
-// statedIdle reads the idle timeout of a Keep-Alive header.
-func statedIdle(value string) clock.Millis {
+// parseIdleTimeout reads the idle timeout of a Keep-Alive header.
+func parseIdleTimeout(value string) clock.Millis {
 	for _, param := range strings.Split(value, ",") {
 		name, seconds, ok := strings.Cut(strings.TrimSpace(param), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if n, err := strconv.Atoi(seconds); err == nil && n > 0 {
-			return clock.Millis(n)*clock.Second - idleReserveMs
+			return clock.Millis(n)*clock.Second - idleMarginMs
 		}
 	}
-	return unstatedIdleMs
+	return defaultIdleTimeoutMs
 }
 
-// connectionOnly are the headers that concern one connection.
-var connectionOnly = map[string]bool{
+// notForwarded are the headers that concern one connection.
+var notForwarded = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "proxy-authenticate": true, "te": true,
 	"trailer": true, "transfer-encoding": true, "upgrade": true, "proxy-authorization": true, "content-length": true,
 }
 
 // IsHopByHop reports whether a header concerns one connection only, or the
 // length of its body, so that it is not passed on.
-func IsHopByHop(name string) bool { return connectionOnly[strings.ToLower(name)] }
+func IsHopByHop(name string) bool { return notForwarded[strings.ToLower(name)] }
 
-func fieldsOf(resp *fasthttp.Response) []Field {
+func forwardedFields(resp *fasthttp.Response) []Field {
 	var out []Field
 	for name, value := range resp.Header.All() {
 		if n := string(name); !IsHopByHop(n) {
--- a/exchange/options.go
+++ b/exchange/options.go
@@ -12,7 +12,7 @@
 func WithConnectTimeout(d clock.Millis) Option { return func(c *Client) { c.connectTimeout = d } }
 
 // WithMaxReplyBytes bounds the body of a reply.
-func WithMaxReplyBytes(n int) Option { return func(c *Client) { c.replyBytes = n } }
+func WithMaxReplyBytes(n int) Option { return func(c *Client) { c.maxReplyBytes = n } }
 
 // WithClock sets the clock that measures idle times.
 func WithClock(cl clock.Clock) Option { return func(c *Client) { c.clock = cl } }
--- a/exchange/request.go
+++ b/exchange/request.go
@@ -20,10 +20,10 @@
 // Request is what is forwarded. It does not change, so that several attempts
 // can share it.
 type Request struct {
-	id   string
-	head []byte // request line and headers, without the final empty line
-	body []byte
-	bare bool // the reply has no body
+	id          string
+	head        []byte // request line and headers, without the final empty line
+	body        []byte
+	noReplyBody bool // the reply has no body
 }
 
 // Field is one header.
@@ -49,7 +49,7 @@
 	const emptyLine = 2
 	raw = raw[:len(raw)-emptyLine]
 	return &Request{
-		id: id, head: append([]byte(nil), raw...), body: body, bare: method == fasthttp.MethodHead,
+		id: id, head: append([]byte(nil), raw...), body: body, noReplyBody: method == fasthttp.MethodHead,
 	}
 }
 
@@ -65,12 +65,12 @@
 func (r *Request) Body() []byte { return r.body }
 
 // appendTo appends the request as it is sent to one upstream.
-func (r *Request) appendTo(b []byte, h Headers, instance string, left clock.Millis) []byte {
+func (r *Request) appendTo(b []byte, h Headers, upstream string, remaining clock.Millis) []byte {
 	b = append(b, r.head...)
-	b = appendField(b, h.ExpectInstance, instance)
+	b = appendField(b, h.ExpectInstance, upstream)
 	b = append(b, h.DeadlineMs...)
 	b = append(b, ": "...)
-	b = strconv.AppendInt(b, int64(left), 10)
+	b = strconv.AppendInt(b, int64(remaining), 10)
 	b = append(b, "\r\n\r\n"...)
 	return append(b, r.body...)
 }
