--- a/exchange/client.go
+++ b/exchange/client.go
@@ -9,31 +9,32 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Defaults of the options.
+// Defaults of the options, and idle times of connections.
 const (
-	// defaultConnectTimeout is longer than one lost opening packet on the users'
-	// links, and shorter than what patient work can spare.
+	// defaultConnectTimeout bounds connecting. It is longer than the retransmission
+	// of one lost SYN packet takes on the users' links, and shorter than the time
+	// that requests with a long deadline can spare.
 	defaultConnectTimeout = clock.Second
 
-	// defaultMaxReplyBytes bounds the memory that one reply takes.
+	// defaultMaxReplyBytes bounds the body of a reply, and so its memory.
 	defaultMaxReplyBytes = 4 << 20
 
-	// defaultIdleTimeoutMs is how long a kept connection is used again if the upstream
-	// does not state its idle timeout, which is then below a second.
+	// defaultIdleTimeoutMs is how long an idle connection is used again if the upstream
+	// does not state its idle timeout. That is then shorter than a second.
 	defaultIdleTimeoutMs clock.Millis = 700
 
-	// idleMarginMs is kept from a stated idle timeout, so that a request does
-	// not cross the upstream's close.
+	// idleMarginMs is subtracted from a stated idle timeout, so that a request is not
+	// sent while the upstream closes the connection.
 	idleMarginMs clock.Millis = 700
 
-	// closeIdleAfterMs is the age from which an idle connection is closed, and reapEveryMs how
-	// often that is looked at. Upstreams bound the connections of all VMs together,
-	// and a VM that was a carrier once must not hold them for good.
+	// closeIdleAfterMs is the idle time after which a connection is closed, and
+	// idleCheckMs the interval of the check. Upstreams limit the connections of all VMs
+	// together, and a VM that is no longer a carrier must not keep its share.
 	closeIdleAfterMs = 8 * clock.Second
 	idleCheckMs      = clock.Second
 
-	// nonIdempotentIdleMs is how long a kept connection may have been idle to carry a
-	// request that must not repeat.
+	// nonIdempotentIdleMs bounds the idle time of a connection that is used again for
+	// a request that is not idempotent.
 	nonIdempotentIdleMs clock.Millis = 400
 )
 
@@ -44,8 +45,8 @@
 	Address       string
 	Request       *Request
 	RemainingMs   clock.Millis
-	NonIdempotent bool // must not repeat: use a connection that is surely open
-	NeedHeader    bool // the reply's headers are needed
+	NonIdempotent bool // must not be repeated: needs a new or recently used connection
+	NeedHeader    bool // whether the Reply is to hold the headers
 }
 
 // Result reports the end of a call: a Reply, or an Error.
@@ -55,7 +56,7 @@
 	Err     *Error
 }
 
-// Client holds the connections to all upstreams.
+// Client sends calls to upstreams and holds the connections to them.
 type Client struct {
 	headers        Headers
 	report         func(Result)
@@ -63,9 +64,9 @@
 	maxReplyBytes  int
 	clock          clock.Clock
 
-	ctx        context.Context // of the opening of connections
+	ctx        context.Context // cancels connecting
 	cancel     context.CancelFunc
-	exits      chan struct{} // one for each goroutine that has ended; their errors are results
+	exits      chan struct{} // one value for each goroutine that has ended; errors are reported as results
 	mu         sync.Mutex
 	goroutines int
 	upstreams  map[string]*upstreamConns
@@ -80,16 +81,16 @@
 	openConns int
 }
 
-// pendingCall is a call that has not ended.
+// pendingCall is a call without a result yet.
 type pendingCall struct {
 	call    Call
 	conn    *conn
-	cancel  context.CancelFunc // ends the opening of a connection
-	sent    bool
-	written bool // the whole request is written
+	cancel  context.CancelFunc // cancels connecting
+	sent    bool               // a byte of the request may have left
+	written bool               // the whole request is written
 }
 
-// New returns a client that reports results through report, from any goroutine.
+// New returns a Client that passes results to report, from any of its goroutines.
 func New(report func(Result), opts ...Option) *Client {
 	c := &Client{
 		report: report, connectTimeout: defaultConnectTimeout, maxReplyBytes: defaultMaxReplyBytes, clock: clock.NewMonotonic(),
@@ -102,7 +103,8 @@
 	return c
 }
 
-// Run waits until ctx ends, then closes every connection and waits for their goroutines.
+// Run closes idle connections until ctx is cancelled, then closes every connection and
+// waits for all goroutines.
 func (c *Client) Run(ctx context.Context) error {
 	ticker := time.NewTicker(idleCheckMs.Duration())
 	defer ticker.Stop()
@@ -113,7 +115,7 @@
 		case <-ticker.C:
 			c.closeExpired(c.clock.Now())
 		case <-ctx.Done():
-			c.cancel() // a connection that is being opened would hold up the end
+			c.cancel() // otherwise pending connects would delay the return
 			c.closeAll()
 			for c.runningGoroutines() > 0 {
 				<-c.exits
@@ -147,7 +149,7 @@
 	}
 }
 
-// closeExpired closes connections that have been idle for long.
+// closeExpired closes the connections whose idle time has exceeded its limit.
 func (c *Client) closeExpired(now clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +167,7 @@
 	}
 }
 
-// startGoroutine runs f in a goroutine whose end Run reads. The caller holds c.mu.
+// startGoroutine runs f in a goroutine that Run waits for. The caller holds c.mu.
 func (c *Client) startGoroutine(f func()) {
 	c.goroutines++
 	go func() {
@@ -183,7 +185,7 @@
 	return u
 }
 
-// Send starts a call. Its result is reported later.
+// Send starts a call. Its result is reported later, unless it is cancelled.
 func (c *Client) Send(call Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,8 +210,8 @@
 	}
 }
 
-// Cancel ends a call without a result. Its connection is closed, which tells
-// the upstream to stop.
+// Cancel ends a call without reporting a result. Its connection is closed, so that the
+// upstream can stop working on it.
 func (c *Client) Cancel(attempt uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -228,7 +230,8 @@
 	}
 }
 
-// CloseIdle closes the idle connections to an upstream that is gone.
+// CloseIdle closes the idle connections to an upstream that was removed. Busy ones are
+// closed after their reply.
 func (c *Client) CloseIdle(upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -238,8 +241,8 @@
 	}
 }
 
-// takeIdle removes the most recently used connection that is still good from the
-// idle ones. Older ones are closed.
+// takeIdle removes and returns the most recently used idle connection that is usable.
+// Unusable ones that it meets are closed.
 func (u *upstreamConns) takeIdle(now clock.Millis, nonIdempotent bool) *conn {
 	for len(u.idle) > 0 {
 		cn := u.idle[len(u.idle)-1]
@@ -268,7 +271,7 @@
 	}
 }
 
-// dial opens a connection, and sends j on it unless j is nil. The caller holds c.mu.
+// dial opens a connection, and sends p on it unless p is nil. The caller holds c.mu.
 func (c *Client) dial(u *upstreamConns, p *pendingCall) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.connectTimeout.Duration())
 	if p != nil {
@@ -305,14 +308,15 @@
 	c.mu.Unlock()
 }
 
-// maxInlineBytes is the size up to which a request is written by the caller's own
-// goroutine: the socket takes it whole, because only one request is open on it.
+// maxInlineBytes is the size up to which a request is written without starting a
+// goroutine. The write does not block, because a connection carries one request at a
+// time, and its empty socket buffer takes the whole request.
 const maxInlineBytes = 8 << 10
 
-// writeTimeout bounds the writing of a large body.
+// writeTimeout bounds the write of a request that is larger than maxInlineBytes.
 const writeTimeout = 10 * time.Second
 
-// write sends the request of j. The caller holds c.mu.
+// write sends the request of p. The caller holds c.mu.
 func (c *Client) write(cn *conn, p *pendingCall) {
 	b := p.call.Request.appendTo(nil, c.headers, p.call.Upstream, p.call.RemainingMs)
 	p.sent = true
@@ -330,8 +334,8 @@
 	})
 }
 
-// finishWrite notes the end of a write. A failed one closes the connection, and the
-// reader reports it. The caller holds c.mu.
+// finishWrite records the outcome of a write. After a failure it closes the connection,
+// and the reading goroutine reports the failure. The caller holds c.mu.
 func (c *Client) finishWrite(cn *conn, p *pendingCall, n int, err error) {
 	if err == nil {
 		p.written = true
@@ -343,7 +347,7 @@
 	_ = cn.nc.Close()
 }
 
-// finish reports the result of a job once, unless it was cancelled.
+// finish reports the result of a call once, unless the call was cancelled.
 func (c *Client) finish(p *pendingCall, r Result) {
 	c.mu.Lock()
 	pending := c.calls[p.call.Attempt] == p
--- a/exchange/client_test.go
+++ b/exchange/client_test.go
@@ -13,12 +13,12 @@
 	"lentillink.example/lentillink/exchange"
 )
 
-// waitLimit bounds every wait; no figure depends on it.
+// waitLimit bounds every wait. No assertion depends on its value.
 const waitLimit = 20 * time.Second
 
 var headers = exchange.Headers{RequestID: "Request", DeadlineMs: "Deadline", ExpectInstance: "Instance", Receipt: "Receipt", NotRun: "Not-Run"}
 
-// fixture is a client and an upstream that counts its connections.
+// fixture is a Client and an upstream server that counts its connections.
 type fixture struct {
 	client      *exchange.Client
 	clock       *clock.Manual
@@ -88,9 +88,9 @@
 	_, _ = w.Write([]byte("body"))
 }
 
-// TestConnectionReuseAndIdleClose guards against a connection for each request, and against
-// connections that a VM keeps although it has no more work: upstreams bound
-// those of all VMs together.
+// TestConnectionReuseAndIdleClose guards against a new connection for each
+// request, and against idle connections that are never closed: upstreams limit the
+// connections of all VMs together.
 func TestConnectionReuseAndIdleClose(t *testing.T) {
 	f := newFixture(t, answer)
 	for range 10 {
@@ -105,8 +105,8 @@
 	await(t, "idle connection closed", func() bool { return f.openConns.Load() == 0 })
 }
 
-// TestNonIdempotentUsesRecentConnection guards against a request that must not repeat on a connection that
-// the upstream may be about to close.
+// TestNonIdempotentUsesRecentConnection guards against sending a request that is not
+// idempotent on a connection that the upstream may be about to close.
 func TestNonIdempotentUsesRecentConnection(t *testing.T) {
 	f := newFixture(t, answer)
 	f.call(t, false)
@@ -122,7 +122,8 @@
 	}
 }
 
-// TestCancelStopsUpstreamWork guards against work that goes on at the upstream after its attempt was cancelled.
+// TestCancelStopsUpstreamWork guards against an upstream that goes on working on a
+// cancelled request, because its connection stays open.
 func TestCancelStopsUpstreamWork(t *testing.T) {
 	started, cancelled := make(chan struct{}, 1), make(chan struct{}, 1)
 	f := newFixture(t, func(_ http.ResponseWriter, req *http.Request) {
@@ -140,7 +141,8 @@
 	}
 }
 
-// TestRefusedConnectionNotSent guards against a refused connection that counts as sent.
+// TestRefusedConnectionNotSent guards against a request that is reported as possibly
+// sent, although its connection was refused.
 func TestRefusedConnectionNotSent(t *testing.T) {
 	f := newFixture(t, answer)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -23,14 +23,14 @@
 	errBadReply     = errors.New("reply ended early")
 )
 
-// Reply is a whole reply.
+// Reply is a complete reply of an upstream.
 type Reply struct {
 	Status    int
 	Receipt   string
 	Body      []byte
 	NotRun    bool
 	CloseConn bool    // the upstream closes the connection
-	Fields    []Field // headers that concern more than one connection
+	Fields    []Field // headers that are forwarded; set if the call asked for them
 }
 
 // conn is one connection to an upstream.
@@ -40,9 +40,11 @@
 	nc         net.Conn
 	pending    *pendingCall // nil while idle
 	lastUsedAt clock.Millis
-	maxIdleMs  clock.Millis // how long it may be idle
+	maxIdleMs  clock.Millis // how long the connection may be idle and is used again
 }
 
+// usable reports whether an idle connection may carry a request. For a request that is
+// not idempotent it must have been used recently and still be open.
 func (cn *conn) usable(now clock.Millis, nonIdempotent bool) bool {
 	idle := now - cn.lastUsedAt
 	if nonIdempotent {
@@ -51,7 +53,7 @@
 	return idle < cn.maxIdleMs
 }
 
-// read reads replies until the connection ends.
+// read reads replies until the connection is closed.
 func (cn *conn) read() {
 	br := bufio.NewReaderSize(cn.nc, readBufferBytes)
 	var resp fasthttp.Response
@@ -80,13 +82,13 @@
 	return cn.pending
 }
 
-// close ends the connection, and the job that is open on it.
+// close closes the connection and reports the failure of the call that is pending on it.
 func (cn *conn) close(p *pendingCall, reason, cause error) {
 	c := cn.client
 	_ = cn.nc.Close()
 	c.mu.Lock()
 	if p == nil {
-		p = cn.pending // taken between the last read and now
+		p = cn.pending // set after the last check in read
 	}
 	cn.pending = nil
 	cn.conns.openConns--
@@ -111,7 +113,7 @@
 	c.finish(p, Result{Attempt: p.call.Attempt, Err: &Error{op: "read", kind: kind, err: err}})
 }
 
-// deliver checks and reports a reply. It returns whether the connection stays open.
+// deliver checks a reply and reports it. It returns whether the connection stays open.
 func (cn *conn) deliver(p *pendingCall, resp *fasthttp.Response, buffered int) bool {
 	c := cn.client
 	if id := string(resp.Header.Peek(c.headers.RequestID)); id != "" && id != p.call.Request.id {
@@ -128,7 +130,7 @@
 	if p.call.NeedHeader {
 		reply.Fields = forwardedFields(resp)
 	}
-	const noLength = -2 // fasthttp's mark of a body that ends with its connection
+	const noLength = -2 // fasthttp's value for a body that ends with the connection
 	keepOpen := !reply.CloseConn && buffered == 0 && (resp.Header.ContentLength() > noLength || resp.SkipBody)
 	c.mu.Lock()
 	keepOpen = keepOpen && p.written && c.upstreams[cn.conns.id] == cn.conns
@@ -148,7 +150,8 @@
 	return keepOpen
 }
 
-// parseIdleTimeout reads the idle timeout of a Keep-Alive header.
+// parseIdleTimeout returns the idle timeout that a Keep-Alive header states, less
+// idleMarginMs, or else defaultIdleTimeoutMs.
 func parseIdleTimeout(value string) clock.Millis {
 	for _, param := range strings.Split(value, ",") {
 		name, seconds, ok := strings.Cut(strings.TrimSpace(param), "=")
@@ -162,14 +165,14 @@
 	return defaultIdleTimeoutMs
 }
 
-// notForwarded are the headers that concern one connection.
+// notForwarded holds the hop-by-hop headers, and Content-Length, in lower case.
 var notForwarded = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "proxy-authenticate": true, "te": true,
 	"trailer": true, "transfer-encoding": true, "upgrade": true, "proxy-authorization": true, "content-length": true,
 }
 
-// IsHopByHop reports whether a header concerns one connection only, or the
-// length of its body, so that it is not passed on.
+// IsHopByHop reports whether a header applies to a single connection, or states the
+// length of the body, so that it is not forwarded.
 func IsHopByHop(name string) bool { return notForwarded[strings.ToLower(name)] }
 
 func forwardedFields(resp *fasthttp.Response) []Field {
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,8 +1,8 @@
-// Package exchange sends requests to upstreams over kept HTTP/1.1 connections
-// and reports how each ended.
+// Package exchange sends requests to upstreams over persistent HTTP/1.1
+// connections and reports the result of each.
 //
-// Every connection has one reader that always reads, so that a connection that
-// the upstream closes, or on which bytes arrive that nobody asked for, is never
-// used again. A reply counts only if it is whole and answers the request that
-// is open on its connection.
+// A goroutine reads from every connection, also while it is idle. A connection
+// that the upstream closes, or on which unexpected bytes arrive, is therefore
+// never used again. A reply is accepted only if it is complete and belongs to
+// the request that is pending on its connection.
 package exchange
--- a/exchange/error.go
+++ b/exchange/error.go
@@ -2,17 +2,18 @@
 
 import "fmt"
 
-// Kind says how an exchange failed.
+// Kind classifies the failure of a call.
 type Kind uint8
 
-// KindNotSent and KindDial prove that no byte of the request left.
+// The kinds of failures. KindNotSent and KindDial guarantee that no byte of the request
+// was sent.
 const (
 	KindNotSent      Kind = iota // the connection was closed before the first byte
 	KindDial                     // no connection could be opened
 	KindBroken                   // the connection broke before a reply began
 	KindTruncated                // the reply ended early
 	KindWrongRequest             // the reply belongs to another request
-	KindInvalid                  // the bytes are no reply
+	KindInvalid                  // the reply is not valid HTTP, or is too large
 )
 
 var kindNames = [...]string{"not_sent", "dial", "broken", "cut", "foreign", "invalid"}
@@ -25,10 +26,10 @@
 	return "unknown"
 }
 
-// MaybeSent reports whether a byte of the request may have left.
+// MaybeSent reports whether a byte of the request may have been sent.
 func (k Kind) MaybeSent() bool { return k > KindDial }
 
-// Error reports an exchange without a whole reply.
+// Error reports a call that ended without a complete reply.
 type Error struct {
 	op   string
 	kind Kind
--- a/exchange/options.go
+++ b/exchange/options.go
@@ -5,13 +5,13 @@
 // Option configures a Client.
 type Option func(*Client)
 
-// WithHeaders names the headers that are exchanged with upstreams.
+// WithHeaders sets the names of the headers that are exchanged with upstreams.
 func WithHeaders(h Headers) Option { return func(c *Client) { c.headers = h } }
 
-// WithConnectTimeout bounds the opening of a connection.
+// WithConnectTimeout bounds the time to open a connection.
 func WithConnectTimeout(d clock.Millis) Option { return func(c *Client) { c.connectTimeout = d } }
 
-// WithMaxReplyBytes bounds the body of a reply.
+// WithMaxReplyBytes bounds the size of a reply's body.
 func WithMaxReplyBytes(n int) Option { return func(c *Client) { c.maxReplyBytes = n } }
 
 // WithClock sets the clock that measures idle times.
--- a/exchange/request.go
+++ b/exchange/request.go
@@ -8,17 +8,17 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Headers names the headers that upstreams and this VM exchange.
+// Headers holds the names of the headers that upstreams and this VM exchange.
 type Headers struct {
 	RequestID      string // echoed in the reply
-	DeadlineMs     string // how long the upstream may work
-	ExpectInstance string // the upstream that is meant
-	Receipt        string // proves who answered which request
-	NotRun         string // present if the request was not run
+	DeadlineMs     string // remaining time in milliseconds
+	ExpectInstance string // ID of the upstream that must handle the request
+	Receipt        string // identifies the upstream and the request that it answered
+	NotRun         string // present if the upstream did not execute the request
 }
 
-// Request is what is forwarded. It does not change, so that several attempts
-// can share it.
+// Request is a request to forward. It is immutable, so that several attempts can share
+// it.
 type Request struct {
 	id          string
 	head        []byte // request line and headers, without the final empty line
@@ -26,11 +26,11 @@
 	noReplyBody bool // the reply has no body
 }
 
-// Field is one header.
+// Field is a header field.
 type Field struct{ Name, Value string }
 
-// NewRequest returns a request. The URI is sent as it is given. fields must
-// hold neither headers of one connection nor those that this VM sets itself.
+// NewRequest returns a request. The URI is sent unchanged. fields must hold neither
+// hop-by-hop headers nor headers that this VM sets itself.
 func NewRequest(h Headers, method, uri, host, id string, fields []Field, body []byte) *Request {
 	var head fasthttp.RequestHeader
 	head.DisableNormalizing()
@@ -53,18 +53,19 @@
 	}
 }
 
-// NewDelegatedRequest returns a request that another VM has prepared with NewRequest.
+// NewDelegatedRequest returns a request that another VM built with NewRequest and
+// delegated to this one.
 func NewDelegatedRequest(id string, head, body []byte) *Request {
 	return &Request{id: id, head: head, body: body}
 }
 
-// Head returns the request line and the headers. The caller must not change it.
+// Head returns the request line and the headers. The caller must not modify them.
 func (r *Request) Head() []byte { return r.head }
 
-// Body returns the body. The caller must not change it.
+// Body returns the body. The caller must not modify it.
 func (r *Request) Body() []byte { return r.body }
 
-// appendTo appends the request as it is sent to one upstream.
+// appendTo appends the wire form of the request for one upstream to b.
 func (r *Request) appendTo(b []byte, h Headers, upstream string, remaining clock.Millis) []byte {
 	b = append(b, r.head...)
 	b = appendField(b, h.ExpectInstance, upstream)
