--- a/exchange/client_test.go
+++ b/exchange/client_test.go
@@ -76,7 +76,7 @@
 	t.Helper()
 	for end := time.Now().Add(waitLimit); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %s", what, waitLimit)
+			t.Fatalf("%s: condition not met within %s", what, waitLimit)
 		}
 	}
 }
@@ -133,9 +133,9 @@
 	})
 	req := exchange.NewRequest(headers, http.MethodGet, "/p", "h", "id", nil, nil)
 	f.client.Send(exchange.Call{Attempt: 1, Upstream: "u", Address: f.address, Request: req, RemainingMs: 100})
-	await(t, "begun", func() bool { return len(started) == 1 })
+	await(t, "request started at the upstream", func() bool { return len(started) == 1 })
 	f.client.Cancel(1)
-	await(t, "ended", func() bool { return len(cancelled) == 1 })
+	await(t, "request cancelled at the upstream", func() bool { return len(cancelled) == 1 })
 	if got := len(f.results); got != 0 {
 		t.Errorf("got %d results after the cancel, want none", got)
 	}
@@ -154,6 +154,6 @@
 		t.Fatal(err)
 	}
 	if res := f.call(t, false); res.Err == nil || res.Err.Kind() != exchange.KindDial || res.Err.Kind().MaybeSent() {
-		t.Errorf("got %v, want a dial failure that proves that nothing was sent", res.Err)
+		t.Errorf("got %v, want KindDial, without a byte sent", res.Err)
 	}
 }
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -18,9 +18,9 @@
 const readBufferBytes = 4 << 10
 
 var (
-	errWrongRequest = errors.New("reply carries another request's identifier")
-	errNoReply      = errors.New("connection ended before a reply")
-	errBadReply     = errors.New("reply ended early")
+	errWrongRequest = errors.New("reply has the ID of another request")
+	errNoReply      = errors.New("connection closed before a reply")
+	errBadReply     = errors.New("reply is incomplete or invalid")
 )
 
 // Reply is a complete reply of an upstream.
