--- a/socket/dialer.go
+++ b/socket/dialer.go
@@ -9,31 +9,31 @@
 // Limits of silence. A connection that is silent for about two seconds has
 // lost its peer: the users' links take a few milliseconds.
 const (
-	probeIdle     = time.Second
-	probeInterval = time.Second
-	probeCount    = 2
-	userTimeout   = 2 * time.Second
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	userTimeout       = 2 * time.Second
 )
 
 // Dialer returns a dialer whose connections notice a silent peer.
 func Dialer() *net.Dialer {
-	return &net.Dialer{KeepAliveConfig: keepAlive(), Control: control}
+	return &net.Dialer{KeepAliveConfig: keepAlive(), Control: setOptions}
 }
 
 // ListenConfig returns a listener configuration whose connections notice a silent peer.
 func ListenConfig() *net.ListenConfig {
-	return &net.ListenConfig{KeepAliveConfig: keepAlive(), Control: control}
+	return &net.ListenConfig{KeepAliveConfig: keepAlive(), Control: setOptions}
 }
 
 func keepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-func control(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(fd uintptr) { failed = setUserTimeout(int(fd), userTimeout) })
+func setOptions(_, _ string, raw syscall.RawConn) error {
+	var optErr error
+	err := raw.Control(func(fd uintptr) { optErr = setUserTimeout(int(fd), userTimeout) })
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
--- a/socket/option_other.go
+++ b/socket/option_other.go
@@ -11,5 +11,5 @@
 // probes still find a silent peer.
 func setUserTimeout(int, time.Duration) error { return nil }
 
-// roundTripUs is not known where the option does not exist.
-func roundTripUs(int) (uint32, error) { return 0, errors.ErrUnsupported }
+// roundTripTimeUs is not known where the option does not exist.
+func roundTripTimeUs(int) (uint32, error) { return 0, errors.ErrUnsupported }
--- a/socket/roundtrip.go
+++ b/socket/roundtrip.go
@@ -22,8 +22,8 @@
 		return 0, false
 	}
 	var us uint32
-	var failed error
-	if err := raw.Control(func(fd uintptr) { us, failed = roundTripUs(int(fd)) }); err != nil || failed != nil || us == 0 {
+	var optErr error
+	if err := raw.Control(func(fd uintptr) { us, optErr = roundTripTimeUs(int(fd)) }); err != nil || optErr != nil || us == 0 {
 		return 0, false
 	}
 	return clock.Millis((us + usPerMs - 1) / usPerMs), true
