--- a/socket/dialer.go
+++ b/socket/dialer.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Limits of silence. A connection that is silent for about two seconds has
-// lost its peer: the users' links take a few milliseconds.
+// Limits of unresponsive connections. If a peer does not respond for about two
+// seconds, the connection is broken: the round-trip time of the users' links is a few
+// milliseconds.
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
@@ -15,12 +16,13 @@
 	userTimeout       = 2 * time.Second
 )
 
-// Dialer returns a dialer whose connections notice a silent peer.
+// Dialer returns a dialer whose connections fail when the peer becomes unresponsive.
 func Dialer() *net.Dialer {
 	return &net.Dialer{KeepAliveConfig: keepAlive(), Control: setOptions}
 }
 
-// ListenConfig returns a listener configuration whose connections notice a silent peer.
+// ListenConfig returns a listener configuration whose connections fail when the peer
+// becomes unresponsive.
 func ListenConfig() *net.ListenConfig {
 	return &net.ListenConfig{KeepAliveConfig: keepAlive(), Control: setOptions}
 }
--- a/socket/doc.go
+++ b/socket/doc.go
@@ -1,4 +1,5 @@
-// Package socket sets the options of TCP connections on which a peer can fall
-// silent without a reset: keep-alive probes find a silent peer on an idle
-// connection, and a user timeout finds one that does not acknowledge.
+// Package socket sets the options of TCP connections that detect a peer which
+// becomes unresponsive without a reset: keep-alive probes detect it on an idle
+// connection, and the TCP user timeout on one with unacknowledged data. It also
+// reads the kernel's estimate of the round-trip time.
 package socket
--- a/socket/option_linux.go
+++ b/socket/option_linux.go
@@ -10,7 +10,7 @@
 	return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 }
 
-// roundTripTimeUs returns the kernel's estimate of the way to the peer and back, in microseconds.
+// roundTripTimeUs returns the kernel's estimate of the round-trip time in microseconds.
 func roundTripTimeUs(fd int) (uint32, error) {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
--- a/socket/option_other.go
+++ b/socket/option_other.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// setUserTimeout does nothing where the option does not exist; keep-alive
-// probes still find a silent peer.
+// setUserTimeout does nothing on systems without the option. Keep-alive probes still
+// detect an unresponsive peer.
 func setUserTimeout(int, time.Duration) error { return nil }
 
-// roundTripTimeUs is not known where the option does not exist.
+// roundTripTimeUs returns an error on systems without the option.
 func roundTripTimeUs(int) (uint32, error) { return 0, errors.ErrUnsupported }
--- a/socket/roundtrip.go
+++ b/socket/roundtrip.go
@@ -7,11 +7,10 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// usPerMs is how many microseconds a millisecond has.
 const usPerMs = 1000
 
-// RoundTripTime returns how long the way to the peer of a TCP connection and back
-// takes, rounded up. It returns false if the system has no estimate.
+// RoundTripTime returns the kernel's estimate of the round-trip time of a TCP
+// connection, rounded up. It returns false if there is no estimate.
 func RoundTripTime(nc net.Conn) (clock.Millis, bool) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
--- a/socket/roundtrip_test.go
+++ b/socket/roundtrip_test.go
@@ -8,9 +8,10 @@
 	"lentillink.example/lentillink/socket"
 )
 
-// TestRoundTrip guards against an estimate in the wrong unit, which would leave
-// requests no time or answer them late.
-func TestRoundTrip(t *testing.T) {
+// TestRoundTripTime guards against an estimate in the wrong unit. Since it is subtracted
+// from the time for a request, one that is too large leaves no time, and one that is
+// too small makes answers late.
+func TestRoundTripTime(t *testing.T) {
 	lis, err := socket.ListenConfig().Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +35,7 @@
 		t.Fatal("got no connection")
 	}
 	defer func() { _ = server.Close() }()
-	// A way within the machine takes far less than a second even under load.
+	// A round trip on the loopback interface takes far less than a second, even under load.
 	if got, ok := socket.RoundTripTime(server); ok && (got < 1 || got > 1000) {
 		t.Errorf("got a round trip of %d ms, want 1 to 1000", got)
 	}
