--- a/upstream/view.go
+++ b/upstream/accessors.go
@@ -21,18 +21,18 @@
 func (b *Balancer) HedgeDelay(_ clock.Millis, id ID) clock.Millis {
 	s := b.byID[id]
 	if s == nil {
-		return max(defaultLatencyMs, b.floorMs)
+		return max(defaultLatencyMs, b.minHedgeMs)
 	}
 	best := 0.0
-	for _, o := range s.group.upstreams {
-		if o.latency.known() && (best == 0 || o.latency.hedge < best) {
-			best = o.latency.hedge
+	for _, replica := range s.group.upstreams {
+		if replica.latency.hasEnoughSamples() && (best == 0 || replica.latency.hedgeDelay < best) {
+			best = replica.latency.hedgeDelay
 		}
 	}
 	if best == 0 {
 		best = s.service.hedgeMs()
 	}
-	return max(clock.Millis(math.Ceil(best)), b.floorMs)
+	return max(clock.Millis(math.Ceil(best)), b.minHedgeMs)
 }
 
 // LatencyP95 returns the p95 latency of the service's attempts.
@@ -41,7 +41,7 @@
 	if svc == nil {
 		return defaultLatencyMs
 	}
-	return clock.Millis(math.Ceil(svc.typicalMs()))
+	return clock.Millis(math.Ceil(svc.p95Ms()))
 }
 
 // CommonVersion returns the newest version that at least one usable upstream of
@@ -51,9 +51,9 @@
 	if svc == nil {
 		return 0, false
 	}
-	seen, known := svc.versions()
-	for _, v := range seen {
-		if groups, _ := svc.holders(v); groups == known && v > version {
+	versions, knownGroups := svc.versions()
+	for _, v := range versions {
+		if groups, _ := svc.countHolders(v); groups == knownGroups && v > version {
 			version = v
 		}
 	}
@@ -69,33 +69,33 @@
 // at once would send all work to the first upstreams that load it, with half
 // the capacity of their groups; without the time limit one upstream that never
 // loads it would keep the whole service on an old snapshot.
-func (b *Balancer) BestVersion(now clock.Millis, service string) (version uint64, holds, known int) {
+func (b *Balancer) BestVersion(now clock.Millis, service string) (version uint64, holdingGroups, knownGroups int) {
 	svc := b.services[service]
 	if svc == nil {
 		return 0, 0, 0
 	}
-	seen, known := svc.versions()
-	if v := svc.settled(now); v != 0 {
-		if groups, _ := svc.holders(v); groups == known {
-			return v, groups, known
+	versions, knownGroups := svc.versions()
+	if v := svc.settledVersion(now); v != 0 {
+		if groups, _ := svc.countHolders(v); groups == knownGroups {
+			return v, groups, knownGroups
 		}
 	}
-	most := 0
-	for _, v := range seen {
-		groups, upstreams := svc.holders(v)
-		better := cmp.Or(cmp.Compare(groups, holds), cmp.Compare(upstreams, most), cmp.Compare(v, version))
+	mostUpstreams := 0
+	for _, v := range versions {
+		groups, upstreams := svc.countHolders(v)
+		better := cmp.Or(cmp.Compare(groups, holdingGroups), cmp.Compare(upstreams, mostUpstreams), cmp.Compare(v, version))
 		if better > 0 {
-			version, holds, most = v, groups, upstreams
+			version, holdingGroups, mostUpstreams = v, groups, upstreams
 		}
 	}
-	return version, holds, known
+	return version, holdingGroups, knownGroups
 }
 
-// settled returns the newest version that every group has held for settleMs, or 0.
-func (s *service) settled(now clock.Millis) uint64 {
+// settledVersion returns the newest version that every group has held for settleMs, or 0.
+func (s *service) settledVersion(now clock.Millis) uint64 {
 	var newest uint64
-	for _, c := range s.common {
-		if now >= c.since+settleMs {
+	for _, c := range s.commonVersions {
+		if now >= c.since+versionSettleMs {
 			newest = max(newest, c.version)
 		}
 	}
@@ -108,16 +108,16 @@
 	if svc == nil {
 		return 0
 	}
-	groups, _ := svc.holders(version)
+	groups, _ := svc.countHolders(version)
 	return groups
 }
 
 // MayHold reports whether some usable upstream of the group holds the version
 // or has not said what it holds.
 func (b *Balancer) MayHold(service, group string, version uint64) bool {
-	g := b.find(service, group)
-	return g != nil && slices.ContainsFunc(g.upstreams, func(s *state) bool {
-		return s.usable() && (len(s.held) == 0 || slices.Contains(s.held, version))
+	g := b.findGroup(service, group)
+	return g != nil && slices.ContainsFunc(g.upstreams, func(s *upstreamState) bool {
+		return s.usable() && (len(s.heldVersions) == 0 || slices.Contains(s.heldVersions, version))
 	})
 }
 
@@ -127,7 +127,7 @@
 	if s == nil {
 		return nil, 0
 	}
-	return slices.Clone(s.held), s.heldAt
+	return slices.Clone(s.heldVersions), s.heldVersionsAt
 }
 
 // Outstanding returns the number of this VM's open attempts on the upstream.
@@ -149,8 +149,8 @@
 			list = append(list, Avoided{ID: s.id, Reason: "dead", Until: s.retryAt})
 		case now < s.retryAt:
 			list = append(list, Avoided{ID: s.id, Reason: "shedding", Until: s.retryAt})
-		case s.ramping && now < s.rampFrom+b.rampMs:
-			list = append(list, Avoided{ID: s.id, Reason: "ramping", Until: s.rampFrom + b.rampMs})
+		case s.ramping && now < s.rampStart+b.rampMs:
+			list = append(list, Avoided{ID: s.id, Reason: "ramping", Until: s.rampStart + b.rampMs})
 		}
 	}
 	slices.SortFunc(list, func(x, y Avoided) int {
@@ -162,56 +162,56 @@
 	return list
 }
 
-func (b *Balancer) find(svc, grp string) *group {
+func (b *Balancer) findGroup(svc, grp string) *group {
 	if s := b.services[svc]; s != nil {
 		return s.byName[grp]
 	}
 	return nil
 }
 
-func (s *service) typicalMs() float64 {
-	if !s.latency.known() {
+func (s *service) p95Ms() float64 {
+	if !s.latency.hasEnoughSamples() {
 		return defaultLatencyMs
 	}
 	return s.latency.p95
 }
 
 func (s *service) hedgeMs() float64 {
-	if !s.latency.known() {
+	if !s.latency.hasEnoughSamples() {
 		return defaultLatencyMs
 	}
-	return s.latency.hedge
+	return s.latency.hedgeDelay
 }
 
 // versions returns the versions that usable upstreams hold and the number of
 // groups that have any.
-func (s *service) versions() (seen []uint64, known int) {
+func (s *service) versions() (seen []uint64, knownGroups int) {
 	for _, g := range s.groups {
-		has := false
+		anyKnown := false
 		for _, u := range g.upstreams {
 			if !u.usable() {
 				continue
 			}
-			has = has || len(u.held) > 0
-			for _, v := range u.held {
+			anyKnown = anyKnown || len(u.heldVersions) > 0
+			for _, v := range u.heldVersions {
 				if !slices.Contains(seen, v) {
 					seen = append(seen, v)
 				}
 			}
 		}
-		if has {
-			known++
+		if anyKnown {
+			knownGroups++
 		}
 	}
-	return seen, known
+	return seen, knownGroups
 }
 
-// holders counts the groups and the usable upstreams that hold the version.
-func (s *service) holders(version uint64) (groups, upstreams int) {
+// countHolders counts the groups and the usable upstreams that hold the version.
+func (s *service) countHolders(version uint64) (groups, upstreams int) {
 	for _, g := range s.groups {
 		before := upstreams
 		for _, u := range g.upstreams {
-			if u.usable() && slices.Contains(u.held, version) {
+			if u.usable() && slices.Contains(u.heldVersions, version) {
 				upstreams++
 			}
 		}
@@ -222,4 +222,4 @@
 	return groups, upstreams
 }
 
-func (s *state) usable() bool { return !s.leaving && !s.dead }
+func (s *upstreamState) usable() bool { return !s.leaving && !s.dead }
--- a/upstream/book_test.go
+++ b/upstream/balancer_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	one = upstream.ID("s/g/1")
-	two = upstream.ID("s/g/2")
+	replica1 = upstream.ID("s/g/1")
+	replica2 = upstream.ID("s/g/2")
 )
 
-func newBook() *upstream.Balancer {
+func newBalancer() *upstream.Balancer {
 	return upstream.New(upstream.WithSeed(1), upstream.WithUpstreams([]upstream.Upstream{
-		{ID: one, Service: "s", Group: "g"}, {ID: two, Service: "s", Group: "g"},
+		{ID: replica1, Service: "s", Group: "g"}, {ID: replica2, Service: "s", Group: "g"},
 		{ID: "s/h/1", Service: "s", Group: "h"},
 	}))
 }
@@ -29,8 +29,8 @@
 	return attempt.Reply{Status: attempt.OK, ServiceMs: ms, HeldVersions: held}
 }
 
-// share returns the percentage of picks that choose id.
-func share(b *upstream.Balancer, now clock.Millis, id upstream.ID) int {
+// pickPercent returns the percentage of picks that choose id.
+func pickPercent(b *upstream.Balancer, now clock.Millis, id upstream.ID) int {
 	n := 0
 	for range 1000 {
 		if got, _ := b.Pick(now, "s", "g", nil); got == id {
@@ -49,56 +49,56 @@
 		min, max int // percent of the picks for the first replica
 	}{
 		{"healthy", func(*upstream.Balancer) {}, 100, 40, 60},
-		{"leaving", func(b *upstream.Balancer) { b.MarkLeaving(0, one) }, clock.Hour, 0, 0},
-		{"leaving by reply", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.OK, Leaving: true}) }, clock.Hour, 0, 0},
+		{"leaving", func(b *upstream.Balancer) { b.MarkLeaving(0, replica1) }, clock.Hour, 0, 0},
+		{"leaving by reply", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.OK, Leaving: true}) }, clock.Hour, 0, 0},
 		{"old reply after leaving", func(b *upstream.Balancer) {
-			b.RecordSent(0, one)
-			b.MarkLeaving(20, one)
-			b.RecordReply(25, one, ok(25))
+			b.RecordSent(0, replica1)
+			b.MarkLeaving(20, replica1)
+			b.RecordReply(25, replica1, ok(25))
 		}, clock.Hour, 0, 0},
 		{"reply to a later attempt", func(b *upstream.Balancer) {
-			b.MarkLeaving(20, one)
-			observe(b, 50, one, ok(25))
+			b.MarkLeaving(20, replica1)
+			observe(b, 50, replica1, ok(25))
 		}, clock.Hour, 40, 100},
 		{"back", func(b *upstream.Balancer) {
-			b.MarkLeaving(0, one)
-			b.MarkAvailable(1000, one)
+			b.MarkLeaving(0, replica1)
+			b.MarkAvailable(1000, replica1)
 		}, 1000, 2, 15},
 		{"back and ramped", func(b *upstream.Balancer) {
-			b.MarkLeaving(0, one)
-			b.MarkAvailable(1000, one)
+			b.MarkLeaving(0, replica1)
+			b.MarkAvailable(1000, replica1)
 		}, 7000, 40, 60},
-		{"refused", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused}) }, 200, 0, 0},
-		{"one failure", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.Failed}) }, 200, 40, 60},
-		{"due for a trial", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused}) }, 300, 100, 100},
+		{"refused", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.ConnRefused}) }, 200, 0, 0},
+		{"one failure", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.Failed}) }, 200, 40, 60},
+		{"due for a trial", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.ConnRefused}) }, 300, 100, 100},
 		{"trial in flight", func(b *upstream.Balancer) {
-			observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused})
-			b.RecordSent(300, one)
+			observe(b, 0, replica1, attempt.Reply{Status: attempt.ConnRefused})
+			b.RecordSent(300, replica1)
 		}, 300, 0, 0},
-		{"shedding", func(b *upstream.Balancer) { observe(b, 0, one, attempt.Reply{Status: attempt.Shed}) }, 20, 0, 0},
+		{"shedding", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.Shed}) }, 20, 0, 0},
 		{"slow", func(b *upstream.Balancer) {
-			observe(b, 0, one, ok(80))
-			observe(b, 0, two, ok(8))
+			observe(b, 0, replica1, ok(80))
+			observe(b, 0, replica2, ok(8))
 		}, 10, 0, 0},
 		{"slow long ago", func(b *upstream.Balancer) {
-			observe(b, 0, one, ok(80))
-			observe(b, 0, two, ok(8))
+			observe(b, 0, replica1, ok(80))
+			observe(b, 0, replica2, ok(8))
 			for range 2 {
-				b.RecordSent(0, two)
+				b.RecordSent(0, replica2)
 			}
 		}, clock.Minute, 100, 100},
 		{"abandoned while slow", func(b *upstream.Balancer) {
-			observe(b, 0, one, ok(8))
-			observe(b, 0, two, ok(8))
-			b.RecordSent(0, one)
-			b.RecordAbandoned(30, one, 30)
+			observe(b, 0, replica1, ok(8))
+			observe(b, 0, replica2, ok(8))
+			b.RecordSent(0, replica1)
+			b.RecordAbandoned(30, replica1, 30)
 		}, 30, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBook()
+			b := newBalancer()
 			tt.prepare(b)
-			if got := share(b, tt.now, one); got < tt.min || got > tt.max {
+			if got := pickPercent(b, tt.now, replica1); got < tt.min || got > tt.max {
 				t.Errorf("%d%% of picks, want %d to %d", got, tt.min, tt.max)
 			}
 		})
@@ -108,16 +108,16 @@
 // TestPickLastResort guards against a group given up while a dead replica could be tried, and
 // against work for a leaving one.
 func TestPickLastResort(t *testing.T) {
-	b := newBook()
-	b.MarkLeaving(0, two)
-	observe(b, 0, one, attempt.Reply{Status: attempt.ConnRefused})
-	if got, found := b.Pick(1, "s", "g", nil); !found || got != one {
+	b := newBalancer()
+	b.MarkLeaving(0, replica2)
+	observe(b, 0, replica1, attempt.Reply{Status: attempt.ConnRefused})
+	if got, found := b.Pick(1, "s", "g", nil); !found || got != replica1 {
 		t.Errorf("Pick = %q, %v, want the dead replica", got, found)
 	}
 	if got, found := b.PickHedge(1, "s", "g", 0, nil); found {
 		t.Errorf("PickHedge = %q, want none", got)
 	}
-	if got, found := b.Pick(1, "s", "g", []upstream.ID{one}); found {
+	if got, found := b.Pick(1, "s", "g", []upstream.ID{replica1}); found {
 		t.Errorf("Pick with the dead one excluded = %q, want none", got)
 	}
 	if got := len(b.Avoided(1)); got != 2 {
@@ -128,14 +128,14 @@
 // TestPickVersion guards against many requests to a replica known to lack the version, and
 // against a replica that is never asked again and so never seen to have loaded it.
 func TestPickVersion(t *testing.T) {
-	b := newBook()
-	observe(b, 0, one, ok(8, 1))
-	observe(b, 0, two, ok(8, 1, 2))
+	b := newBalancer()
+	observe(b, 0, replica1, ok(8, 1))
+	observe(b, 0, replica2, ok(8, 1, 2))
 	lacking := 0
 	for range 320 {
-		if got, _ := b.PickForVersion(clock.Hour, "s", "g", 2, nil); got == one {
+		if got, _ := b.PickForVersion(clock.Hour, "s", "g", 2, nil); got == replica1 {
 			lacking++
-			observe(b, clock.Hour, one, attempt.Reply{Status: attempt.VersionGone, HeldVersions: []uint64{1}})
+			observe(b, clock.Hour, replica1, attempt.Reply{Status: attempt.VersionGone, HeldVersions: []uint64{1}})
 		}
 	}
 	if lacking < 1 || lacking > 10 {
@@ -145,12 +145,12 @@
 
 // TestHedgeDelay guards against a straggler that waits for its own long tail.
 func TestHedgeDelay(t *testing.T) {
-	b := newBook()
+	b := newBalancer()
 	for i := range clock.Millis(200) {
-		observe(b, i, one, ok(80))
-		observe(b, i, two, ok(8))
+		observe(b, i, replica1, ok(80))
+		observe(b, i, replica2, ok(8))
 	}
-	if got := b.HedgeDelay(200, one); got < 8 || got > 10 {
+	if got := b.HedgeDelay(200, replica1); got < 8 || got > 10 {
 		t.Errorf("HedgeDelay = %d, want about 8", got)
 	}
 }
@@ -164,26 +164,26 @@
 		ok      bool
 	}{
 		{"nothing known", func(*upstream.Balancer) {}, 0, false},
-		{"unknown groups are ignored", func(b *upstream.Balancer) { observe(b, 0, one, ok(8, 1, 2)) }, 2, true},
+		{"unknown groups are ignored", func(b *upstream.Balancer) { observe(b, 0, replica1, ok(8, 1, 2)) }, 2, true},
 		{"newest common", func(b *upstream.Balancer) {
-			observe(b, 0, one, ok(8, 1, 2))
-			observe(b, 0, two, ok(8, 1, 2, 3))
+			observe(b, 0, replica1, ok(8, 1, 2))
+			observe(b, 0, replica2, ok(8, 1, 2, 3))
 			observe(b, 0, "s/h/1", ok(8, 1, 2))
 		}, 2, true},
 		{"none common", func(b *upstream.Balancer) {
-			observe(b, 0, one, ok(8, 2))
+			observe(b, 0, replica1, ok(8, 2))
 			observe(b, 0, "s/h/1", ok(8, 1))
 		}, 0, false},
 		{"dead holder", func(b *upstream.Balancer) {
-			observe(b, 0, one, ok(8, 1))
-			observe(b, 0, two, ok(8, 2))
+			observe(b, 0, replica1, ok(8, 1))
+			observe(b, 0, replica2, ok(8, 2))
 			observe(b, 0, "s/h/1", ok(8, 1, 2))
-			observe(b, 0, two, attempt.Reply{Status: attempt.ConnRefused})
+			observe(b, 0, replica2, attempt.Reply{Status: attempt.ConnRefused})
 		}, 1, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBook()
+			b := newBalancer()
 			tt.prepare(b)
 			if got, found := b.CommonVersion("s"); got != tt.want || found != tt.ok {
 				t.Errorf("Version = %d, %v, want %d, %v", got, found, tt.want, tt.ok)
@@ -195,11 +195,11 @@
 // TestBestVersionSettles guards against one upstream that never loads a new
 // version and keeps the service on the old snapshot for ever.
 func TestBestVersionSettles(t *testing.T) {
-	b := newBook()
-	for _, id := range []upstream.ID{two, "s/h/1"} {
+	b := newBalancer()
+	for _, id := range []upstream.ID{replica2, "s/h/1"} {
 		observe(b, 0, id, ok(5, 1, 2))
 	}
-	observe(b, 0, one, ok(5, 1))
+	observe(b, 0, replica1, ok(5, 1))
 	for _, tc := range []struct {
 		now  clock.Millis
 		want uint64
@@ -208,7 +208,7 @@
 			t.Errorf("BestVersion after %d ms = %d, want %d", tc.now, got, tc.want)
 		}
 	}
-	observe(b, 40*clock.Second, two, ok(5, 1))
+	observe(b, 40*clock.Second, replica2, ok(5, 1))
 	if got, _, _ := b.BestVersion(80*clock.Second, "s"); got != 1 {
 		t.Errorf("BestVersion after a group lost version 2 = %d, want 1", got)
 	}
--- a/upstream/latency.go
+++ b/upstream/latency.go
@@ -10,7 +10,7 @@
 	// Eight buckets an octave keep the error of a quantile below a tenth.
 	bucketsPerOctave = 8
 	// 14 octaves reach from 1 ms to 16 s.
-	buckets = 14 * bucketsPerOctave
+	numBuckets = 14 * bucketsPerOctave
 	// Older samples lose half their weight whenever the window is full.
 	latencyWindow = 512
 	// Older samples also lose half their weight in this time, so that a
@@ -22,32 +22,32 @@
 	minSamples = 16
 	// With more than one slow request in twenty the p95 is itself slow and no
 	// hedge would ever start, so a hedge waits at most this many medians.
-	maxMedians = 4
+	maxHedgeMedians = 4
 	// The quantile is recomputed once in this number of samples.
-	quantileEvery = 8
+	quantileInterval = 8
 )
 
 // latency is a decaying log-scale histogram of constant size with a moving mean.
 type latency struct {
-	counts  [buckets]uint16
-	total   int
-	since   int
-	mean    float64
-	p95     float64
-	hedge   float64 // hedge delay
-	lastAt  clock.Millis
-	decayAt clock.Millis
+	counts        [numBuckets]uint16
+	total         int
+	sinceQuantile int
+	mean          float64
+	p95           float64
+	hedgeDelay    float64 // hedge delay
+	lastSampleAt  clock.Millis
+	nextDecay     clock.Millis
 }
 
 func (l *latency) record(now clock.Millis, ms, meanMs float64) {
-	if now >= l.decayAt {
-		if l.decayAt > 0 {
-			l.halve()
+	if now >= l.nextDecay {
+		if l.nextDecay > 0 {
+			l.halveCounts()
 		}
-		l.decayAt = now + latencyHalfLifeMs
+		l.nextDecay = now + latencyHalfLifeMs
 	}
 	if l.total >= latencyWindow {
-		l.halve()
+		l.halveCounts()
 	}
 	if l.mean == 0 {
 		l.mean = meanMs
@@ -55,18 +55,18 @@
 	l.mean += (meanMs - l.mean) * meanWeight
 	l.counts[bucketOf(ms)]++
 	l.total++
-	l.lastAt = now
-	l.since++
-	if l.since >= quantileEvery || l.total <= minSamples {
-		l.since = 0
+	l.lastSampleAt = now
+	l.sinceQuantile++
+	if l.sinceQuantile >= quantileInterval || l.total <= minSamples {
+		l.sinceQuantile = 0
 		l.p95 = l.quantile(0.95)
-		l.hedge = min(l.p95, maxMedians*l.quantile(0.5))
+		l.hedgeDelay = min(l.p95, maxHedgeMedians*l.quantile(0.5))
 	}
 }
 
-func (l *latency) known() bool { return l.total >= minSamples }
+func (l *latency) hasEnoughSamples() bool { return l.total >= minSamples }
 
-func (l *latency) halve() {
+func (l *latency) halveCounts() {
 	l.total = 0
 	for i := range l.counts {
 		l.counts[i] /= 2
@@ -76,7 +76,7 @@
 
 func (l *latency) quantile(q float64) float64 {
 	above := float64(l.total) * (1 - q)
-	for i := buckets - 1; i >= 0; i-- {
+	for i := numBuckets - 1; i >= 0; i-- {
 		n := float64(l.counts[i])
 		if n > 0 && above < n {
 			return math.Exp2((float64(i) + 1 - above/n) / bucketsPerOctave)
@@ -90,5 +90,5 @@
 	if ms <= 1 {
 		return 0
 	}
-	return min(int(math.Log2(ms)*bucketsPerOctave), buckets-1)
+	return min(int(math.Log2(ms)*bucketsPerOctave), numBuckets-1)
 }
--- a/upstream/options.go
+++ b/upstream/options.go
@@ -31,7 +31,7 @@
 
 // WithMinHedgeDelay sets the shortest hedge delay.
 func WithMinHedgeDelay(ms clock.Millis) Option {
-	return func(b *Balancer) { b.floorMs = ms }
+	return func(b *Balancer) { b.minHedgeMs = ms }
 }
 
 // WithRandomPick makes Pick choose at random among the upstreams that are not
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -12,14 +12,14 @@
 	rampStartShare = 0.1
 	// A latency without new samples moves halfway to the group's best in this
 	// time, so that a recovered upstream is tried again.
-	latencyForgetMs = 5 * clock.Second
+	idleHalfLifeMs = 5 * clock.Second
 	// A hedge avoids an upstream whose latency is this many times that of one
 	// that was tried already.
-	stragglerLatency = 2
+	stragglerFactor = 2
 	// An upstream known to lack the version is asked once in this many picks
 	// of its group. Without that, nothing would show that it has loaded the
 	// version since. A share of the load costs the same at any fleet size.
-	probeEvery = 32
+	probeInterval = 32
 )
 
 // Tiers of candidates, best first. Pick chooses within the best one present.
@@ -53,28 +53,28 @@
 	if !ok {
 		return "", false
 	}
-	fresh := b.byID[id]
-	best := fresh.expectedMs(now, fresh.group) / stragglerLatency
-	for _, again := range tried {
-		s := b.byID[again]
+	untried := b.byID[id]
+	best := untried.expectedMs(now, untried.group) / stragglerFactor
+	for _, triedID := range tried {
+		s := b.byID[triedID]
 		if s.leaving || s.dead || s.lacks(version) || now < s.retryAt {
 			continue
 		}
 		if ms := s.expectedMs(now, s.group); ms < best {
-			best, id = ms, again
+			best, id = ms, triedID
 		}
 	}
 	return id, true
 }
 
 func (b *Balancer) pick(now clock.Millis, svc, grp string, version uint64, exclude []ID, worst int) (ID, bool) {
-	g := b.find(svc, grp)
+	g := b.findGroup(svc, grp)
 	if g == nil {
 		return "", false
 	}
 	g.picks++
 	best := tierNone
-	b.scratch = b.scratch[:0]
+	b.candidates = b.candidates[:0]
 	for _, s := range g.upstreams {
 		if s.leaving || slices.Contains(exclude, s.id) {
 			continue
@@ -82,75 +82,75 @@
 		tier := b.tier(now, s, version)
 		if tier < best {
 			best = tier
-			b.scratch = b.scratch[:0]
+			b.candidates = b.candidates[:0]
 		}
 		if tier == best {
-			b.scratch = append(b.scratch, s)
+			b.candidates = append(b.candidates, s)
 		}
 	}
 	if best > worst {
 		return "", false
 	}
-	s := b.better(now, g)
+	s := b.betterOfTwo(now, g)
 	if s.lacks(version) {
-		s.probePick = g.picks
+		s.lastProbePick = g.picks
 	}
 	return s.id, true
 }
 
-// better compares two random candidates of the scratch list.
-func (b *Balancer) better(now clock.Millis, g *group) *state {
-	n := len(b.scratch)
+// betterOfTwo compares two random candidates of the scratch list.
+func (b *Balancer) betterOfTwo(now clock.Millis, g *group) *upstreamState {
+	n := len(b.candidates)
 	i := b.rng.IntN(n)
 	if n == 1 || b.random {
-		return b.scratch[i]
+		return b.candidates[i]
 	}
 	j := b.rng.IntN(n - 1)
 	if j >= i {
 		j++
 	}
-	x, y := b.scratch[i], b.scratch[j]
+	x, y := b.candidates[i], b.candidates[j]
 	if y.score(now, g) < x.score(now, g) {
 		return y
 	}
 	return x
 }
 
-func (b *Balancer) tier(now clock.Millis, s *state, version uint64) int {
+func (b *Balancer) tier(now clock.Millis, s *upstreamState, version uint64) int {
 	g := s.group
 	switch {
 	case b.random:
 		return tierUsable
-	case s.dead && (s.trial || now < s.retryAt):
+	case s.dead && (s.trialInFlight || now < s.retryAt):
 		return tierDead
-	case s.lacks(version) && g.picks < s.probePick+probeEvery:
+	case s.lacks(version) && g.picks < s.lastProbePick+probeInterval:
 		return tierOtherVersion
 	case now < s.retryAt:
 		return tierPaused
 	case s.dead:
 		return tierUsable // due for a trial request
-	case s.ramping && b.rng.Float64() >= b.share(now, s):
+	case s.ramping && b.rng.Float64() >= b.rampShare(now, s):
 		return tierRamping
 	}
 	return tierUsable
 }
 
 // lacks reports whether the upstream is known not to hold the version; 0 means any.
-func (s *state) lacks(version uint64) bool {
-	return version != 0 && len(s.held) > 0 && !slices.Contains(s.held, version)
+func (s *upstreamState) lacks(version uint64) bool {
+	return version != 0 && len(s.heldVersions) > 0 && !slices.Contains(s.heldVersions, version)
 }
 
-// share rises from rampStartShare to 1 over the ramp.
-func (b *Balancer) share(now clock.Millis, s *state) float64 {
-	if b.rampMs <= 0 || now >= s.rampFrom+b.rampMs {
+// rampShare rises from rampStartShare to 1 over the ramp.
+func (b *Balancer) rampShare(now clock.Millis, s *upstreamState) float64 {
+	if b.rampMs <= 0 || now >= s.rampStart+b.rampMs {
 		s.ramping = false
 		return 1
 	}
-	done := float64(now-s.rampFrom) / float64(b.rampMs)
-	return rampStartShare + (1-rampStartShare)*done
+	progress := float64(now-s.rampStart) / float64(b.rampMs)
+	return rampStartShare + (1-rampStartShare)*progress
 }
 
-func (s *state) score(now clock.Millis, g *group) float64 {
+func (s *upstreamState) score(now clock.Millis, g *group) float64 {
 	if s.dead {
 		return 0 // its trial request is due
 	}
@@ -159,13 +159,13 @@
 
 // expectedMs is the mean latency, moved towards the group's best for the time
 // without samples.
-func (s *state) expectedMs(now clock.Millis, g *group) float64 {
+func (s *upstreamState) expectedMs(now clock.Millis, g *group) float64 {
 	best := g.bestMean()
 	if s.latency.mean == 0 {
 		return best
 	}
-	idle := float64(now-s.latency.lastAt) / float64(latencyForgetMs)
-	return best + (s.latency.mean-best)*math.Exp2(-idle)
+	halfLives := float64(now-s.latency.lastSampleAt) / float64(idleHalfLifeMs)
+	return best + (s.latency.mean-best)*math.Exp2(-halfLives)
 }
 
 func (g *group) bestMean() float64 {
--- a/upstream/observe.go
+++ b/upstream/record.go
@@ -29,7 +29,7 @@
 	}
 	s.outstanding++
 	if s.dead {
-		s.trial = true
+		s.trialInFlight = true
 	}
 }
 
@@ -39,24 +39,24 @@
 	if s == nil {
 		return
 	}
-	s.ended()
+	s.endAttempt()
 	took := r.QueueMs + r.ServiceMs
 	switch r.Status {
 	case attempt.OK:
 		s.recordLatency(now, float64(took), float64(took))
-		s.succeeded(now)
+		s.recordSuccess(now)
 	case attempt.VersionGone:
-		s.succeeded(now)
+		s.recordSuccess(now)
 	case attempt.Shed:
-		s.succeeded(now)
-		s.pause(now, r.RetryAfter)
+		s.recordSuccess(now)
+		s.pauseAfterShed(now, r.RetryAfter)
 	case attempt.ConnRefused:
-		s.failed(now, failuresUntilDead)
+		s.recordFailure(now, failuresUntilDead)
 	case attempt.Failed, attempt.TimedOut, attempt.Mismatched:
-		s.failed(now, 1)
+		s.recordFailure(now, 1)
 	}
 	if fromUpstream(r.Status) {
-		s.learn(now, r, now-took)
+		s.applyReply(now, r, now-took)
 	}
 }
 
@@ -67,13 +67,13 @@
 	if s == nil {
 		return
 	}
-	s.ended()
+	s.endAttempt()
 	switch ms := float64(elapsed); {
 	case ms > s.latency.mean:
 		s.recordLatency(now, ms, ms*abandonedFactor)
 	case ms*abandonedFactor > s.latency.mean:
 		// The time agrees with a slow mean, which therefore must not be forgotten.
-		s.latency.lastAt = now
+		s.latency.lastSampleAt = now
 	}
 }
 
@@ -81,33 +81,33 @@
 // reply. A VM that has just started learns the versions this way.
 func (b *Balancer) RecordHeldVersions(now clock.Millis, id ID, held []uint64) {
 	if s := b.byID[id]; s != nil && len(held) > 0 {
-		s.heldAt = now
-		s.setHeld(now, held)
+		s.heldVersionsAt = now
+		s.setHeldVersions(now, held)
 	}
 }
 
-func (s *state) setHeld(now clock.Millis, held []uint64) {
-	if !slices.Equal(s.held, held) {
-		s.held = append(s.held[:0], held...)
-		s.service.noteCommon(now)
+func (s *upstreamState) setHeldVersions(now clock.Millis, held []uint64) {
+	if !slices.Equal(s.heldVersions, held) {
+		s.heldVersions = append(s.heldVersions[:0], held...)
+		s.service.updateCommonVersions(now)
 	}
 }
 
-// noteCommon records since when each version is held by every group.
-func (s *service) noteCommon(now clock.Millis) {
-	seen, known := s.versions()
-	kept := s.common[:0]
-	for _, c := range s.common {
-		if groups, _ := s.holders(c.version); groups == known {
+// updateCommonVersions records since when each version is held by every group.
+func (s *service) updateCommonVersions(now clock.Millis) {
+	versions, knownGroups := s.versions()
+	kept := s.commonVersions[:0]
+	for _, c := range s.commonVersions {
+		if groups, _ := s.countHolders(c.version); groups == knownGroups {
 			kept = append(kept, c)
 		}
 	}
-	s.common = kept
-	for _, v := range seen {
-		groups, _ := s.holders(v)
-		isKept := slices.ContainsFunc(s.common, func(c commonVersion) bool { return c.version == v })
-		if groups == known && !isKept {
-			s.common = append(s.common, commonVersion{version: v, since: now})
+	s.commonVersions = kept
+	for _, v := range versions {
+		groups, _ := s.countHolders(v)
+		isKept := slices.ContainsFunc(s.commonVersions, func(c commonVersion) bool { return c.version == v })
+		if groups == knownGroups && !isKept {
+			s.commonVersions = append(s.commonVersions, commonVersion{version: v, since: now})
 		}
 	}
 }
@@ -116,14 +116,14 @@
 // until the upstream is observed or reported back.
 func (b *Balancer) MarkLeaving(now clock.Millis, id ID) {
 	if s := b.byID[id]; s != nil {
-		s.leave(now)
+		s.markLeaving(now)
 	}
 }
 
 // MarkAvailable records a report that the upstream accepts work again.
 func (b *Balancer) MarkAvailable(now clock.Millis, id ID) {
 	if s := b.byID[id]; s != nil {
-		s.comeBack(now)
+		s.markAvailable(now)
 	}
 }
 
@@ -132,27 +132,27 @@
 	return st == attempt.OK || st == attempt.VersionGone || st == attempt.Shed || st == attempt.Leaving
 }
 
-func (s *state) learn(now clock.Millis, r attempt.Reply, sentAt clock.Millis) {
+func (s *upstreamState) applyReply(now clock.Millis, r attempt.Reply, sentAt clock.Millis) {
 	if len(r.HeldVersions) > 0 {
-		s.heldAt = now
-		s.probePick = s.group.picks
-		s.setHeld(now, r.HeldVersions)
+		s.heldVersionsAt = now
+		s.lastProbePick = s.group.picks
+		s.setHeldVersions(now, r.HeldVersions)
 	}
 	switch {
 	case r.Leaving || r.Status == attempt.Leaving:
-		s.leave(now)
+		s.markLeaving(now)
 	case s.leaving && sentAt > s.leavingAt:
 		// An attempt sent before the mark may still end normally and proves nothing.
-		s.comeBack(now)
+		s.markAvailable(now)
 	}
 }
 
-func (s *state) leave(now clock.Millis) {
+func (s *upstreamState) markLeaving(now clock.Millis) {
 	s.leaving = true
 	s.leavingAt = now
 }
 
-func (s *state) comeBack(now clock.Millis) {
+func (s *upstreamState) markAvailable(now clock.Millis) {
 	if !s.leaving {
 		return
 	}
@@ -160,17 +160,17 @@
 	s.startRamp(now)
 }
 
-func (s *state) ended() {
+func (s *upstreamState) endAttempt() {
 	s.outstanding = max(s.outstanding-1, 0)
-	s.trial = false
+	s.trialInFlight = false
 }
 
-func (s *state) recordLatency(now clock.Millis, ms, meanMs float64) {
+func (s *upstreamState) recordLatency(now clock.Millis, ms, meanMs float64) {
 	s.latency.record(now, ms, meanMs)
 	s.service.latency.record(now, ms, meanMs)
 }
 
-func (s *state) succeeded(now clock.Millis) {
+func (s *upstreamState) recordSuccess(now clock.Millis) {
 	if s.dead {
 		s.startRamp(now)
 	}
@@ -180,7 +180,7 @@
 	s.retryAt = 0
 }
 
-func (s *state) failed(now clock.Millis, weight int) {
+func (s *upstreamState) recordFailure(now clock.Millis, weight int) {
 	s.failures += weight
 	// Attempts that were in flight when the upstream was marked must not
 	// lengthen its backoff.
@@ -192,7 +192,7 @@
 	s.retryAt = now + s.backoff
 }
 
-func (s *state) pause(now, retryAfter clock.Millis) {
+func (s *upstreamState) pauseAfterShed(now, retryAfter clock.Millis) {
 	if retryAfter <= 0 {
 		retryAfter = defaultShedPauseMs
 	}
