--- a/upstream/accessors.go
+++ b/upstream/accessors.go
@@ -8,16 +8,16 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Avoided is an upstream that gets less or no work, and why.
+// Avoided is an upstream that gets fewer or no attempts, with the reason.
 type Avoided struct {
 	ID     ID           `json:"id"`
 	Reason string       `json:"reason"` // leaving, dead, shedding or ramping
 	Until  clock.Millis `json:"until_ms,omitempty"`
 }
 
-// HedgeDelay returns how long to wait for an attempt on the upstream before a
-// hedge: the lowest p95 in the group, so that a straggler does not wait for
-// its own long tail, and at most a few medians.
+// HedgeDelay returns the time between an attempt on the upstream and its hedge:
+// the lowest p95 in the group, at most maxHedgeMedians medians. With its own
+// p95, a straggler would delay the hedge by its own long tail.
 func (b *Balancer) HedgeDelay(_ clock.Millis, id ID) clock.Millis {
 	s := b.byID[id]
 	if s == nil {
@@ -45,7 +45,7 @@
 }
 
 // CommonVersion returns the newest version that at least one usable upstream of
-// every group holds. Groups with nothing known are ignored.
+// every group holds. Groups without known versions are ignored.
 func (b *Balancer) CommonVersion(service string) (version uint64, ok bool) {
 	svc := b.services[service]
 	if svc == nil {
@@ -63,12 +63,13 @@
 // BestVersion returns the version for the next query, with the number of
 // groups that hold it and of groups with known versions.
 //
-// It is the newest version that every group has held for settleMs. Before that
-// it is the version that the most groups hold; of several, the one that the
-// most upstreams hold; of several, the newest. Taking the newest common version
-// at once would send all work to the first upstreams that load it, with half
-// the capacity of their groups; without the time limit one upstream that never
-// loads it would keep the whole service on an old snapshot.
+// It is the newest version that every group has held for versionSettleMs. If
+// there is none, it is the version that the most groups hold; ties go to the
+// version that the most upstreams hold, then to the newest. If the newest
+// common version were used at once, all work would go to the first upstreams
+// that load it, with half the capacity of their groups. Without the time limit,
+// one upstream that never loads it would keep the whole service on an old
+// snapshot.
 func (b *Balancer) BestVersion(now clock.Millis, service string) (version uint64, holdingGroups, knownGroups int) {
 	svc := b.services[service]
 	if svc == nil {
@@ -91,7 +92,7 @@
 	return version, holdingGroups, knownGroups
 }
 
-// settledVersion returns the newest version that every group has held for settleMs, or 0.
+// settledVersion returns the newest version that every group has held for versionSettleMs, or 0.
 func (s *service) settledVersion(now clock.Millis) uint64 {
 	var newest uint64
 	for _, c := range s.commonVersions {
@@ -113,7 +114,7 @@
 }
 
 // MayHold reports whether some usable upstream of the group holds the version
-// or has not said what it holds.
+// or has not reported its versions.
 func (b *Balancer) MayHold(service, group string, version uint64) bool {
 	g := b.findGroup(service, group)
 	return g != nil && slices.ContainsFunc(g.upstreams, func(s *upstreamState) bool {
@@ -121,7 +122,7 @@
 	})
 }
 
-// HeldVersions returns the versions that the upstream last reported and when.
+// HeldVersions returns the versions that the upstream last reported and the time of the report.
 func (b *Balancer) HeldVersions(id ID) ([]uint64, clock.Millis) {
 	s := b.byID[id]
 	if s == nil {
@@ -130,7 +131,7 @@
 	return slices.Clone(s.heldVersions), s.heldVersionsAt
 }
 
-// Outstanding returns the number of this VM's open attempts on the upstream.
+// Outstanding returns the number of this VM's attempts in flight on the upstream.
 func (b *Balancer) Outstanding(id ID) int {
 	if s := b.byID[id]; s != nil {
 		return s.outstanding
@@ -138,7 +139,7 @@
 	return 0
 }
 
-// Avoided lists the upstreams that get less or no work at now.
+// Avoided lists the upstreams that get fewer or no attempts at now.
 func (b *Balancer) Avoided(now clock.Millis) []Avoided {
 	var list []Avoided
 	for _, s := range b.byID {
@@ -184,7 +185,7 @@
 }
 
 // versions returns the versions that usable upstreams hold and the number of
-// groups that have any.
+// groups in which a usable upstream has reported any.
 func (s *service) versions() (seen []uint64, knownGroups int) {
 	for _, g := range s.groups {
 		anyKnown := false
--- a/upstream/balancer.go
+++ b/upstream/balancer.go
@@ -9,14 +9,15 @@
 const (
 	defaultRampMs     = 5 * clock.Second
 	defaultMinHedgeMs = 2
-	// versionSettleMs is how long every group must hold a version before upstreams
-	// that still lack it no longer delay its use.
+	// versionSettleMs is how long every group must hold a version, in ms, before
+	// it is used even if some upstreams still lack it.
 	versionSettleMs = 30 * clock.Second
-	// defaultLatencyMs stands in for a latency that is not known yet.
+	// defaultLatencyMs is used while there are too few latency samples.
 	defaultLatencyMs = 20
 )
 
-// Balancer keeps what one VM knows about each upstream.
+// Balancer tracks the health, latency and held versions of each upstream, as
+// seen by one VM, and picks the upstream for an attempt.
 type Balancer struct {
 	services   map[string]*service
 	byID       map[ID]*upstreamState
@@ -27,7 +28,7 @@
 	candidates []*upstreamState
 }
 
-// commonVersion is a snapshot version that every group holds.
+// commonVersion is a snapshot version that every group has held since a time.
 type commonVersion struct {
 	version uint64
 	since   clock.Millis
@@ -54,14 +55,14 @@
 	latency        latency
 	heldVersions   []uint64
 	heldVersionsAt clock.Millis
-	lastProbePick  int // value of group.picks at the last request for a version that it lacked
+	lastProbePick  int // value of group.picks at the last reply with versions or probe for a missing one
 	leaving        bool
 	leavingAt      clock.Millis
-	failures       int // consecutive failures
+	failures       int // consecutive failures; a refused connection counts as failuresUntilDead
 	dead           bool
 	backoff        clock.Millis
-	retryAt        clock.Millis // next trial of a dead upstream, or end of a pause after shedding
-	trialInFlight  bool         // a trial request is in flight
+	retryAt        clock.Millis // next trial request to a dead upstream, or end of the pause after shedding
+	trialInFlight  bool
 	rampStart      clock.Millis
 	ramping        bool
 }
@@ -81,7 +82,7 @@
 	return b
 }
 
-// Add makes a new upstream known and ramps it up from now. A known one is left as it is.
+// Add adds an upstream and ramps up its load from now. It does nothing if the upstream is present.
 func (b *Balancer) Add(now clock.Millis, u Upstream) {
 	if b.byID[u.ID] != nil {
 		return
--- a/upstream/balancer_test.go
+++ b/upstream/balancer_test.go
@@ -29,7 +29,7 @@
 	return attempt.Reply{Status: attempt.OK, ServiceMs: ms, HeldVersions: held}
 }
 
-// pickPercent returns the percentage of picks that choose id.
+// pickPercent returns the percentage of 1000 picks that return id.
 func pickPercent(b *upstream.Balancer, now clock.Millis, id upstream.ID) int {
 	n := 0
 	for range 1000 {
@@ -40,37 +40,38 @@
 	return n / 10
 }
 
-// TestPick guards against work for upstreams that are leaving, dead, slow, cold or without the version.
+// TestPick guards against attempts on upstreams that are leaving, dead, shedding or slow,
+// and against a full share of attempts right after an upstream becomes available.
 func TestPick(t *testing.T) {
 	tests := []struct {
 		name     string
 		prepare  func(b *upstream.Balancer)
 		now      clock.Millis
-		min, max int // percent of the picks for the first replica
+		min, max int // percentage of picks that return replica1
 	}{
 		{"healthy", func(*upstream.Balancer) {}, 100, 40, 60},
 		{"leaving", func(b *upstream.Balancer) { b.MarkLeaving(0, replica1) }, clock.Hour, 0, 0},
 		{"leaving by reply", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.OK, Leaving: true}) }, clock.Hour, 0, 0},
-		{"old reply after leaving", func(b *upstream.Balancer) {
+		{"leaving, then reply to an earlier attempt", func(b *upstream.Balancer) {
 			b.RecordSent(0, replica1)
 			b.MarkLeaving(20, replica1)
 			b.RecordReply(25, replica1, ok(25))
 		}, clock.Hour, 0, 0},
-		{"reply to a later attempt", func(b *upstream.Balancer) {
+		{"leaving, then reply to a later attempt", func(b *upstream.Balancer) {
 			b.MarkLeaving(20, replica1)
 			observe(b, 50, replica1, ok(25))
 		}, clock.Hour, 40, 100},
-		{"back", func(b *upstream.Balancer) {
+		{"available again", func(b *upstream.Balancer) {
 			b.MarkLeaving(0, replica1)
 			b.MarkAvailable(1000, replica1)
 		}, 1000, 2, 15},
-		{"back and ramped", func(b *upstream.Balancer) {
+		{"available again, after the ramp", func(b *upstream.Balancer) {
 			b.MarkLeaving(0, replica1)
 			b.MarkAvailable(1000, replica1)
 		}, 7000, 40, 60},
 		{"refused", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.ConnRefused}) }, 200, 0, 0},
 		{"one failure", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.Failed}) }, 200, 40, 60},
-		{"due for a trial", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.ConnRefused}) }, 300, 100, 100},
+		{"trial due", func(b *upstream.Balancer) { observe(b, 0, replica1, attempt.Reply{Status: attempt.ConnRefused}) }, 300, 100, 100},
 		{"trial in flight", func(b *upstream.Balancer) {
 			observe(b, 0, replica1, attempt.Reply{Status: attempt.ConnRefused})
 			b.RecordSent(300, replica1)
@@ -80,7 +81,7 @@
 			observe(b, 0, replica1, ok(80))
 			observe(b, 0, replica2, ok(8))
 		}, 10, 0, 0},
-		{"slow long ago", func(b *upstream.Balancer) {
+		{"slow a minute ago", func(b *upstream.Balancer) {
 			observe(b, 0, replica1, ok(80))
 			observe(b, 0, replica2, ok(8))
 			for range 2 {
@@ -105,8 +106,8 @@
 	}
 }
 
-// TestPickLastResort guards against a group given up while a dead replica could be tried, and
-// against work for a leaving one.
+// TestPickLastResort guards against a pick that fails although a dead replica could be tried,
+// and against attempts on a leaving replica.
 func TestPickLastResort(t *testing.T) {
 	b := newBalancer()
 	b.MarkLeaving(0, replica2)
@@ -125,9 +126,9 @@
 	}
 }
 
-// TestPickVersion guards against many requests to a replica known to lack the version, and
-// against a replica that is never asked again and so never seen to have loaded it.
-func TestPickVersion(t *testing.T) {
+// TestPickForVersion guards against many requests to a replica known to lack the version, and
+// against a replica that gets none, so that its loading of the version is never noticed.
+func TestPickForVersion(t *testing.T) {
 	b := newBalancer()
 	observe(b, 0, replica1, ok(8, 1))
 	observe(b, 0, replica2, ok(8, 1, 2))
@@ -143,7 +144,7 @@
 	}
 }
 
-// TestHedgeDelay guards against a straggler that waits for its own long tail.
+// TestHedgeDelay guards against a hedge of a slow replica that is delayed by that replica's own p95.
 func TestHedgeDelay(t *testing.T) {
 	b := newBalancer()
 	for i := range clock.Millis(200) {
@@ -155,26 +156,26 @@
 	}
 }
 
-// TestVersion guards against a snapshot that some group no longer holds.
-func TestVersion(t *testing.T) {
+// TestCommonVersion guards against a version that no usable upstream of some group holds.
+func TestCommonVersion(t *testing.T) {
 	tests := []struct {
 		name    string
 		prepare func(b *upstream.Balancer)
 		want    uint64
 		ok      bool
 	}{
-		{"nothing known", func(*upstream.Balancer) {}, 0, false},
-		{"unknown groups are ignored", func(b *upstream.Balancer) { observe(b, 0, replica1, ok(8, 1, 2)) }, 2, true},
+		{"no versions known", func(*upstream.Balancer) {}, 0, false},
+		{"groups without known versions are ignored", func(b *upstream.Balancer) { observe(b, 0, replica1, ok(8, 1, 2)) }, 2, true},
 		{"newest common", func(b *upstream.Balancer) {
 			observe(b, 0, replica1, ok(8, 1, 2))
 			observe(b, 0, replica2, ok(8, 1, 2, 3))
 			observe(b, 0, "s/h/1", ok(8, 1, 2))
 		}, 2, true},
-		{"none common", func(b *upstream.Balancer) {
+		{"no common version", func(b *upstream.Balancer) {
 			observe(b, 0, replica1, ok(8, 2))
 			observe(b, 0, "s/h/1", ok(8, 1))
 		}, 0, false},
-		{"dead holder", func(b *upstream.Balancer) {
+		{"newer version only at a dead upstream", func(b *upstream.Balancer) {
 			observe(b, 0, replica1, ok(8, 1))
 			observe(b, 0, replica2, ok(8, 2))
 			observe(b, 0, "s/h/1", ok(8, 1, 2))
@@ -192,8 +193,8 @@
 	}
 }
 
-// TestBestVersionSettles guards against one upstream that never loads a new
-// version and keeps the service on the old snapshot for ever.
+// TestBestVersionSettles guards against a service that stays on the old snapshot
+// because one upstream never loads the new version.
 func TestBestVersionSettles(t *testing.T) {
 	b := newBalancer()
 	for _, id := range []upstream.ID{replica2, "s/h/1"} {
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -9,20 +9,20 @@
 // Client sends attempts to upstreams. Implementations are safe for concurrent use.
 type Client interface {
 	// Send runs one attempt and returns its reply. It reports every failure
-	// through Status and Ran, and returns at the latest at the request's deadline.
+	// through Status and Execution, and returns at the request's deadline at the latest.
 	Send(ctx context.Context, req attempt.Request) attempt.Reply
-	// Cancel asks an upstream to stop an attempt. A nil error does not say
-	// whether the attempt ran; its reply does.
+	// Cancel asks an upstream to stop an attempt. A nil error does not show
+	// whether the attempt was executed; only the reply to the attempt does.
 	Cancel(ctx context.Context, id ID, attempt attempt.ID) error
-	// Load asks an upstream for its load. The answer may lag or mislead.
+	// Load returns the load that an upstream reports. It may be out of date or wrong.
 	Load(ctx context.Context, id ID) (Load, error)
-	// SetConnectionLimit changes how many connections to an upstream may be open.
+	// SetConnectionLimit sets the maximum number of open connections to an upstream.
 	SetConnectionLimit(id ID, n int)
-	// Close closes all connections; running attempts fail.
+	// Close closes all connections. Attempts in flight fail.
 	Close()
 }
 
-// Load is what an upstream says about itself. Only Leaving is binding.
+// Load is an upstream's report about itself. Only Leaving is binding.
 type Load struct {
 	Healthy      bool     `json:"healthy"`
 	Leaving      bool     `json:"leaving"`
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -1,3 +1,4 @@
-// Package upstream keeps what one VM knows about each upstream and chooses
-// the upstream for an attempt.
+// Package upstream balances the attempts of one VM over the upstreams. It
+// tracks the health, latency and held versions of each upstream and picks one
+// for each attempt.
 package upstream
--- a/upstream/latency.go
+++ b/upstream/latency.go
@@ -7,34 +7,36 @@
 )
 
 const (
-	// Eight buckets an octave keep the error of a quantile below a tenth.
+	// bucketsPerOctave buckets for each doubling of the latency keep the error
+	// of a quantile below a tenth.
 	bucketsPerOctave = 8
-	// 14 octaves reach from 1 ms to 16 s.
+	// numBuckets covers 14 octaves, from 1 ms to 16 s.
 	numBuckets = 14 * bucketsPerOctave
-	// Older samples lose half their weight whenever the window is full.
+	// latencyWindow is the total weight of samples at which all weights are halved.
 	latencyWindow = 512
-	// Older samples also lose half their weight in this time, so that a
-	// seldom-used upstream forgets a past fault.
+	// latencyHalfLifeMs also halves the weight of older samples, so that a past
+	// fault does not count for long at an upstream with few requests.
 	latencyHalfLifeMs = 10 * clock.Second
-	// meanWeight is the weight of a new sample in the moving mean.
+	// meanWeight is the weight of a new sample in the exponential moving average.
 	meanWeight = 1.0 / 16
-	// Below this number of samples a quantile says too little.
+	// minSamples is the number of samples below which a quantile is not reliable.
 	minSamples = 16
-	// With more than one slow request in twenty the p95 is itself slow and no
-	// hedge would ever start, so a hedge waits at most this many medians.
+	// maxHedgeMedians bounds the hedge delay to this many medians. With more than
+	// one slow request in twenty the p95 is itself slow and no hedge would start.
 	maxHedgeMedians = 4
-	// The quantile is recomputed once in this number of samples.
+	// quantileInterval is the number of samples between computations of the quantiles.
 	quantileInterval = 8
 )
 
-// latency is a decaying log-scale histogram of constant size with a moving mean.
+// latency is a log-scale histogram of constant size whose counts decay, with an
+// exponential moving average.
 type latency struct {
 	counts        [numBuckets]uint16
 	total         int
 	sinceQuantile int
 	mean          float64
 	p95           float64
-	hedgeDelay    float64 // hedge delay
+	hedgeDelay    float64
 	lastSampleAt  clock.Millis
 	nextDecay     clock.Millis
 }
--- a/upstream/options.go
+++ b/upstream/options.go
@@ -9,8 +9,8 @@
 // Option configures a Book.
 type Option func(*Balancer)
 
-// WithUpstreams sets the upstreams known at the start. They are not ramped:
-// the VM is new to them, but they need not be cold.
+// WithUpstreams sets the initial upstreams. They are not ramped up: the VM has
+// just started, but the upstreams need not be cold.
 func WithUpstreams(list []Upstream) Option {
 	return func(b *Balancer) {
 		for _, u := range list {
@@ -19,23 +19,24 @@
 	}
 }
 
-// WithSeed sets the seed of the random choices.
+// WithSeed sets the seed of the random numbers.
 func WithSeed(seed uint64) Option {
 	return func(b *Balancer) { b.rng = rand.New(rand.NewPCG(seed, 1)) }
 }
 
-// WithRampTime sets how long an upstream that is new or came back takes to reach its full share.
+// WithRampTime sets the time after which an upstream that was added or became
+// available again gets its full share of attempts.
 func WithRampTime(ms clock.Millis) Option {
 	return func(b *Balancer) { b.rampMs = ms }
 }
 
-// WithMinHedgeDelay sets the shortest hedge delay.
+// WithMinHedgeDelay sets the lower bound of the hedge delay.
 func WithMinHedgeDelay(ms clock.Millis) Option {
 	return func(b *Balancer) { b.minHedgeMs = ms }
 }
 
 // WithRandomPick makes Pick choose at random among the upstreams that are not
-// leaving, whatever is known of them. It is the baseline of experiments.
+// leaving, regardless of their health and latency. It is the baseline of experiments.
 func WithRandomPick() Option {
 	return func(b *Balancer) { b.random = true }
 }
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -8,46 +8,48 @@
 )
 
 const (
-	// rampStartShare is the share of requests that a cold upstream gets first.
+	// rampStartShare is the share of attempts that an upstream gets at the start of its ramp.
 	rampStartShare = 0.1
-	// A latency without new samples moves halfway to the group's best in this
-	// time, so that a recovered upstream is tried again.
+	// idleHalfLifeMs is the time without samples in which a latency moves halfway
+	// to the group's best, so that a recovered upstream is tried again.
 	idleHalfLifeMs = 5 * clock.Second
-	// A hedge avoids an upstream whose latency is this many times that of one
-	// that was tried already.
+	// stragglerFactor is the ratio of expected latencies from which a hedge goes
+	// to an upstream that was tried already rather than to the untried one.
 	stragglerFactor = 2
-	// An upstream known to lack the version is asked once in this many picks
-	// of its group. Without that, nothing would show that it has loaded the
-	// version since. A share of the load costs the same at any fleet size.
+	// probeInterval is the number of picks of a group after which an upstream
+	// known to lack the version is asked once. Otherwise nothing would show that
+	// it has loaded the version since. A count of picks rather than a time keeps
+	// the cost the same share of the load at any fleet size.
 	probeInterval = 32
 )
 
-// Tiers of candidates, best first. Pick chooses within the best one present.
+// Tiers of candidates, best first. Pick chooses within the best tier that has any.
 const (
-	tierUsable = iota
-	tierRamping
-	tierPaused
-	tierOtherVersion
+	tierUsable       = iota
+	tierRamping      // beyond its share during the ramp
+	tierPaused       // after shedding
+	tierOtherVersion // known to lack the version
 	tierDead
 	tierNone
 )
 
-// Pick chooses the upstream for an attempt on any version. It returns false
-// if every upstream of the group is leaving or excluded.
+// Pick picks the upstream for an attempt on any version. It returns false if
+// every upstream of the group is leaving or excluded.
 func (b *Balancer) Pick(now clock.Millis, service, group string, exclude []ID) (ID, bool) {
 	return b.PickForVersion(now, service, group, 0, exclude)
 }
 
-// PickForVersion is Pick that prefers upstreams not known to lack the version; 0 means any.
-// As a last resort it returns an upstream that is marked dead.
+// PickForVersion is like Pick, but prefers upstreams that are not known to lack
+// the version; 0 means any. As a last resort it returns a dead upstream.
 func (b *Balancer) PickForVersion(now clock.Millis, service, group string, version uint64, exclude []ID) (ID, bool) {
 	return b.pick(now, service, group, version, exclude, tierDead)
 }
 
-// PickHedge chooses the upstream for a hedge. It prefers one that was not
-// tried, unless that one is a straggler beside one that was: a request that is
-// slow by chance is served sooner by a second try there. It returns no
-// upstream that would probably refuse, because such a hedge is only load.
+// PickHedge picks the upstream for a hedge. It prefers an upstream that was not
+// tried, unless its expected latency exceeds stragglerFactor times that of one
+// that was: if the first attempt is slow by chance, a second one there is
+// faster. It returns no upstream that is likely to refuse, because such a hedge
+// only adds load.
 func (b *Balancer) PickHedge(now clock.Millis, service, group string, version uint64, tried []ID) (ID, bool) {
 	id, ok := b.pick(now, service, group, version, tried, tierRamping)
 	if !ok {
@@ -98,7 +100,7 @@
 	return s.id, true
 }
 
-// betterOfTwo compares two random candidates of the scratch list.
+// betterOfTwo returns the candidate with the lower score of two random ones.
 func (b *Balancer) betterOfTwo(now clock.Millis, g *group) *upstreamState {
 	n := len(b.candidates)
 	i := b.rng.IntN(n)
@@ -135,12 +137,13 @@
 	return tierUsable
 }
 
-// lacks reports whether the upstream is known not to hold the version; 0 means any.
+// lacks reports whether the upstream is known not to hold the version. It is
+// false for version 0, which means any.
 func (s *upstreamState) lacks(version uint64) bool {
 	return version != 0 && len(s.heldVersions) > 0 && !slices.Contains(s.heldVersions, version)
 }
 
-// rampShare rises from rampStartShare to 1 over the ramp.
+// rampShare rises linearly from rampStartShare to 1 over the ramp time.
 func (b *Balancer) rampShare(now clock.Millis, s *upstreamState) float64 {
 	if b.rampMs <= 0 || now >= s.rampStart+b.rampMs {
 		s.ramping = false
@@ -152,13 +155,13 @@
 
 func (s *upstreamState) score(now clock.Millis, g *group) float64 {
 	if s.dead {
-		return 0 // its trial request is due
+		return 0 // a trial request is due and goes first
 	}
 	return float64(s.outstanding+1) * s.expectedMs(now, g)
 }
 
-// expectedMs is the mean latency, moved towards the group's best for the time
-// without samples.
+// expectedMs is the mean latency, which decays towards the group's best during
+// the time without samples.
 func (s *upstreamState) expectedMs(now clock.Millis, g *group) float64 {
 	best := g.bestMean()
 	if s.latency.mean == 0 {
--- a/upstream/record.go
+++ b/upstream/record.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// A refused connection proves that nothing listens; other failures need
-	// this many in a row, because one may be the fault of a single request.
+	// failuresUntilDead is the number of consecutive failures that mark an
+	// upstream dead, because one failure may be caused by a single request. A
+	// refused connection marks it dead at once: it proves that nothing listens.
 	failuresUntilDead = 3
 	minBackoffMs      = 250
 	maxBackoffMs      = 10 * clock.Second
-	// defaultShedPauseMs applies when a shedding upstream names no time.
+	// defaultShedPauseMs applies when an upstream sheds load without a retry time.
 	defaultShedPauseMs = 50
 	maxShedPauseMs     = clock.Second
-	// abandonedFactor estimates the latency of an attempt that was cancelled
-	// while it ran: only the elapsed time is known, and the true latency is higher.
+	// abandonedFactor estimates the latency of an abandoned attempt from its
+	// elapsed time, which is only a lower bound.
 	abandonedFactor = 2
 )
 
-// RecordSent records that an attempt starts.
+// RecordSent records the start of an attempt.
 func (b *Balancer) RecordSent(_ clock.Millis, id ID) {
 	s := b.byID[id]
 	if s == nil {
@@ -33,7 +34,8 @@
 	}
 }
 
-// RecordReply records the end of an attempt. The latency is the reply's queue and service time.
+// RecordReply records the reply that ends an attempt. The latency is the sum of
+// the reply's queue and service time.
 func (b *Balancer) RecordReply(now clock.Millis, id ID, r attempt.Reply) {
 	s := b.byID[id]
 	if s == nil {
@@ -60,8 +62,8 @@
 	}
 }
 
-// RecordAbandoned records that the VM gave up an attempt after elapsed, for example
-// because another replica was faster.
+// RecordAbandoned records that the VM stopped waiting for an attempt after
+// elapsed, for example because another replica replied first.
 func (b *Balancer) RecordAbandoned(now clock.Millis, id ID, elapsed clock.Millis) {
 	s := b.byID[id]
 	if s == nil {
@@ -72,13 +74,14 @@
 	case ms > s.latency.mean:
 		s.recordLatency(now, ms, ms*abandonedFactor)
 	case ms*abandonedFactor > s.latency.mean:
-		// The time agrees with a slow mean, which therefore must not be forgotten.
+		// The elapsed time supports the recorded mean, so the mean's decay
+		// towards the group's best starts again.
 		s.latency.lastSampleAt = now
 	}
 }
 
-// RecordHeldVersions records which snapshot versions an upstream reports outside of a
-// reply. A VM that has just started learns the versions this way.
+// RecordHeldVersions records the snapshot versions that an upstream reports
+// outside of a reply. A VM that has just started gets the versions this way.
 func (b *Balancer) RecordHeldVersions(now clock.Millis, id ID, held []uint64) {
 	if s := b.byID[id]; s != nil && len(held) > 0 {
 		s.heldVersionsAt = now
@@ -93,7 +96,8 @@
 	}
 }
 
-// updateCommonVersions records since when each version is held by every group.
+// updateCommonVersions drops the versions that some group no longer holds and
+// adds those that every group holds as of now.
 func (s *service) updateCommonVersions(now clock.Millis) {
 	versions, knownGroups := s.versions()
 	kept := s.commonVersions[:0]
@@ -112,8 +116,8 @@
 	}
 }
 
-// MarkLeaving records a report that the upstream is leaving. It is binding
-// until the upstream is observed or reported back.
+// MarkLeaving records a report that the upstream is leaving. The upstream gets
+// no attempts until a reply or a report shows that it accepts work again.
 func (b *Balancer) MarkLeaving(now clock.Millis, id ID) {
 	if s := b.byID[id]; s != nil {
 		s.markLeaving(now)
@@ -127,7 +131,7 @@
 	}
 }
 
-// fromUpstream reports whether the upstream itself wrote a reply of this status.
+// fromUpstream reports whether a reply of this status was sent by the upstream itself.
 func fromUpstream(st attempt.Status) bool {
 	return st == attempt.OK || st == attempt.VersionGone || st == attempt.Shed || st == attempt.Leaving
 }
@@ -142,7 +146,8 @@
 	case r.Leaving || r.Status == attempt.Leaving:
 		s.markLeaving(now)
 	case s.leaving && sentAt > s.leavingAt:
-		// An attempt sent before the mark may still end normally and proves nothing.
+		// Only the reply to an attempt sent after the mark counts: an earlier
+		// attempt may still end normally while the upstream drains.
 		s.markAvailable(now)
 	}
 }
@@ -182,7 +187,7 @@
 
 func (s *upstreamState) recordFailure(now clock.Millis, weight int) {
 	s.failures += weight
-	// Attempts that were in flight when the upstream was marked must not
+	// Attempts that were in flight when the upstream was marked dead must not
 	// lengthen its backoff.
 	if s.failures < failuresUntilDead || (s.dead && now < s.retryAt) {
 		return
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -14,11 +14,11 @@
 	Service         string
 	Group           string
 	Address         string // host:port
-	ConnectionLimit int    // limit that all VMs share
+	ConnectionLimit int    // total over all VMs
 	ConnectMs       clock.Millis
 }
 
-// Service describes one service: its groups share the key space [0, Keys).
+// Service describes one service. Its groups partition the key space [0, Keys).
 type Service struct {
 	Name   string
 	Keys   uint32 // 0 for a service that only takes orders
@@ -28,6 +28,6 @@
 // Group is a set of replicas that hold the same keys.
 type Group struct {
 	Name     string
-	Range    coverage.Range // initial share of the key space; replies tell the current one
+	Range    coverage.Range // initial part of the key space; replies report the current one
 	Replicas []Upstream
 }
