--- a/upstream/httpup/client.go
+++ b/upstream/httpup/client.go
@@ -16,48 +16,48 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// controlIdleMs closes the control connection soon after its last use,
+// controlIdleTimeoutMs closes the control connection soon after its last use,
 // because it counts against the limit that all VMs share.
-const controlIdleMs clock.Millis = 1000
+const controlIdleTimeoutMs clock.Millis = 1000
 
 var _ upstream.Client = (*Client)(nil)
 
 // Client implements upstream.Client over fasthttp.
 type Client struct {
-	upstreams  []upstream.Upstream
-	clock      clock.Clock
-	connectMs  clock.Millis
-	idleMs     clock.Millis
-	controlMs  clock.Millis
-	replyBytes int
-	hosts      map[upstream.ID]*host
+	upstreams        []upstream.Upstream
+	clock            clock.Clock
+	connectTimeoutMs clock.Millis
+	idleTimeoutMs    clock.Millis
+	controlTimeoutMs clock.Millis
+	maxReplyBytes    int
+	hosts            map[upstream.ID]*host
 }
 
 // host holds the connections to one upstream and counts its bad replies.
 type host struct {
-	work    *httpcall.Host
-	control *httpcall.Host
-	crossed atomic.Int64
-	cut     atomic.Int64
-	doubled atomic.Int64
+	attempts     *httpcall.Host
+	control      *httpcall.Host
+	wrongAttempt atomic.Int64
+	malformed    atomic.Int64
+	trailingData atomic.Int64
 }
 
 // New returns a client. It opens no connection.
 func New(opts ...Option) *Client {
 	c := &Client{
-		clock:      clock.System{},
-		connectMs:  500,
-		idleMs:     clock.Minute,
-		controlMs:  500,
-		replyBytes: 8 << 20,
+		clock:            clock.System{},
+		connectTimeoutMs: 500,
+		idleTimeoutMs:    clock.Minute,
+		controlTimeoutMs: 500,
+		maxReplyBytes:    8 << 20,
 	}
 	for _, opt := range opts {
 		opt(c)
 	}
 	c.hosts = make(map[upstream.ID]*host, len(c.upstreams))
 	for _, u := range c.upstreams {
-		wait := httpcall.WithWaitTimeout(c.controlMs.Duration())
-		c.hosts[u.ID] = &host{work: c.newHost(u, u.ConnectionLimit, c.idleMs), control: c.newHost(u, 1, controlIdleMs, wait)}
+		wait := httpcall.WithWaitTimeout(c.controlTimeoutMs.Duration())
+		c.hosts[u.ID] = &host{attempts: c.newHost(u, u.ConnectionLimit, c.idleTimeoutMs), control: c.newHost(u, 1, controlIdleTimeoutMs, wait)}
 	}
 	return c
 }
@@ -65,9 +65,9 @@
 func (c *Client) newHost(u upstream.Upstream, connections int, idleMs clock.Millis, extra ...httpcall.Option) *httpcall.Host {
 	opts := append(extra,
 		httpcall.WithMaxConns(connections),
-		httpcall.WithConnectTimeout(c.connectMs.Duration()),
+		httpcall.WithConnectTimeout(c.connectTimeoutMs.Duration()),
 		httpcall.WithIdleTimeout(idleMs.Duration()),
-		httpcall.WithMaxReplyBytes(c.replyBytes),
+		httpcall.WithMaxReplyBytes(c.maxReplyBytes),
 	)
 	return httpcall.New(u.Address, opts...)
 }
@@ -75,29 +75,29 @@
 // SetConnectionLimit changes how many connections to an upstream may be open.
 func (c *Client) SetConnectionLimit(id upstream.ID, n int) {
 	if h, ok := c.hosts[id]; ok {
-		h.work.SetConnectionLimit(n)
+		h.attempts.SetConnectionLimit(n)
 	}
 }
 
 // Close closes all connections; running attempts fail.
 func (c *Client) Close() {
 	for _, h := range c.hosts {
-		h.work.Close()
+		h.attempts.Close()
 		h.control.Close()
 	}
 }
 
 // Cancel asks an upstream to stop an attempt.
-func (c *Client) Cancel(ctx context.Context, id upstream.ID, at attempt.ID) error {
-	body, err := json.Marshal(CancelDoc{Attempt: at})
+func (c *Client) Cancel(ctx context.Context, id upstream.ID, attemptID attempt.ID) error {
+	body, err := json.Marshal(CancelDoc{Attempt: attemptID})
 	if err != nil {
 		return &Error{op: "cancel", kind: KindUnavailable, err: trace.Wrap(err)}
 	}
 	var doc CancelledDoc
-	if err := c.control(ctx, "cancel", id, httpcall.Call{Method: fasthttp.MethodPost, Path: "/cancel", Body: body}, &doc); err != nil {
+	if err := c.doControl(ctx, "cancel", id, httpcall.Call{Method: fasthttp.MethodPost, Path: "/cancel", Body: body}, &doc); err != nil {
 		return err
 	}
-	if doc.Attempt != at {
+	if doc.Attempt != attemptID {
 		return &Error{op: "cancel", kind: KindBadReply, err: errOtherAttempt}
 	}
 	return nil
@@ -106,16 +106,16 @@
 // Load asks an upstream for its load.
 func (c *Client) Load(ctx context.Context, id upstream.ID) (upstream.Load, error) {
 	var load upstream.Load
-	err := c.control(ctx, "load", id, httpcall.Call{Method: fasthttp.MethodGet, Path: "/load"}, &load)
+	err := c.doControl(ctx, "load", id, httpcall.Call{Method: fasthttp.MethodGet, Path: "/load"}, &load)
 	return load, err
 }
 
-func (c *Client) control(ctx context.Context, op string, id upstream.ID, call httpcall.Call, out any) error {
+func (c *Client) doControl(ctx context.Context, op string, id upstream.ID, call httpcall.Call, out any) error {
 	h, ok := c.hosts[id]
 	if !ok {
 		return &Error{op: op, kind: KindUnknownUpstream, err: fmt.Errorf("upstream %q", id)}
 	}
-	call.Timeout = c.controlMs.Duration()
+	call.Timeout = c.controlTimeoutMs.Duration()
 	_, err := h.control.Do(ctx, call, func(r httpcall.Reply) error {
 		if r.Status != fasthttp.StatusOK {
 			return fmt.Errorf("status %d", r.Status)
@@ -126,8 +126,8 @@
 		return nil
 	}
 	kind := KindUnavailable
-	var cerr *httpcall.Error
-	if errors.As(err, &cerr) && cerr.Kind() > httpcall.KindBroken {
+	var callErr *httpcall.Error
+	if errors.As(err, &callErr) && callErr.Kind() > httpcall.KindBroken {
 		kind = KindBadReply
 	}
 	return &Error{op: op, kind: kind, err: trace.Wrap(err, "upstream %s", id)}
--- a/upstream/httpup/httpup_test.go
+++ b/upstream/httpup/httpup_test.go
@@ -28,24 +28,24 @@
 	replyBytes = 4096
 )
 
-// script answers one request on a raw connection; false closes the connection.
-type script func(c net.Conn, doc httpup.RequestDoc) bool
+// replyFunc answers one request on a raw connection; false closes the connection.
+type replyFunc func(c net.Conn, doc httpup.RequestDoc) bool
 
-// peer is a raw HTTP server, so that it can break the protocol.
-type peer struct {
+// rawServer is a raw HTTP server, so that it can break the protocol.
+type rawServer struct {
 	address string
 	open    atomic.Int64
 	peak    atomic.Int64
 	closed  chan struct{} // one value for each connection that ended
 }
 
-func serve(t *testing.T, answer script) *peer {
+func serve(t *testing.T, answer replyFunc) *rawServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{address: ln.Addr().String(), closed: make(chan struct{}, 1000)}
+	s := &rawServer{address: ln.Addr().String(), closed: make(chan struct{}, 1000)}
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
@@ -53,17 +53,17 @@
 			if err != nil {
 				return
 			}
-			wg.Go(func() { p.connection(c, answer) })
+			wg.Go(func() { s.serveConn(c, answer) })
 		}
 	})
 	t.Cleanup(func() { _ = ln.Close(); wg.Wait() })
-	return p
+	return s
 }
 
-func (p *peer) connection(c net.Conn, answer script) {
-	for n, peak := p.open.Add(1), p.peak.Load(); n > peak && !p.peak.CompareAndSwap(peak, n); peak = p.peak.Load() {
+func (s *rawServer) serveConn(c net.Conn, answer replyFunc) {
+	for n, peak := s.open.Add(1), s.peak.Load(); n > peak && !s.peak.CompareAndSwap(peak, n); peak = s.peak.Load() {
 	}
-	defer func() { p.open.Add(-1); _ = c.Close(); p.closed <- struct{}{} }()
+	defer func() { s.open.Add(-1); _ = c.Close(); s.closed <- struct{}{} }()
 	for r := bufio.NewReader(c); ; {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -76,24 +76,24 @@
 	}
 }
 
-func head(length int) string {
+func replyHeader(length int) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", length)
 }
 
-func whole(status string, ran attempt.Execution, at attempt.ID) string {
-	b, _ := json.Marshal(httpup.ReplyDoc{Attempt: at, Status: status, Execution: ran, HeldVersions: []uint64{1},
-		Rows: []coverage.Row{{Key: 1, Value: at.String()}}})
-	return head(len(b)) + string(b)
+func encodeReply(status string, execution attempt.Execution, attemptID attempt.ID) string {
+	b, _ := json.Marshal(httpup.ReplyDoc{Attempt: attemptID, Status: status, Execution: execution, HeldVersions: []uint64{1},
+		Rows: []coverage.Row{{Key: 1, Value: attemptID.String()}}})
+	return replyHeader(len(b)) + string(b)
 }
 
-func write(text func(attempt.ID) string, keep bool) script {
+func replyWith(replyText func(attempt.ID) string, keepOpen bool) replyFunc {
 	return func(c net.Conn, doc httpup.RequestDoc) bool {
-		_, err := io.WriteString(c, text(doc.Attempt))
-		return keep && err == nil
+		_, err := io.WriteString(c, replyText(doc.Attempt))
+		return keepOpen && err == nil
 	}
 }
 
-func client(t *testing.T, address string) *httpup.Client {
+func newClient(t *testing.T, address string) *httpup.Client {
 	t.Helper()
 	c := httpup.New(httpup.WithMaxReplyBytes(replyBytes), httpup.WithServices(upstream.Service{Groups: []upstream.Group{
 		{Replicas: []upstream.Upstream{{ID: id, Address: address, ConnectionLimit: limit}}}}}))
@@ -101,25 +101,25 @@
 	return c
 }
 
-func request(seq uint64, budget clock.Millis) attempt.Request {
-	return attempt.Request{ID: attempt.ID{VM: "vm-1", Incarnation: 1, Seq: seq}, Upstream: id, Deadline: clock.System{}.Now() + budget}
+func newRequest(seq uint64, timeout clock.Millis) attempt.Request {
+	return attempt.Request{ID: attempt.ID{VM: "vm-1", Incarnation: 1, Seq: seq}, Upstream: id, Deadline: clock.System{}.Now() + timeout}
 }
 
 // TestSendStatus guards against a wrong claim about whether work ran, and
 // against a connection that is kept after a reply that cannot be trusted.
 func TestSendStatus(t *testing.T) {
-	ok := func(at attempt.ID) string { return whole("ok", attempt.Executed, at) }
-	reply := func(status string, ran attempt.Execution) script {
-		return write(func(at attempt.ID) string { return whole(status, ran, at) }, true)
+	ok := func(attemptID attempt.ID) string { return encodeReply("ok", attempt.Executed, attemptID) }
+	reply := func(status string, execution attempt.Execution) replyFunc {
+		return replyWith(func(attemptID attempt.ID) string { return encodeReply(status, execution, attemptID) }, true)
 	}
-	text := func(s string) script { return write(func(attempt.ID) string { return s }, true) }
+	text := func(s string) replyFunc { return replyWith(func(attempt.ID) string { return s }, true) }
 	tests := []struct {
-		name   string
-		answer script
-		budget clock.Millis
-		status attempt.Status
-		ran    attempt.Execution
-		closes bool
+		name       string
+		answer     replyFunc
+		timeout    clock.Millis
+		status     attempt.Status
+		execution  attempt.Execution
+		closesConn bool
 	}{
 		{"ok", reply("ok", attempt.Executed), longMs, attempt.OK, attempt.Executed, false},
 		{"version gone", reply("version_gone", attempt.NotExecuted), longMs, attempt.VersionGone, attempt.NotExecuted, false},
@@ -132,45 +132,45 @@
 		{"ok that did not run", reply("ok", attempt.NotExecuted), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"shed that ran", reply("shed", attempt.Executed), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"unknown status", reply("fine", attempt.Executed), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
-		{"another attempt", write(func(at attempt.ID) string { at.Seq++; return ok(at) }, true), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
-		{"doubled", write(func(at attempt.ID) string { return ok(at) + ok(at) }, true), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
-		{"cut body", write(func(at attempt.ID) string { s := ok(at); return s[:len(s)-3] }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
-		{"cut head", write(func(attempt.ID) string { return "HTTP/1.1 200 OK\r\nContent-" }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
-		{"not JSON", text(head(3) + "{]}"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"another attempt", replyWith(func(attemptID attempt.ID) string { attemptID.Seq++; return ok(attemptID) }, true), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"doubled", replyWith(func(attemptID attempt.ID) string { return ok(attemptID) + ok(attemptID) }, true), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"cut body", replyWith(func(attemptID attempt.ID) string { s := ok(attemptID); return s[:len(s)-3] }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"cut head", replyWith(func(attempt.ID) string { return "HTTP/1.1 200 OK\r\nContent-" }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"not JSON", text(replyHeader(3) + "{]}"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"no length", text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"no body", text("HTTP/1.1 204 No Content\r\n\r\n"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
-		{"oversized", text(head(replyBytes+1) + strings.Repeat("x", replyBytes+1)), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"oversized", text(replyHeader(replyBytes+1) + strings.Repeat("x", replyBytes+1)), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"HTTP error", text("HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\n{}"), longMs, attempt.Failed, attempt.ExecutionUnknown, true},
 		{"closed without a reply", func(net.Conn, httpup.RequestDoc) bool { return false }, longMs, attempt.Failed, attempt.ExecutionUnknown, true},
 		{"no reply", func(net.Conn, httpup.RequestDoc) bool { return true }, shortMs, attempt.TimedOut, attempt.ExecutionUnknown, true},
-		{"half a reply", text(head(10) + "{"), shortMs, attempt.TimedOut, attempt.ExecutionUnknown, true},
+		{"half a reply", text(replyHeader(10) + "{"), shortMs, attempt.TimedOut, attempt.ExecutionUnknown, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			p := serve(t, tt.answer)
-			c := client(t, p.address)
-			req := request(1, tt.budget)
+			s := serve(t, tt.answer)
+			c := newClient(t, s.address)
+			req := newRequest(1, tt.timeout)
 			got := c.Send(t.Context(), req)
-			if got.Status != tt.status || got.Execution != tt.ran || got.ID != req.ID || got.Upstream != id {
-				t.Errorf("Send = %+v, want status %v, ran %v", got, tt.status, tt.ran)
+			if got.Status != tt.status || got.Execution != tt.execution || got.ID != req.ID || got.Upstream != id {
+				t.Errorf("Send = %+v, want status %v, ran %v", got, tt.status, tt.execution)
 			}
 			if got.Status == attempt.Mismatched && (got.Rows != nil || got.Body != nil) {
 				t.Errorf("mismatched reply delivers %v %q", got.Rows, got.Body)
 			}
-			if tt.closes {
-				<-p.closed // hangs until the test times out if the connection is kept
+			if tt.closesConn {
+				<-s.closed // hangs until the test times out if the connection is kept
 			}
-			if open := c.Stats(id).OpenConns; tt.closes && open != 0 {
+			if open := c.Stats(id).OpenConns; tt.closesConn && open != 0 {
 				t.Errorf("got %d open connections, want 0", open)
 			}
 		})
 	}
 }
 
-// refusing returns an address that refuses connections. It is the local end of
+// refusedAddress returns an address that refuses connections. It is the local end of
 // an open connection, so no other process can listen on it meanwhile.
-func refusing(t *testing.T) string {
+func refusedAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -186,10 +186,10 @@
 
 // TestSendNotSent guards against an unknown result where nothing was sent.
 func TestSendNotSent(t *testing.T) {
-	address := refusing(t)
+	address := refusedAddress(t)
 	done, cancel := context.WithCancel(t.Context())
 	cancel()
-	other := request(1, longMs)
+	other := newRequest(1, longMs)
 	other.Upstream = "search/g1/z"
 	tests := []struct {
 		name        string
@@ -198,15 +198,15 @@
 		connections int
 		want        attempt.Status
 	}{
-		{"connection refused", t.Context(), request(1, longMs), limit, attempt.ConnRefused},
-		{"deadline passed", t.Context(), request(1, -1), limit, attempt.NotSent},
-		{"context done", done, request(1, longMs), limit, attempt.NotSent},
-		{"no connection allowed", t.Context(), request(1, longMs), 0, attempt.NotSent},
+		{"connection refused", t.Context(), newRequest(1, longMs), limit, attempt.ConnRefused},
+		{"deadline passed", t.Context(), newRequest(1, -1), limit, attempt.NotSent},
+		{"context done", done, newRequest(1, longMs), limit, attempt.NotSent},
+		{"no connection allowed", t.Context(), newRequest(1, longMs), 0, attempt.NotSent},
 		{"unknown upstream", t.Context(), other, limit, attempt.NotSent},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := client(t, address)
+			c := newClient(t, address)
 			c.SetConnectionLimit(id, tt.connections)
 			if got := c.Send(tt.ctx, tt.req); got.Status != tt.want || got.Execution != attempt.NotExecuted {
 				t.Errorf("Send = %v %v, want %v no", got.Status, got.Execution, tt.want)
@@ -218,18 +218,18 @@
 // TestLateSecondReply guards against a second reply that is delivered to the
 // next request, and against a request repeated after it was written.
 func TestLateSecondReply(t *testing.T) {
-	var runs atomic.Int64
-	p := serve(t, func(c net.Conn, doc httpup.RequestDoc) bool {
-		runs.Add(1)
-		one := whole("ok", attempt.Executed, doc.Attempt)
-		_, _ = io.WriteString(c, one)
-		_, err := io.WriteString(c, one)
+	var requests atomic.Int64
+	s := serve(t, func(c net.Conn, doc httpup.RequestDoc) bool {
+		requests.Add(1)
+		reply := encodeReply("ok", attempt.Executed, doc.Attempt)
+		_, _ = io.WriteString(c, reply)
+		_, err := io.WriteString(c, reply)
 		return err == nil
 	})
-	c := client(t, p.address)
+	c := newClient(t, s.address)
 	const sends = 200
 	for seq := range uint64(sends) {
-		req := request(seq, longMs)
+		req := newRequest(seq, longMs)
 		got := c.Send(t.Context(), req)
 		for _, row := range got.Rows {
 			if row.Value != req.ID.String() {
@@ -237,29 +237,29 @@
 			}
 		}
 	}
-	if got := runs.Load(); got > sends {
+	if got := requests.Load(); got > sends {
 		t.Errorf("upstream saw %d requests, want at most %d", got, sends)
 	}
-	if s := c.Stats(id); s.TrailingData+s.StaleConns+s.WrongAttempt == 0 {
-		t.Errorf("Stats = %+v, want dropped replies counted", s)
+	if stats := c.Stats(id); stats.TrailingData+stats.StaleConns+stats.WrongAttempt == 0 {
+		t.Errorf("Stats = %+v, want dropped replies counted", stats)
 	}
 }
 
 // TestConnectionLimit guards against more open connections than allowed.
 func TestConnectionLimit(t *testing.T) {
-	p := serve(t, write(func(at attempt.ID) string { return whole("ok", attempt.Executed, at) }, true))
-	c := client(t, p.address)
+	s := serve(t, replyWith(func(attemptID attempt.ID) string { return encodeReply("ok", attempt.Executed, attemptID) }, true))
+	c := newClient(t, s.address)
 	var wg sync.WaitGroup
 	for seq := range uint64(64) {
 		wg.Go(func() {
-			got := c.Send(t.Context(), request(seq, longMs))
+			got := c.Send(t.Context(), newRequest(seq, longMs))
 			if got.Status != attempt.OK && (got.Status != attempt.NotSent || got.Execution != attempt.NotExecuted) {
 				t.Errorf("Send = %v %v, want ok or not_sent no", got.Status, got.Execution)
 			}
 		})
 	}
 	wg.Wait()
-	if got := p.peak.Load(); got > limit {
+	if got := s.peak.Load(); got > limit {
 		t.Errorf("upstream saw %d connections at once, want at most %d", got, limit)
 	}
 	if got := c.Stats(id).OpenedConns; got == 0 || got > limit {
--- a/upstream/httpup/options.go
+++ b/upstream/httpup/options.go
@@ -23,13 +23,13 @@
 func WithClock(clk clock.Clock) Option { return func(c *Client) { c.clock = clk } }
 
 // WithConnectTimeout bounds the opening of a connection.
-func WithConnectTimeout(ms clock.Millis) Option { return func(c *Client) { c.connectMs = ms } }
+func WithConnectTimeout(ms clock.Millis) Option { return func(c *Client) { c.connectTimeoutMs = ms } }
 
 // WithIdleTimeout closes connections that were not used for ms.
-func WithIdleTimeout(ms clock.Millis) Option { return func(c *Client) { c.idleMs = ms } }
+func WithIdleTimeout(ms clock.Millis) Option { return func(c *Client) { c.idleTimeoutMs = ms } }
 
 // WithControlTimeout bounds a call of Cancel or Load.
-func WithControlTimeout(ms clock.Millis) Option { return func(c *Client) { c.controlMs = ms } }
+func WithControlTimeout(ms clock.Millis) Option { return func(c *Client) { c.controlTimeoutMs = ms } }
 
 // WithMaxReplyBytes bounds the body of a reply.
-func WithMaxReplyBytes(n int) Option { return func(c *Client) { c.replyBytes = n } }
+func WithMaxReplyBytes(n int) Option { return func(c *Client) { c.maxReplyBytes = n } }
--- a/upstream/httpup/send.go
+++ b/upstream/httpup/send.go
@@ -22,26 +22,26 @@
 
 // Send runs one attempt and returns its reply.
 func (c *Client) Send(ctx context.Context, req attempt.Request) attempt.Reply {
-	begin := c.clock.Now()
-	reply := c.send(ctx, req, req.Deadline-begin)
+	start := c.clock.Now()
+	reply := c.send(ctx, req, req.Deadline-start)
 	reply.ID = req.ID
 	reply.Upstream = req.Upstream
-	reply.ServiceMs = max(c.clock.Now()-begin, 0)
+	reply.ServiceMs = max(c.clock.Now()-start, 0)
 	return reply
 }
 
-func (c *Client) send(ctx context.Context, req attempt.Request, budget clock.Millis) attempt.Reply {
+func (c *Client) send(ctx context.Context, req attempt.Request, remaining clock.Millis) attempt.Reply {
 	h, ok := c.hosts[upstream.ID(req.Upstream)]
-	if !ok || budget <= 0 {
+	if !ok || remaining <= 0 {
 		return attempt.Reply{Status: attempt.NotSent, Execution: attempt.NotExecuted}
 	}
-	body, err := json.Marshal(requestDoc(req, budget))
+	body, err := json.Marshal(newRequestDoc(req, remaining))
 	if err != nil {
 		return attempt.Reply{Status: attempt.NotSent, Execution: attempt.NotExecuted}
 	}
-	call := httpcall.Call{Method: fasthttp.MethodPost, Path: path(req.Kind), Body: body, Timeout: budget.Duration()}
+	call := httpcall.Call{Method: fasthttp.MethodPost, Path: requestPath(req.Kind), Body: body, Timeout: remaining.Duration()}
 	var reply attempt.Reply
-	_, err = h.work.Do(ctx, call, func(r httpcall.Reply) (err error) {
+	_, err = h.attempts.Do(ctx, call, func(r httpcall.Reply) (err error) {
 		if r.Status != fasthttp.StatusOK {
 			return statusError(r.Status)
 		}
@@ -49,25 +49,25 @@
 		return err
 	})
 	if err != nil {
-		return h.failed(err)
+		return h.replyForError(err)
 	}
 	return reply
 }
 
-func path(kind attempt.Kind) string {
+func requestPath(kind attempt.Kind) string {
 	if kind == attempt.Order {
 		return "/order"
 	}
 	return "/query"
 }
 
-func requestDoc(req attempt.Request, budget clock.Millis) RequestDoc {
+func newRequestDoc(req attempt.Request, remaining clock.Millis) RequestDoc {
 	return RequestDoc{
 		Attempt:    req.ID,
 		Service:    req.Service,
 		Group:      req.Group,
 		Version:    req.Version,
-		DeadlineMs: budget,
+		DeadlineMs: remaining,
 		Rank:       req.Rank,
 		Priority:   req.Priority,
 		OrderID:    req.OrderID,
@@ -75,13 +75,13 @@
 	}
 }
 
-// failed maps a failed call to a reply and counts replies that were dropped.
-func (h *host) failed(err error) attempt.Reply {
-	var cerr *httpcall.Error
-	if !errors.As(err, &cerr) {
+// replyForError maps a failed call to a reply and counts replies that were dropped.
+func (h *host) replyForError(err error) attempt.Reply {
+	var callErr *httpcall.Error
+	if !errors.As(err, &callErr) {
 		return attempt.Reply{Status: attempt.Failed, Execution: attempt.ExecutionUnknown}
 	}
-	switch cerr.Kind() {
+	switch callErr.Kind() {
 	case httpcall.KindNotSent, httpcall.KindStale:
 		return attempt.Reply{Status: attempt.NotSent, Execution: attempt.NotExecuted}
 	case httpcall.KindDial:
@@ -94,19 +94,19 @@
 		if errors.As(err, new(statusError)) {
 			return attempt.Reply{Status: attempt.Failed, Execution: attempt.ExecutionUnknown}
 		}
-		h.count(err)
+		h.countRejected(err)
 	case httpcall.KindTrailingData:
-		h.doubled.Add(1)
+		h.trailingData.Add(1)
 	default:
-		h.cut.Add(1)
+		h.malformed.Add(1)
 	}
 	return attempt.Reply{Status: attempt.Mismatched, Execution: attempt.ExecutionUnknown}
 }
 
-func (h *host) count(err error) {
+func (h *host) countRejected(err error) {
 	if errors.Is(err, errOtherAttempt) {
-		h.crossed.Add(1)
+		h.wrongAttempt.Add(1)
 		return
 	}
-	h.cut.Add(1)
+	h.malformed.Add(1)
 }
--- a/upstream/httpup/stats.go
+++ b/upstream/httpup/stats.go
@@ -20,12 +20,12 @@
 		return Stats{}
 	}
 	return Stats{
-		OpenedConns:  h.work.OpenedConns(),
-		OpenConns:    h.work.OpenConns(),
-		PeakConns:    h.work.PeakConns(),
-		WrongAttempt: int(h.crossed.Load()),
-		Malformed:    int(h.cut.Load()),
-		TrailingData: int(h.doubled.Load()),
-		StaleConns:   h.work.StaleConns(),
+		OpenedConns:  h.attempts.OpenedConns(),
+		OpenConns:    h.attempts.OpenConns(),
+		PeakConns:    h.attempts.PeakConns(),
+		WrongAttempt: int(h.wrongAttempt.Load()),
+		Malformed:    int(h.malformed.Load()),
+		TrailingData: int(h.trailingData.Load()),
+		StaleConns:   h.attempts.StaleConns(),
 	}
 }
--- a/upstream/httpup/wire.go
+++ b/upstream/httpup/wire.go
@@ -62,14 +62,14 @@
 	StatusFailed      = "failed"
 )
 
-// outcome is what a wire status means. A settled outcome fixes whether the work ran.
-type outcome struct {
-	status  attempt.Status
-	ran     attempt.Execution
-	settled bool
+// statusMeaning is what a wire status means. A settled outcome fixes whether the work ran.
+type statusMeaning struct {
+	status         attempt.Status
+	execution      attempt.Execution
+	executionFixed bool
 }
 
-var outcomes = map[string]outcome{
+var statusMeanings = map[string]statusMeaning{
 	StatusOK:          {attempt.OK, attempt.Executed, true},
 	StatusVersionGone: {attempt.VersionGone, attempt.NotExecuted, true},
 	StatusShed:        {attempt.Shed, attempt.NotExecuted, true},
@@ -80,9 +80,9 @@
 }
 
 var (
-	errOtherAttempt = errors.New("reply to another attempt")
-	errContradicts  = errors.New("status and ran contradict")
-	errBadRange     = errors.New("range is empty or reversed")
+	errOtherAttempt  = errors.New("reply to another attempt")
+	errContradictory = errors.New("status and ran contradict")
+	errBadRange      = errors.New("range is empty or reversed")
 )
 
 // DecodeReply decodes the reply to an attempt. It refuses a reply that belongs
@@ -95,22 +95,22 @@
 	if doc.Attempt != id {
 		return attempt.Reply{}, fmt.Errorf("%w: got %s, want %s", errOtherAttempt, doc.Attempt, id)
 	}
-	o, ok := outcomes[doc.Status]
+	meaning, ok := statusMeanings[doc.Status]
 	if !ok {
 		return attempt.Reply{}, fmt.Errorf("status %q is unknown", doc.Status)
 	}
-	if o.settled && doc.Execution != o.ran {
-		return attempt.Reply{}, fmt.Errorf("%w: %s and %s", errContradicts, doc.Status, doc.Execution)
+	if meaning.executionFixed && doc.Execution != meaning.execution {
+		return attempt.Reply{}, fmt.Errorf("%w: %s and %s", errContradictory, doc.Status, doc.Execution)
 	}
 	for _, r := range doc.Ranges {
 		if r.Len() == 0 {
 			return attempt.Reply{}, fmt.Errorf("%w: [%d, %d)", errBadRange, r.From, r.To)
 		}
 	}
-	return doc.reply(o.status), nil
+	return doc.toReply(meaning.status), nil
 }
 
-func (d *ReplyDoc) reply(status attempt.Status) attempt.Reply {
+func (d *ReplyDoc) toReply(status attempt.Status) attempt.Reply {
 	return attempt.Reply{
 		ID:           d.Attempt,
 		Status:       status,
