--- a/upstream/httpup/client.go
+++ b/upstream/httpup/client.go
@@ -16,8 +16,8 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// controlIdleTimeoutMs closes the control connection soon after its last use,
-// because it counts against the limit that all VMs share.
+// controlIdleTimeoutMs is short, so that the control connection closes soon after
+// its last use: it counts against the limit that all VMs share.
 const controlIdleTimeoutMs clock.Millis = 1000
 
 var _ upstream.Client = (*Client)(nil)
@@ -33,7 +33,7 @@
 	hosts            map[upstream.ID]*host
 }
 
-// host holds the connections to one upstream and counts its bad replies.
+// host holds the connections to one upstream and counts the replies that were dropped.
 type host struct {
 	attempts     *httpcall.Host
 	control      *httpcall.Host
@@ -72,14 +72,15 @@
 	return httpcall.New(u.Address, opts...)
 }
 
-// SetConnectionLimit changes how many connections to an upstream may be open.
+// SetConnectionLimit sets the maximum number of open connections to an upstream,
+// without the control connection.
 func (c *Client) SetConnectionLimit(id upstream.ID, n int) {
 	if h, ok := c.hosts[id]; ok {
 		h.attempts.SetConnectionLimit(n)
 	}
 }
 
-// Close closes all connections; running attempts fail.
+// Close closes all connections. Attempts in flight fail.
 func (c *Client) Close() {
 	for _, h := range c.hosts {
 		h.attempts.Close()
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// Load asks an upstream for its load.
+// Load returns the load that an upstream reports.
 func (c *Client) Load(ctx context.Context, id upstream.ID) (upstream.Load, error) {
 	var load upstream.Load
 	err := c.doControl(ctx, "load", id, httpcall.Call{Method: fasthttp.MethodGet, Path: "/load"}, &load)
@@ -113,12 +114,12 @@
 func (c *Client) doControl(ctx context.Context, op string, id upstream.ID, call httpcall.Call, out any) error {
 	h, ok := c.hosts[id]
 	if !ok {
-		return &Error{op: op, kind: KindUnknownUpstream, err: fmt.Errorf("upstream %q", id)}
+		return &Error{op: op, kind: KindUnknownUpstream, err: fmt.Errorf("upstream %q is not configured", id)}
 	}
 	call.Timeout = c.controlTimeoutMs.Duration()
 	_, err := h.control.Do(ctx, call, func(r httpcall.Reply) error {
 		if r.Status != fasthttp.StatusOK {
-			return fmt.Errorf("status %d", r.Status)
+			return fmt.Errorf("HTTP status is %d, want 200", r.Status)
 		}
 		return json.Unmarshal(r.Body, out)
 	})
--- a/upstream/httpup/decode_bench_test.go
+++ b/upstream/httpup/decode_bench_test.go
@@ -10,8 +10,8 @@
 	"lentillink.example/lentillink/upstream/httpup"
 )
 
-// BenchmarkDecodeReply decodes a reply of ten rows, the work that a carrier
-// does once per sub-request.
+// BenchmarkDecodeReply decodes a reply of ten rows, which the carrier (the VM
+// that owns the connections to an upstream) does once per sub-request.
 func BenchmarkDecodeReply(b *testing.B) {
 	id := attempt.ID{VM: "vm-1", Incarnation: 1 << 60, Seq: 77}
 	doc := httpup.ReplyDoc{Attempt: id, Status: httpup.StatusOK, Execution: attempt.Executed, Version: 3, Epoch: 2,
--- a/upstream/httpup/doc.go
+++ b/upstream/httpup/doc.go
@@ -1,7 +1,7 @@
 // Package httpup sends attempts to upstreams over HTTP.
 //
-// The line protocol is JSON. Byte fields are base64. Unknown fields are
-// ignored in replies, so that upstreams may add some.
+// Bodies are JSON with byte fields in base64. Unknown fields of replies are
+// ignored, so that upstreams may add some.
 //
 //	POST /query, POST /order
 //	  {"attempt": {"vm": "vm-1", "incarnation": 1, "seq": 7},
@@ -18,35 +18,39 @@
 //	  200 {"healthy": true, "leaving": false, "cold": false, "running": 1,
 //	   "queued": 0, "connections": 2, "held": [2, 3]}
 //
-// deadline_ms is the budget that remains when the request is sent. A reply
-// must carry a Content-Length and the attempt identifier of its request.
+// deadline_ms is the remaining time when the request is sent. A reply must
+// carry a Content-Length and the attempt identifier of its request.
 //
 //	status        meaning                                    ran
-//	ok            the work was run                           yes
+//	ok            the work was executed                      yes
 //	version_gone  the version is not held                    no
 //	shed          refused under load                         no
 //	leaving       the upstream is draining                   no
-//	expired       the deadline passed                        as "ran" says
-//	cancelled     cancelled by /cancel                       as "ran" says
-//	failed        the upstream failed                        as "ran" says
+//	expired       the deadline passed                        any
+//	cancelled     cancelled by /cancel                       any
+//	failed        the upstream failed                        any
 //
-// A reply that contradicts this table is treated as mismatched. Failures map
-// to attempt statuses as follows.
+// "ran" is the execution state of the work: yes, no or unknown. For the last
+// three statuses the client takes it from the reply. A reply that contradicts
+// this table is treated as mismatched. Failures map to attempt statuses as
+// follows.
 //
 //	failure                                      status      ran
-//	no time, no free connection, client closed   not_sent    no
+//	no remaining time, no free connection,
+//	  client closed                              not_sent    no
 //	connection refused or not opened in time     refused     no
 //	new connection closed before the first write refused     no
 //	deadline after the first write               timed_out   unknown
 //	connection broken after the first write      failed      unknown
 //	HTTP status other than 200                   failed      unknown
-//	wrong attempt, cut, oversized, doubled       mismatched  unknown
+//	wrong attempt, truncated, oversized, or
+//	  further bytes after the reply              mismatched  unknown
 //
-// An upstream above its connection limit that accepts and closes connections
-// is seen as refused if its reset arrives before the first write, and as failed
-// otherwise.
+// If an upstream above its connection limit accepts connections and closes
+// them, the status is refused if the reset arrives before the first write, and
+// failed otherwise.
 //
-// Connections to an upstream are bounded; /cancel and /load use one further
-// connection that closes soon after its last use, so that a cancellation never
-// waits behind the work that it cancels.
+// Connections to an upstream are bounded. /cancel and /load use one further
+// connection, so that a cancellation is never queued behind the work that it
+// cancels. It closes soon after its last use.
 package httpup
--- a/upstream/httpup/error.go
+++ b/upstream/httpup/error.go
@@ -5,8 +5,8 @@
 // Kind classifies an Error.
 type Kind uint8
 
-// KindUnknownUpstream means that the client has no such upstream,
-// KindUnavailable that it was not reached, KindBadReply that its reply is of no use.
+// KindUnknownUpstream means that the upstream is not configured, KindUnavailable
+// that it did not reply, KindBadReply that its reply was rejected.
 const (
 	KindUnknownUpstream Kind = iota
 	KindUnavailable
--- a/upstream/httpup/httpup_test.go
+++ b/upstream/httpup/httpup_test.go
@@ -28,15 +28,16 @@
 	replyBytes = 4096
 )
 
-// replyFunc answers one request on a raw connection; false closes the connection.
+// replyFunc writes the reply to one request on a raw connection. If it returns
+// false, the connection is closed.
 type replyFunc func(c net.Conn, doc httpup.RequestDoc) bool
 
-// rawServer is a raw HTTP server, so that it can break the protocol.
+// rawServer is an HTTP server that writes raw bytes, so that it can violate the protocol.
 type rawServer struct {
 	address string
 	open    atomic.Int64
 	peak    atomic.Int64
-	closed  chan struct{} // one value for each connection that ended
+	closed  chan struct{} // receives one value for each connection that was closed
 }
 
 func serve(t *testing.T, answer replyFunc) *rawServer {
@@ -105,8 +106,8 @@
 	return attempt.Request{ID: attempt.ID{VM: "vm-1", Incarnation: 1, Seq: seq}, Upstream: id, Deadline: clock.System{}.Now() + timeout}
 }
 
-// TestSendStatus guards against a wrong claim about whether work ran, and
-// against a connection that is kept after a reply that cannot be trusted.
+// TestSendStatus guards against a wrong status or execution state, and against
+// reuse of a connection after an invalid reply.
 func TestSendStatus(t *testing.T) {
 	ok := func(attemptID attempt.ID) string { return encodeReply("ok", attempt.Executed, attemptID) }
 	reply := func(status string, execution attempt.Execution) replyFunc {
@@ -129,13 +130,13 @@
 		{"expired while it ran", reply("expired", attempt.ExecutionUnknown), longMs, attempt.TimedOut, attempt.ExecutionUnknown, false},
 		{"cancelled before it started", reply("cancelled", attempt.NotExecuted), longMs, attempt.Cancelled, attempt.NotExecuted, false},
 		{"cancelled while it ran", reply("cancelled", attempt.ExecutionUnknown), longMs, attempt.Cancelled, attempt.ExecutionUnknown, false},
-		{"ok that did not run", reply("ok", attempt.NotExecuted), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
-		{"shed that ran", reply("shed", attempt.Executed), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"ok but not executed", reply("ok", attempt.NotExecuted), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"shed but executed", reply("shed", attempt.Executed), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"unknown status", reply("fine", attempt.Executed), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"another attempt", replyWith(func(attemptID attempt.ID) string { attemptID.Seq++; return ok(attemptID) }, true), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"doubled", replyWith(func(attemptID attempt.ID) string { return ok(attemptID) + ok(attemptID) }, true), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
-		{"cut body", replyWith(func(attemptID attempt.ID) string { s := ok(attemptID); return s[:len(s)-3] }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
-		{"cut head", replyWith(func(attempt.ID) string { return "HTTP/1.1 200 OK\r\nContent-" }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"truncated body", replyWith(func(attemptID attempt.ID) string { s := ok(attemptID); return s[:len(s)-3] }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
+		{"truncated header", replyWith(func(attempt.ID) string { return "HTTP/1.1 200 OK\r\nContent-" }, false), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"not JSON", text(replyHeader(3) + "{]}"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"no length", text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
 		{"no body", text("HTTP/1.1 204 No Content\r\n\r\n"), longMs, attempt.Mismatched, attempt.ExecutionUnknown, true},
@@ -143,7 +144,7 @@
 		{"HTTP error", text("HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\n{}"), longMs, attempt.Failed, attempt.ExecutionUnknown, true},
 		{"closed without a reply", func(net.Conn, httpup.RequestDoc) bool { return false }, longMs, attempt.Failed, attempt.ExecutionUnknown, true},
 		{"no reply", func(net.Conn, httpup.RequestDoc) bool { return true }, shortMs, attempt.TimedOut, attempt.ExecutionUnknown, true},
-		{"half a reply", text(replyHeader(10) + "{"), shortMs, attempt.TimedOut, attempt.ExecutionUnknown, true},
+		{"incomplete reply", text(replyHeader(10) + "{"), shortMs, attempt.TimedOut, attempt.ExecutionUnknown, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -153,7 +154,7 @@
 			req := newRequest(1, tt.timeout)
 			got := c.Send(t.Context(), req)
 			if got.Status != tt.status || got.Execution != tt.execution || got.ID != req.ID || got.Upstream != id {
-				t.Errorf("Send = %+v, want status %v, ran %v", got, tt.status, tt.execution)
+				t.Errorf("Send = %+v, want status %v, execution state %v", got, tt.status, tt.execution)
 			}
 			if got.Status == attempt.Mismatched && (got.Rows != nil || got.Body != nil) {
 				t.Errorf("mismatched reply delivers %v %q", got.Rows, got.Body)
@@ -168,8 +169,8 @@
 	}
 }
 
-// refusedAddress returns an address that refuses connections. It is the local end of
-// an open connection, so no other process can listen on it meanwhile.
+// refusedAddress returns an address that refuses connections. It is the local
+// address of an open connection, so no other process can listen on it meanwhile.
 func refusedAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -184,7 +185,7 @@
 	return c.LocalAddr().String()
 }
 
-// TestSendNotSent guards against an unknown result where nothing was sent.
+// TestSendNotSent guards against the execution state unknown where nothing was sent.
 func TestSendNotSent(t *testing.T) {
 	address := refusedAddress(t)
 	done, cancel := context.WithCancel(t.Context())
@@ -215,8 +216,8 @@
 	}
 }
 
-// TestLateSecondReply guards against a second reply that is delivered to the
-// next request, and against a request repeated after it was written.
+// TestLateSecondReply guards against a late second reply that is matched to the
+// next request, and against a request that is sent again after it was written.
 func TestLateSecondReply(t *testing.T) {
 	var requests atomic.Int64
 	s := serve(t, func(c net.Conn, doc httpup.RequestDoc) bool {
@@ -267,7 +268,8 @@
 	}
 }
 
-// FuzzDecodeReply guards against a panic and against a reply to another attempt.
+// FuzzDecodeReply guards against a panic, against acceptance of a reply to another
+// attempt, and against an ok reply that was not executed.
 func FuzzDecodeReply(f *testing.F) {
 	want := attempt.ID{VM: "vm-1", Incarnation: 1, Seq: 7}
 	f.Add([]byte(`{"attempt":{"vm":"vm-1","incarnation":1,"seq":7},"status":"ok","ran":"yes","ranges":[{"from":0,"to":1}]}`))
--- a/upstream/httpup/options.go
+++ b/upstream/httpup/options.go
@@ -19,17 +19,17 @@
 	}
 }
 
-// WithClock sets the clock that request deadlines refer to.
+// WithClock sets the clock of the request deadlines.
 func WithClock(clk clock.Clock) Option { return func(c *Client) { c.clock = clk } }
 
-// WithConnectTimeout bounds the opening of a connection.
+// WithConnectTimeout bounds the time to open a connection.
 func WithConnectTimeout(ms clock.Millis) Option { return func(c *Client) { c.connectTimeoutMs = ms } }
 
-// WithIdleTimeout closes connections that were not used for ms.
+// WithIdleTimeout sets the time after which an unused connection is closed.
 func WithIdleTimeout(ms clock.Millis) Option { return func(c *Client) { c.idleTimeoutMs = ms } }
 
-// WithControlTimeout bounds a call of Cancel or Load.
+// WithControlTimeout bounds the duration of a call of Cancel or Load.
 func WithControlTimeout(ms clock.Millis) Option { return func(c *Client) { c.controlTimeoutMs = ms } }
 
-// WithMaxReplyBytes bounds the body of a reply.
+// WithMaxReplyBytes bounds the size of the body of a reply.
 func WithMaxReplyBytes(n int) Option { return func(c *Client) { c.maxReplyBytes = n } }
--- a/upstream/httpup/send.go
+++ b/upstream/httpup/send.go
@@ -18,7 +18,7 @@
 // statusError is a reply with an HTTP status other than 200.
 type statusError int
 
-func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+func (e statusError) Error() string { return fmt.Sprintf("HTTP status is %d, want 200", int(e)) }
 
 // Send runs one attempt and returns its reply.
 func (c *Client) Send(ctx context.Context, req attempt.Request) attempt.Reply {
@@ -75,7 +75,8 @@
 	}
 }
 
-// replyForError maps a failed call to a reply and counts replies that were dropped.
+// replyForError maps the error of a call to a reply and counts the upstream's
+// replies that were dropped.
 func (h *host) replyForError(err error) attempt.Reply {
 	var callErr *httpcall.Error
 	if !errors.As(err, &callErr) {
--- a/upstream/httpup/stats.go
+++ b/upstream/httpup/stats.go
@@ -8,9 +8,9 @@
 	OpenConns    int // connections open now, without the control connection
 	PeakConns    int // most connections open or being opened at once
 	WrongAttempt int // replies to another attempt
-	Malformed    int // replies that were cut, oversized or not readable
+	Malformed    int // replies that were truncated, oversized, not decodable or contradictory
 	TrailingData int // replies followed by further bytes
-	StaleConns   int // kept connections found closed or with further bytes before use
+	StaleConns   int // idle connections found closed or with unread bytes before reuse
 }
 
 // Stats returns the counts of an upstream.
--- a/upstream/httpup/wire.go
+++ b/upstream/httpup/wire.go
@@ -51,7 +51,7 @@
 	Found   bool       `json:"found"`
 }
 
-// The statuses of ReplyDoc.
+// The values of ReplyDoc.Status.
 const (
 	StatusOK          = "ok"
 	StatusVersionGone = "version_gone"
@@ -62,7 +62,8 @@
 	StatusFailed      = "failed"
 )
 
-// statusMeaning is what a wire status means. A settled outcome fixes whether the work ran.
+// statusMeaning is the result of an attempt for a status on the wire. With
+// executionFixed, the reply must carry exactly this execution state.
 type statusMeaning struct {
 	status         attempt.Status
 	execution      attempt.Execution
@@ -81,12 +82,13 @@
 
 var (
 	errOtherAttempt  = errors.New("reply to another attempt")
-	errContradictory = errors.New("status and ran contradict")
+	errContradictory = errors.New("status and ran contradict each other")
 	errBadRange      = errors.New("range is empty or reversed")
 )
 
-// DecodeReply decodes the reply to an attempt. It refuses a reply that belongs
-// to another attempt, is not whole, or contradicts itself.
+// DecodeReply decodes the reply to an attempt. It rejects a reply that belongs
+// to another attempt, is not valid JSON, or whose status, execution state or
+// ranges are invalid.
 func DecodeReply(id attempt.ID, body []byte) (attempt.Reply, error) {
 	var doc ReplyDoc
 	if err := json.Unmarshal(body, &doc); err != nil {
@@ -97,7 +99,7 @@
 	}
 	meaning, ok := statusMeanings[doc.Status]
 	if !ok {
-		return attempt.Reply{}, fmt.Errorf("status %q is unknown", doc.Status)
+		return attempt.Reply{}, fmt.Errorf("status is %q, want a status of the protocol", doc.Status)
 	}
 	if meaning.executionFixed && doc.Execution != meaning.execution {
 		return attempt.Reply{}, fmt.Errorf("%w: %s and %s", errContradictory, doc.Status, doc.Execution)
