--- a/store/error.go
+++ b/store/error.go
@@ -59,9 +59,9 @@
 	if err == nil {
 		return KindOK
 	}
-	var failed *Error
-	if errors.As(err, &failed) {
-		return failed.Kind()
+	var storeErr *Error
+	if errors.As(err, &storeErr) {
+		return storeErr.Kind()
 	}
 	return KindUnknown
 }
