--- a/store/httpstore/client.go
+++ b/store/httpstore/client.go
@@ -20,8 +20,8 @@
 // maxValueBytes is the largest value that the platform's store accepts.
 const maxValueBytes = 1 << 20
 
-// maxAnswerBytes leaves room for base64 and the other fields of an answer.
-const maxAnswerBytes = 2 * maxValueBytes
+// maxReplyBytes leaves room for base64 and the other fields of an answer.
+const maxReplyBytes = 2 * maxValueBytes
 
 var _ store.Store = (*Client)(nil)
 
@@ -32,33 +32,33 @@
 
 // Client implements store.Store. Its errors are of type *store.Error.
 type Client struct {
-	address     string
-	timeoutMs   clock.Millis
-	waitMs      clock.Millis
-	connections int
-	host        *httpcall.Host
-	done        chan struct{} // closed by Close
-
-	mu      sync.Mutex
-	watches map[*httpcall.Host]struct{}
-	closed  bool
+	address        string
+	timeoutMs      clock.Millis
+	watchTimeoutMs clock.Millis
+	maxConns       int
+	host           *httpcall.Host
+	done           chan struct{} // closed by Close
+
+	mu         sync.Mutex
+	watchHosts map[*httpcall.Host]struct{}
+	closed     bool
 }
 
 // New returns a client for the store at a host:port address. It opens no connection.
 func New(address string, opts ...Option) *Client {
 	c := &Client{
-		address:     address,
-		timeoutMs:   clock.Second,
-		waitMs:      20 * clock.Second,
-		connections: 8,
-		done:        make(chan struct{}),
-		watches:     make(map[*httpcall.Host]struct{}),
+		address:        address,
+		timeoutMs:      clock.Second,
+		watchTimeoutMs: 20 * clock.Second,
+		maxConns:       8,
+		done:           make(chan struct{}),
+		watchHosts:     make(map[*httpcall.Host]struct{}),
 	}
 	for _, opt := range opts {
 		opt(c)
 	}
 	timeout := c.timeoutMs.Duration()
-	c.host = httpcall.New(address, httpcall.WithMaxConns(c.connections), httpcall.WithMaxReplyBytes(maxAnswerBytes),
+	c.host = httpcall.New(address, httpcall.WithMaxConns(c.maxConns), httpcall.WithMaxReplyBytes(maxReplyBytes),
 		httpcall.WithConnectTimeout(timeout), httpcall.WithWaitTimeout(timeout))
 	return c
 }
@@ -73,14 +73,14 @@
 	c.closed = true
 	close(c.done)
 	c.host.Close()
-	for h := range c.watches {
+	for h := range c.watchHosts {
 		h.Close()
 	}
 }
 
 // Get reads a key.
 func (c *Client) Get(ctx context.Context, key string) (store.Entry, error) {
-	return c.entry(ctx, read("get"), fasthttp.MethodGet, key, "/kv?"+query("key", key), nil)
+	return c.keyCall(ctx, readOp("get"), fasthttp.MethodGet, key, "/kv?"+encodeQuery("key", key), nil)
 }
 
 // Swap writes value if the key's revision equals expect.
@@ -93,7 +93,7 @@
 	if err != nil {
 		return store.Entry{}, store.NewError("swap", store.KindUnavailable, trace.Wrap(err))
 	}
-	e, err := c.entry(ctx, write("swap"), fasthttp.MethodPut, key, "/kv?"+query("key", key, "expect", number(expect)), body)
+	e, err := c.keyCall(ctx, writeOp("swap"), fasthttp.MethodPut, key, "/kv?"+encodeQuery("key", key, "expect", formatUint(expect)), body)
 	if err != nil {
 		return store.Entry{}, err
 	}
@@ -103,40 +103,40 @@
 
 // Delete removes a key if its revision equals expect.
 func (c *Client) Delete(ctx context.Context, key string, expect uint64) error {
-	_, err := c.entry(ctx, write("delete"), fasthttp.MethodDelete, key, "/kv?"+query("key", key, "expect", number(expect)), nil)
+	_, err := c.keyCall(ctx, writeOp("delete"), fasthttp.MethodDelete, key, "/kv?"+encodeQuery("key", key, "expect", formatUint(expect)), nil)
 	return err
 }
 
 // Grant creates a lease.
 func (c *Client) Grant(ctx context.Context, ttl clock.Millis) (store.LeaseID, error) {
-	return c.lease(ctx, "grant", fasthttp.MethodPost, query("ttl_ms", strconv.FormatInt(int64(ttl), 10)))
+	return c.leaseCall(ctx, "grant", fasthttp.MethodPost, encodeQuery("ttl_ms", strconv.FormatInt(int64(ttl), 10)))
 }
 
 // KeepAlive extends a lease.
 func (c *Client) KeepAlive(ctx context.Context, id store.LeaseID) error {
-	_, err := c.lease(ctx, "keep_alive", fasthttp.MethodPut, query("id", number(uint64(id))))
+	_, err := c.leaseCall(ctx, "keep_alive", fasthttp.MethodPut, encodeQuery("id", formatUint(uint64(id))))
 	return err
 }
 
 // Revoke ends a lease.
 func (c *Client) Revoke(ctx context.Context, id store.LeaseID) error {
-	_, err := c.lease(ctx, "revoke", fasthttp.MethodDelete, query("id", number(uint64(id))))
+	_, err := c.leaseCall(ctx, "revoke", fasthttp.MethodDelete, encodeQuery("id", formatUint(uint64(id))))
 	return err
 }
 
-func (c *Client) lease(ctx context.Context, op, method, query string) (store.LeaseID, error) {
+func (c *Client) leaseCall(ctx context.Context, op, method, query string) (store.LeaseID, error) {
 	var doc LeaseDoc
 	call := httpcall.Call{Method: method, Path: "/lease?" + query, Timeout: c.timeoutMs.Duration()}
-	err := do(ctx, c.host, write(op), call, func(body []byte) error { return json.Unmarshal(body, &doc) })
+	err := do(ctx, c.host, writeOp(op), call, func(body []byte) error { return json.Unmarshal(body, &doc) })
 	return doc.ID, err
 }
 
-func (c *Client) entry(ctx context.Context, op operation, method, key, path string, body []byte) (store.Entry, error) {
+func (c *Client) keyCall(ctx context.Context, op operation, method, key, path string, body []byte) (store.Entry, error) {
 	call := httpcall.Call{Method: method, Path: path, Body: body, Timeout: c.timeoutMs.Duration()}
-	return entry(ctx, c.host, op, key, call)
+	return doKeyCall(ctx, c.host, op, key, call)
 }
 
-func entry(ctx context.Context, host *httpcall.Host, op operation, key string, call httpcall.Call) (store.Entry, error) {
+func doKeyCall(ctx context.Context, host *httpcall.Host, op operation, key string, call httpcall.Call) (store.Entry, error) {
 	var doc EntryDoc
 	err := do(ctx, host, op, call, func(body []byte) error {
 		if err := json.Unmarshal(body, &doc); err != nil {
@@ -153,7 +153,7 @@
 	return store.Entry{Key: doc.Key, Value: doc.Value, Revision: doc.Revision}, nil
 }
 
-func query(pairs ...string) string {
+func encodeQuery(pairs ...string) string {
 	v := url.Values{}
 	for i := 0; i < len(pairs); i += 2 {
 		v.Set(pairs[i], pairs[i+1])
@@ -161,4 +161,4 @@
 	return v.Encode()
 }
 
-func number(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/store/httpstore/do.go
+++ b/store/httpstore/do.go
@@ -18,8 +18,8 @@
 	writes bool
 }
 
-func read(name string) operation  { return operation{name: name} }
-func write(name string) operation { return operation{name: name, writes: true} }
+func readOp(name string) operation  { return operation{name: name} }
+func writeOp(name string) operation { return operation{name: name, writes: true} }
 
 // statusError is an answer with an HTTP status other than 200.
 type statusError int
@@ -41,25 +41,25 @@
 	if err == nil {
 		err = statusError(status)
 	}
-	return store.NewError(op.name, op.kind(err), trace.Wrap(err, "store at %s", host.Address()))
+	return store.NewError(op.name, op.errorKind(err), trace.Wrap(err, "store at %s", host.Address()))
 }
 
-func (op operation) kind(err error) store.Kind {
+func (op operation) errorKind(err error) store.Kind {
 	if !op.writes {
 		return store.KindUnavailable
 	}
 	var status statusError
 	if errors.As(err, &status) {
-		return kindOfStatus(int(status))
+		return writeStatusKind(int(status))
 	}
-	var cerr *httpcall.Error
-	if errors.As(err, &cerr) && !cerr.Kind().Sent() {
+	var callErr *httpcall.Error
+	if errors.As(err, &callErr) && !callErr.Kind().Sent() {
 		return store.KindUnavailable
 	}
 	return store.KindUnknown
 }
 
-func kindOfStatus(status int) store.Kind {
+func writeStatusKind(status int) store.Kind {
 	switch status {
 	case fasthttp.StatusConflict:
 		return store.KindConflict
--- a/store/httpstore/httpstore_test.go
+++ b/store/httpstore/httpstore_test.go
@@ -15,7 +15,7 @@
 	"lentillink.example/lentillink/store/httpstore"
 )
 
-func answer(status int, body string) http.HandlerFunc {
+func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.WriteHeader(status)
@@ -23,7 +23,7 @@
 	}
 }
 
-func breakOff(text string) http.HandlerFunc {
+func writeAndClose(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		c, _, err := w.(http.Hijacker).Hijack()
@@ -39,9 +39,9 @@
 	<-r.Context().Done()
 }
 
-// refusing returns an address that refuses connections. It is the local end of
+// refusedAddress returns an address that refuses connections. It is the local end of
 // an open connection, so no other process can listen on it meanwhile.
-func refusing(t *testing.T) string {
+func refusedAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,28 +58,28 @@
 // TestKinds guards against a write that may have taken effect and is reported
 // as unavailable or conflict, and against a proof that gets lost.
 func TestKinds(t *testing.T) {
-	closed := refusing(t)
+	refused := refusedAddress(t)
 	tests := []struct {
 		name        string
 		handler     http.HandlerFunc // nil for a refused connection
 		write, read store.Kind
 	}{
-		{"ok", answer(200, `{"key":"k","revision":3,"id":1}`), store.KindOK, store.KindOK},
-		{"conflict", answer(409, `{}`), store.KindConflict, store.KindUnavailable},
-		{"too large", answer(413, `{}`), store.KindTooLarge, store.KindUnavailable},
-		{"rate limit", answer(429, `{}`), store.KindUnavailable, store.KindUnavailable},
-		{"down", answer(503, `{}`), store.KindUnavailable, store.KindUnavailable},
-		{"server error", answer(500, `{}`), store.KindUnknown, store.KindUnavailable},
+		{"ok", respond(200, `{"key":"k","revision":3,"id":1}`), store.KindOK, store.KindOK},
+		{"conflict", respond(409, `{}`), store.KindConflict, store.KindUnavailable},
+		{"too large", respond(413, `{}`), store.KindTooLarge, store.KindUnavailable},
+		{"rate limit", respond(429, `{}`), store.KindUnavailable, store.KindUnavailable},
+		{"down", respond(503, `{}`), store.KindUnavailable, store.KindUnavailable},
+		{"server error", respond(500, `{}`), store.KindUnknown, store.KindUnavailable},
 		{"refused", nil, store.KindUnavailable, store.KindUnavailable},
 		{"timeout", hang, store.KindUnknown, store.KindUnavailable},
-		{"broken", breakOff(""), store.KindUnknown, store.KindUnavailable},
-		{"cut", breakOff("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"), store.KindUnknown, store.KindUnavailable},
-		{"not JSON", answer(200, `{`), store.KindUnknown, store.KindUnavailable},
+		{"broken", writeAndClose(""), store.KindUnknown, store.KindUnavailable},
+		{"cut", writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"), store.KindUnknown, store.KindUnavailable},
+		{"not JSON", respond(200, `{`), store.KindUnknown, store.KindUnavailable},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			address := closed
+			address := refused
 			if tt.handler != nil {
 				srv := httptest.NewServer(tt.handler)
 				t.Cleanup(srv.Close)
@@ -97,16 +97,16 @@
 				err  error
 				want store.Kind
 			}{
-				{"get", second(c.Get(ctx, "k")), tt.read},
-				{"watch", second(c.Watch(ctx, "k", 2)), tt.read},
-				{"swap", second(c.Swap(ctx, "k", []byte("v"), 2)), tt.write},
+				{"get", errOnly(c.Get(ctx, "k")), tt.read},
+				{"watch", errOnly(c.Watch(ctx, "k", 2)), tt.read},
+				{"swap", errOnly(c.Swap(ctx, "k", []byte("v"), 2)), tt.write},
 				{"delete", c.Delete(ctx, "k", 2), tt.write},
-				{"grant", second(c.Grant(ctx, 1000)), tt.write},
+				{"grant", errOnly(c.Grant(ctx, 1000)), tt.write},
 				{"keep_alive", c.KeepAlive(ctx, 1), tt.write},
 				{"revoke", c.Revoke(ctx, 1), tt.write},
 			}
 			for _, call := range calls {
-				if got := kind(t, call.name, call.err); got != call.want {
+				if got := errorKind(t, call.name, call.err); got != call.want {
 					t.Errorf("%s = %v, want kind %v", call.name, call.err, call.want)
 				}
 			}
@@ -114,30 +114,30 @@
 	}
 }
 
-func second[T any](_ T, err error) error { return err }
+func errOnly[T any](_ T, err error) error { return err }
 
-func kind(t *testing.T, op string, err error) store.Kind {
+func errorKind(t *testing.T, op string, err error) store.Kind {
 	t.Helper()
 	if err == nil {
 		return store.KindOK
 	}
-	var serr *store.Error
-	if !errors.As(err, &serr) || serr.Op() != op {
+	var storeErr *store.Error
+	if !errors.As(err, &storeErr) || storeErr.Op() != op {
 		t.Fatalf("%s returned %v, want a *store.Error with that operation", op, err)
 	}
-	return serr.Kind()
+	return storeErr.Kind()
 }
 
 // TestOtherKey guards against an entry that belongs to another call.
 func TestOtherKey(t *testing.T) {
-	srv := httptest.NewServer(answer(200, `{"key":"other","revision":3}`))
+	srv := httptest.NewServer(respond(200, `{"key":"other","revision":3}`))
 	defer srv.Close()
 	c := httpstore.New(strings.TrimPrefix(srv.URL, "http://"))
 	defer c.Close()
-	if e, err := c.Get(t.Context(), "k"); kind(t, "get", err) != store.KindUnavailable {
+	if e, err := c.Get(t.Context(), "k"); errorKind(t, "get", err) != store.KindUnavailable {
 		t.Errorf("Get = %v, %v, want kind unavailable", e, err)
 	}
-	if e, err := c.Swap(t.Context(), "k", nil, 0); kind(t, "swap", err) != store.KindUnknown {
+	if e, err := c.Swap(t.Context(), "k", nil, 0); errorKind(t, "swap", err) != store.KindUnknown {
 		t.Errorf("Swap = %v, %v, want kind unknown", e, err)
 	}
 }
@@ -154,7 +154,7 @@
 			c := httpstore.New(ln.Addr().String(), httpstore.WithWatchTimeout(600_000))
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
-			go func() { ended <- second(c.Watch(ctx, "k", 0)) }()
+			go func() { ended <- errOnly(c.Watch(ctx, "k", 0)) }()
 			conn, err := ln.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -166,7 +166,7 @@
 			if name == "client" {
 				c.Close()
 			}
-			if err := <-ended; kind(t, "watch", err) != store.KindUnavailable {
+			if err := <-ended; errorKind(t, "watch", err) != store.KindUnavailable {
 				t.Errorf("Watch = %v, want kind unavailable", err)
 			}
 			cancel()
--- a/store/httpstore/options.go
+++ b/store/httpstore/options.go
@@ -9,7 +9,7 @@
 func WithTimeout(ms clock.Millis) Option { return func(c *Client) { c.timeoutMs = ms } }
 
 // WithWatchTimeout sets how long the store may hold one watch call.
-func WithWatchTimeout(ms clock.Millis) Option { return func(c *Client) { c.waitMs = ms } }
+func WithWatchTimeout(ms clock.Millis) Option { return func(c *Client) { c.watchTimeoutMs = ms } }
 
 // WithConnections bounds the connections, except those of Watch.
-func WithConnections(n int) Option { return func(c *Client) { c.connections = n } }
+func WithConnections(n int) Option { return func(c *Client) { c.maxConns = n } }
