--- a/store/error.go
+++ b/store/error.go
@@ -5,10 +5,11 @@
 	"fmt"
 )
 
-// Kind classifies the result of a store call.
+// Kind classifies the result of a store call. The interface Store describes what
+// each kind proves.
 type Kind uint8
 
-// KindOK means success; the others are described on Store.
+// KindOK means success. KindTooLarge means that the value exceeds the store's limit.
 const (
 	KindOK Kind = iota
 	KindConflict
@@ -54,7 +55,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
 
-// KindOf returns the class of the failure of a store call, KindOK for nil.
+// KindOf returns the kind of the error of a store call: KindOK for nil,
+// KindUnknown for an error that is not an *Error.
 func KindOf(err error) Kind {
 	if err == nil {
 		return KindOK
--- a/store/lease.go
+++ b/store/lease.go
@@ -6,8 +6,8 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Leases writes keys that are removed when their lease ends. Its errors are of
-// type *Error; KindConflict means that the lease has ended.
+// Leases writes keys that the store removes when their lease ends. Its errors
+// are of type *Error. KindConflict means that the lease has ended.
 type Leases interface {
 	// Grant creates a lease.
 	Grant(ctx context.Context, ttl clock.Millis) (LeaseID, error)
@@ -15,6 +15,6 @@
 	KeepAlive(ctx context.Context, id LeaseID) error
 	// Revoke ends a lease and removes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
-	// Put writes a key under a lease, whatever it held before.
+	// Put writes a key under a lease, regardless of its revision.
 	Put(ctx context.Context, key string, value []byte, id LeaseID) error
 }
--- a/store/message.go
+++ b/store/message.go
@@ -3,7 +3,7 @@
 // Op is the kind of a store call.
 type Op uint8
 
-// The calls that state machines make.
+// The kinds of calls that state machines make.
 const (
 	OpGet Op = iota
 	OpSwap
@@ -11,14 +11,15 @@
 	OpWatch
 )
 
-// Request asks a runtime for one store call. Owner and Tag route the Reply back.
+// Request asks a runtime for one store call. Requester and Tag are copied to the
+// Reply and identify its receiver.
 type Request struct {
-	Requester string // the machine that asked: "order" or "fleet"
+	Requester string // state machine that made the request: "order", "fleet" or "preset"
 	Tag       uint64
 	Op        Op
 	Key       string
 	Value     []byte
-	Revision  uint64 // for OpSwap and OpDelete; for OpWatch the revision already known
+	Revision  uint64 // expected revision for OpSwap and OpDelete; last known revision for OpWatch
 }
 
 // Reply is the result of a Request.
--- a/store/prefix.go
+++ b/store/prefix.go
@@ -6,29 +6,32 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Item is one value below a prefix, or the news that its key was removed.
+// Item is the value of one key below a prefix, or the removal of the key.
 type Item struct {
 	Key      string
 	Value    []byte
-	Revision uint64 // of its last change
+	Revision uint64 // revision of the key's last change
 	Removed  bool
 }
 
-// Batch is the answer to a read or a watch of a prefix. Revision is the
-// revision of the store from which a watch continues.
+// Batch is the result of ListPrefix or WatchPrefix. Revision is the revision of
+// the store after which a watch continues.
 type Batch struct {
 	Items    []Item
 	Revision uint64
 }
 
-// PrefixWatcher reads all keys below a prefix and follows their changes. Its errors
-// are of type *Error; KindConflict from Follow means that the history since
-// after is no longer available, so that a new List is needed.
+// PrefixWatcher reads all keys below a prefix and watches their changes. Its
+// errors are of type *Error. KindConflict from WatchPrefix means that the store
+// no longer has the changes since after, so that a new ListPrefix is needed.
 type PrefixWatcher interface {
-	// ListPrefix returns every item below prefix. A stale list is cheaper and may be seconds old.
+	// ListPrefix returns every item below prefix. With stale, the result may be
+	// seconds old, which costs the store less.
 	ListPrefix(ctx context.Context, prefix string, stale bool) (Batch, error)
-	// WatchPrefix waits up to wait for changes after a revision. The batch is empty if there was none.
+	// WatchPrefix waits up to wait for changes after a revision. The batch is
+	// empty if there was none.
 	WatchPrefix(ctx context.Context, prefix string, after uint64, wait clock.Millis) (Batch, error)
-	// Reconnect ends all connections. Open calls fail.
+	// Reconnect closes all connections, so that later calls open new ones. Calls
+	// in flight fail.
 	Reconnect()
 }
--- a/store/store.go
+++ b/store/store.go
@@ -15,9 +15,9 @@
 
 // Store is the platform's configuration store.
 //
-// Errors are of type *Error. KindConflict proves that the write did not happen.
-// KindUnavailable proves that the store did not accept the call. KindUnknown
-// leaves open whether a write took effect; read the key back to find out.
+// Errors are of type *Error. KindConflict proves that a write had no effect.
+// KindUnavailable proves that the store did not accept the call. After
+// KindUnknown a write may or may not have taken effect; reading the key shows which.
 type Store interface {
 	// Get reads a key. A key that does not exist yields an Entry with Revision 0.
 	Get(ctx context.Context, key string) (Entry, error)
@@ -29,9 +29,9 @@
 	Watch(ctx context.Context, key string, after uint64) (Entry, error)
 	// Grant creates a lease.
 	Grant(ctx context.Context, ttl clock.Millis) (LeaseID, error)
-	// KeepAlive extends a lease; KindConflict means that it has lapsed.
+	// KeepAlive extends a lease. KindConflict means that the lease has expired.
 	KeepAlive(ctx context.Context, id LeaseID) error
-	// Revoke ends a lease.
+	// Revoke ends a lease at once.
 	Revoke(ctx context.Context, id LeaseID) error
 }
 
