--- a/store/httpstore/client.go
+++ b/store/httpstore/client.go
@@ -20,13 +20,13 @@
 // maxValueBytes is the largest value that the platform's store accepts.
 const maxValueBytes = 1 << 20
 
-// maxReplyBytes leaves room for base64 and the other fields of an answer.
+// maxReplyBytes is twice maxValueBytes, for base64 and the other fields of a reply.
 const maxReplyBytes = 2 * maxValueBytes
 
 var _ store.Store = (*Client)(nil)
 
 var (
-	errOtherKey = errors.New("answer for another key")
+	errOtherKey = errors.New("reply is for another key")
 	errClosed   = errors.New("client is closed")
 )
 
@@ -63,7 +63,7 @@
 	return c
 }
 
-// Close closes all connections; running calls fail.
+// Close closes all connections. Calls in flight fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/store/httpstore/do.go
+++ b/store/httpstore/do.go
@@ -12,7 +12,7 @@
 	"lentillink.example/lentillink/store"
 )
 
-// operation names a call and tells whether it may have an effect.
+// operation is the name of a call and whether it may change the store.
 type operation struct {
 	name   string
 	writes bool
@@ -21,10 +21,10 @@
 func readOp(name string) operation  { return operation{name: name} }
 func writeOp(name string) operation { return operation{name: name, writes: true} }
 
-// statusError is an answer with an HTTP status other than 200.
+// statusError is a reply with an HTTP status other than 200.
 type statusError int
 
-func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+func (e statusError) Error() string { return fmt.Sprintf("HTTP status is %d, want 200", int(e)) }
 
 func do(ctx context.Context, host *httpcall.Host, op operation, call httpcall.Call, decode func([]byte) error) error {
 	var status int
@@ -33,7 +33,7 @@
 			return decode(r.Body)
 		}
 		status = r.Status
-		return nil // the answer is whole, so the connection is kept
+		return nil // the reply is complete, so the connection can be reused
 	})
 	if err == nil && status == 0 {
 		return nil
--- a/store/httpstore/httpstore_test.go
+++ b/store/httpstore/httpstore_test.go
@@ -39,8 +39,8 @@
 	<-r.Context().Done()
 }
 
-// refusedAddress returns an address that refuses connections. It is the local end of
-// an open connection, so no other process can listen on it meanwhile.
+// refusedAddress returns an address that refuses connections. It is the local
+// address of an open connection, so no other process can listen on it meanwhile.
 func refusedAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,13 +55,14 @@
 	return c.LocalAddr().String()
 }
 
-// TestKinds guards against a write that may have taken effect and is reported
-// as unavailable or conflict, and against a proof that gets lost.
+// TestKinds guards against a write that may have taken effect but is reported as
+// unavailable or conflict, and against a write that had no effect but is
+// reported as unknown.
 func TestKinds(t *testing.T) {
 	refused := refusedAddress(t)
 	tests := []struct {
 		name        string
-		handler     http.HandlerFunc // nil for a refused connection
+		handler     http.HandlerFunc // nil if the connection is refused
 		write, read store.Kind
 	}{
 		{"ok", respond(200, `{"key":"k","revision":3,"id":1}`), store.KindOK, store.KindOK},
@@ -128,7 +129,7 @@
 	return storeErr.Kind()
 }
 
-// TestOtherKey guards against an entry that belongs to another call.
+// TestOtherKey guards against acceptance of a reply for another key.
 func TestOtherKey(t *testing.T) {
 	srv := httptest.NewServer(respond(200, `{"key":"other","revision":3}`))
 	defer srv.Close()
--- a/store/httpstore/options.go
+++ b/store/httpstore/options.go
@@ -5,11 +5,12 @@
 // Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout bounds one call, except a waiting Watch.
+// WithTimeout bounds the duration of one call. Watch adds the watch timeout to it.
 func WithTimeout(ms clock.Millis) Option { return func(c *Client) { c.timeoutMs = ms } }
 
-// WithWatchTimeout sets how long the store may hold one watch call.
+// WithWatchTimeout sets the time after which the store replies to a long poll of
+// Watch without a change.
 func WithWatchTimeout(ms clock.Millis) Option { return func(c *Client) { c.watchTimeoutMs = ms } }
 
-// WithConnections bounds the connections, except those of Watch.
+// WithConnections bounds the number of connections, not counting those of Watch.
 func WithConnections(n int) Option { return func(c *Client) { c.maxConns = n } }
--- a/store/httpstore/watch.go
+++ b/store/httpstore/watch.go
@@ -11,11 +11,11 @@
 	"lentillink.example/lentillink/store"
 )
 
-// watchRetryDelay keeps a store that answers a watch too early from being asked in a tight loop.
+// watchRetryDelay prevents a tight loop of calls if the store replies to a watch too early.
 const watchRetryDelay = 100 * time.Millisecond
 
 // Watch waits until the key's revision exceeds after, then returns the entry.
-// Its own connection lets the end of ctx interrupt a waiting call.
+// It has its own connection, which is closed when ctx ends to interrupt the call.
 func (c *Client) Watch(ctx context.Context, key string, after uint64) (store.Entry, error) {
 	host := c.openWatchHost()
 	defer c.closeWatchHost(host)
--- a/store/httpstore/wire.go
+++ b/store/httpstore/wire.go
@@ -2,7 +2,7 @@
 
 import "lentillink.example/lentillink/store"
 
-// EntryDoc is the answer to a call on a key.
+// EntryDoc is the reply to a call on a key.
 type EntryDoc struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -14,7 +14,7 @@
 	Value []byte `json:"value"`
 }
 
-// LeaseDoc is the answer to a call on a lease.
+// LeaseDoc is the reply to a call on a lease.
 type LeaseDoc struct {
 	ID store.LeaseID `json:"id"`
 }
