--- a/roster/registrar.go
+++ b/roster/registrar.go
@@ -12,18 +12,18 @@
 	// notice the loss of a peer by their connections, much sooner.
 	LeaseTTL = 15 * clock.Second
 
-	// keepMs is how often the lease is renewed. A renewal is the cheapest call, so
+	// renewIntervalMs is how often the lease is renewed. A renewal is the cheapest call, so
 	// it also shows whether the store still answers this VM: a watch that waits
 	// cannot tell silence from calm.
-	keepMs = 2 * clock.Second
+	renewIntervalMs = 2 * clock.Second
 
-	// fedKeepMs is the same of a VM that another one tells of changes: the lease
+	// subscribedRenewIntervalMs is the same of a VM that another one tells of changes: the lease
 	// then lasts for two more tries.
-	fedKeepMs = 5 * clock.Second
+	subscribedRenewIntervalMs = 5 * clock.Second
 
 	// Backoff of calls that fail.
-	firstRetryMs clock.Millis = 300
-	maxRetryMs   clock.Millis = 2000
+	minBackoffMs clock.Millis = 300
+	maxBackoffMs clock.Millis = 2000
 )
 
 // RegistrarMsg is an input of a Registrar.
@@ -85,15 +85,15 @@
 // Registrar keeps the entry of one VM in the list. It is a pure state machine
 // with at most one call open.
 type Registrar struct {
-	rng     *rand.Rand
-	ready   bool
-	leaving bool
-	calling bool
-	lease   store.LeaseID
-	written bool
-	fed     bool
-	next    clock.Millis
-	backoff clock.Millis
+	rng          *rand.Rand
+	ready        bool
+	leaving      bool
+	callInFlight bool
+	leaseID      store.LeaseID
+	entryWritten bool
+	subscribed   bool
+	nextCallAt   clock.Millis
+	backoff      clock.Millis
 }
 
 // NewRegistrar returns a Registrar without an entry. The seed spreads the calls
@@ -108,71 +108,71 @@
 	case ReadyMsg:
 		r.ready = true
 	case GrantedMsg:
-		r.succeeded(now)
-		r.lease, r.written = m.Lease, false
+		r.recordSuccess(now)
+		r.leaseID, r.entryWritten = m.Lease, false
 	case WrittenMsg:
-		r.succeeded(now + r.keepEvery())
-		r.written = true
+		r.recordSuccess(now + r.renewInterval())
+		r.entryWritten = true
 	case RenewedMsg:
-		r.succeeded(now + r.keepEvery())
+		r.recordSuccess(now + r.renewInterval())
 	case FailedMsg:
-		r.failed(now, m.Kind)
+		r.recordFailure(now, m.Kind)
 	case SubscriptionMsg:
-		r.fed = m.Subscribed
-		r.next = min(r.next, now+r.keepEvery())
+		r.subscribed = m.Subscribed
+		r.nextCallAt = min(r.nextCallAt, now+r.renewInterval())
 	case LeaveMsg:
 		r.leaving = true
 	case TickMsg:
 	}
-	return r.call(now)
+	return r.startCall(now)
 }
 
-func (r *Registrar) succeeded(next clock.Millis) {
-	r.calling, r.next, r.backoff = false, next, 0
+func (r *Registrar) recordSuccess(nextCallAt clock.Millis) {
+	r.callInFlight, r.nextCallAt, r.backoff = false, nextCallAt, 0
 }
 
-func (r *Registrar) keepEvery() clock.Millis {
-	if r.fed {
-		return fedKeepMs
+func (r *Registrar) renewInterval() clock.Millis {
+	if r.subscribed {
+		return subscribedRenewIntervalMs
 	}
-	return keepMs
+	return renewIntervalMs
 }
 
-func (r *Registrar) failed(now clock.Millis, kind store.Kind) {
-	r.calling = false
+func (r *Registrar) recordFailure(now clock.Millis, kind store.Kind) {
+	r.callInFlight = false
 	if kind == store.KindConflict {
-		r.lease, r.written = 0, false
+		r.leaseID, r.entryWritten = 0, false
 	}
-	r.backoff = min(max(2*r.backoff, firstRetryMs), maxRetryMs)
-	r.next = now + r.backoff/2 + clock.Millis(r.rng.Int64N(int64(r.backoff/2)+1))
+	r.backoff = min(max(2*r.backoff, minBackoffMs), maxBackoffMs)
+	r.nextCallAt = now + r.backoff/2 + clock.Millis(r.rng.Int64N(int64(r.backoff/2)+1))
 }
 
-func (r *Registrar) call(now clock.Millis) []RegistrarCmd {
+func (r *Registrar) startCall(now clock.Millis) []RegistrarCmd {
 	switch {
-	case r.calling:
+	case r.callInFlight:
 		return nil
-	case r.leaving && r.lease != 0:
-		lease := r.lease
-		r.lease, r.calling = 0, true
+	case r.leaving && r.leaseID != 0:
+		lease := r.leaseID
+		r.leaseID, r.callInFlight = 0, true
 		return []RegistrarCmd{RevokeCmd{Lease: lease}}
-	case r.leaving, !r.ready, now < r.next:
+	case r.leaving, !r.ready, now < r.nextCallAt:
 		return nil
 	}
-	r.calling = true
+	r.callInFlight = true
 	switch {
-	case r.lease == 0:
+	case r.leaseID == 0:
 		return []RegistrarCmd{GrantCmd{TTL: LeaseTTL}}
-	case !r.written:
-		return []RegistrarCmd{WriteCmd{Lease: r.lease}}
+	case !r.entryWritten:
+		return []RegistrarCmd{WriteCmd{Lease: r.leaseID}}
 	default:
-		return []RegistrarCmd{RenewCmd{Lease: r.lease}}
+		return []RegistrarCmd{RenewCmd{Lease: r.leaseID}}
 	}
 }
 
 // NextWake returns when the registrar wants a TickMsg.
 func (r *Registrar) NextWake() (clock.Millis, bool) {
-	if r.calling || !r.ready || r.leaving {
+	if r.callInFlight || !r.ready || r.leaving {
 		return 0, false
 	}
-	return r.next, true
+	return r.nextCallAt, true
 }
--- a/roster/registrar_test.go
+++ b/roster/registrar_test.go
@@ -9,10 +9,10 @@
 	"lentillink.example/lentillink/store"
 )
 
-func names(cmds []roster.RegistrarCmd) string {
+func cmdTypes(cmds []roster.RegistrarCmd) string {
 	out := ""
-	for _, c := range cmds {
-		out += fmt.Sprintf("%T ", c)
+	for _, cmd := range cmds {
+		out += fmt.Sprintf("%T ", cmd)
 	}
 	return out
 }
@@ -45,7 +45,7 @@
 		{30_000, roster.TickMsg{}, ""},
 	}
 	for i, s := range steps {
-		if got := names(r.Update(s.at, s.msg)); got != s.want {
+		if got := cmdTypes(r.Update(s.at, s.msg)); got != s.want {
 			t.Errorf("step %d, %T: got %q, want %q", i, s.msg, got, s.want)
 		}
 	}
