--- a/roster/httproster/httproster_test.go
+++ b/roster/httproster/httproster_test.go
@@ -14,18 +14,18 @@
 
 // TestVMs guards against an unusable list that is taken for a fleet without VMs.
 func TestVMs(t *testing.T) {
-	one := `{"id":"vm-1","address":"127.0.0.1:1","data_centre":"dc-1","leaving":true}`
+	entry := `{"id":"vm-1","address":"127.0.0.1:1","data_centre":"dc-1","leaving":true}`
 	tests := []struct {
 		name, body string
 		status     int
 		want       int // VMs, -1 for an error
 		kind       roster.Kind
 	}{
-		{"one", `{"vms":[` + one + `]}`, 200, 1, 0},
+		{"one", `{"vms":[` + entry + `]}`, 200, 1, 0},
 		{"none", `{"vms":[]}`, 200, 0, 0},
 		{"no list", `{}`, 200, -1, roster.KindInvalid},
 		{"not JSON", `{`, 200, -1, roster.KindInvalid},
-		{"repeated id", `{"vms":[` + one + `,` + one + `]}`, 200, -1, roster.KindInvalid},
+		{"repeated id", `{"vms":[` + entry + `,` + entry + `]}`, 200, -1, roster.KindInvalid},
 		{"host name", `{"vms":[{"id":"vm-1","address":"vm-1:1"}]}`, 200, -1, roster.KindInvalid},
 		{"down", `{"vms":[]}`, 503, -1, roster.KindUnavailable},
 	}
@@ -40,9 +40,9 @@
 			got, err := c.VMs(t.Context())
 			srv.CloseClientConnections()
 			srv.Close()
-			var rerr *roster.Error
+			var rosterErr *roster.Error
 			if tt.want < 0 {
-				if !errors.As(err, &rerr) || rerr.Kind() != tt.kind {
+				if !errors.As(err, &rosterErr) || rosterErr.Kind() != tt.kind {
 					t.Errorf("VMs = %v, %v, want kind %v", got, err, tt.kind)
 				}
 				return
@@ -50,7 +50,7 @@
 			if err != nil || len(got) != tt.want {
 				t.Errorf("VMs = %v, %v, want %d VMs", got, err, tt.want)
 			}
-			if _, err := c.VMs(t.Context()); !errors.As(err, &rerr) || rerr.Kind() != roster.KindUnavailable {
+			if _, err := c.VMs(t.Context()); !errors.As(err, &rosterErr) || rosterErr.Kind() != roster.KindUnavailable {
 				t.Errorf("VMs of a closed server = %v, want kind unavailable", err)
 			}
 		})
