--- a/roster/error.go
+++ b/roster/error.go
@@ -5,7 +5,8 @@
 // Kind classifies an Error.
 type Kind uint8
 
-// KindUnavailable means that the list was not read, KindInvalid that its answer is refused.
+// KindUnavailable means that the VM list could not be read, KindInvalid that the
+// reply is not a valid list.
 const (
 	KindUnavailable Kind = iota
 	KindInvalid
@@ -21,7 +22,7 @@
 	return "invalid_kind"
 }
 
-// Error reports a failed call of the list.
+// Error reports a failed read of the VM list.
 type Error struct {
 	op   string
 	kind Kind
--- a/roster/registrar.go
+++ b/roster/registrar.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// LeaseTTL is how long the entry of a VM that is lost stays in the list. VMs
-	// notice the loss of a peer by their connections, much sooner.
+	// LeaseTTL is the time after which the entry of a failed VM disappears from
+	// the list. The other VMs detect the failure much sooner, by their connections.
 	LeaseTTL = 15 * clock.Second
 
-	// renewIntervalMs is how often the lease is renewed. A renewal is the cheapest call, so
-	// it also shows whether the store still answers this VM: a watch that waits
-	// cannot tell silence from calm.
+	// renewIntervalMs is the time between renewals of the lease. Renewals also
+	// detect an unreachable store, as they are its cheapest call: a pending watch
+	// does not show whether the store is unreachable or has no changes.
 	renewIntervalMs = 2 * clock.Second
 
-	// subscribedRenewIntervalMs is the same of a VM that another one tells of changes: the lease
-	// then lasts for two more tries.
+	// subscribedRenewIntervalMs is the time between renewals on a VM that gets the
+	// store's changes from a publisher. After a failed renewal, the lease lasts
+	// for two more tries.
 	subscribedRenewIntervalMs = 5 * clock.Second
 
-	// Backoff of calls that fail.
+	// Bounds of the backoff after failed calls.
 	minBackoffMs clock.Millis = 300
 	maxBackoffMs clock.Millis = 2000
 )
@@ -29,28 +30,29 @@
 // RegistrarMsg is an input of a Registrar.
 type RegistrarMsg interface{ registrarMsg() }
 
-// ReadyMsg says that the VM can do work.
+// ReadyMsg reports that the VM is ready for work, which starts the registration.
 type ReadyMsg struct{}
 
-// GrantedMsg brings a new lease.
+// GrantedMsg is the result of GrantCmd.
 type GrantedMsg struct{ Lease store.LeaseID }
 
-// WrittenMsg confirms the entry.
+// WrittenMsg reports that WriteCmd succeeded.
 type WrittenMsg struct{}
 
-// RenewedMsg confirms a renewal.
+// RenewedMsg reports that RenewCmd or RevokeCmd succeeded.
 type RenewedMsg struct{}
 
-// FailedMsg reports that the last call failed.
+// FailedMsg reports that the call of the last RegistrarCmd failed.
 type FailedMsg struct{ Kind store.Kind }
 
-// SubscriptionMsg says whether another VM tells this one of changes of the store.
+// SubscriptionMsg reports whether this VM gets the store's changes from another
+// VM, the publisher.
 type SubscriptionMsg struct{ Subscribed bool }
 
 // LeaveMsg ends the registration.
 type LeaveMsg struct{}
 
-// TickMsg lets time pass.
+// TickMsg makes the Registrar start the call that is due, if any.
 type TickMsg struct{}
 
 func (ReadyMsg) registrarMsg()        {}
@@ -74,7 +76,7 @@
 // RenewCmd renews a lease.
 type RenewCmd struct{ Lease store.LeaseID }
 
-// RevokeCmd ends a lease, which removes the entry.
+// RevokeCmd ends a lease, so that the store removes the entry.
 type RevokeCmd struct{ Lease store.LeaseID }
 
 func (GrantCmd) registrarCmd()  {}
@@ -82,8 +84,8 @@
 func (RenewCmd) registrarCmd()  {}
 func (RevokeCmd) registrarCmd() {}
 
-// Registrar keeps the entry of one VM in the list. It is a pure state machine
-// with at most one call open.
+// Registrar keeps the entry of one VM in the VM list, under a lease of the
+// store. It is a state machine without I/O and with at most one call in flight.
 type Registrar struct {
 	rng          *rand.Rand
 	ready        bool
@@ -96,13 +98,13 @@
 	backoff      clock.Millis
 }
 
-// NewRegistrar returns a Registrar without an entry. The seed spreads the calls
-// of VMs that start together.
+// NewRegistrar returns a Registrar without an entry. The seed of the random
+// numbers spreads the retries of VMs that start or fail together.
 func NewRegistrar(seed uint64) *Registrar {
 	return &Registrar{rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Update applies msg at now and returns the calls that follow from it.
+// Update applies msg at now and returns the call to make, if any.
 func (r *Registrar) Update(now clock.Millis, msg RegistrarMsg) []RegistrarCmd {
 	switch m := msg.(type) {
 	case ReadyMsg:
@@ -169,7 +171,8 @@
 	}
 }
 
-// NextWake returns when the registrar wants a TickMsg.
+// NextWake returns the time at which the Registrar needs a TickMsg. It returns
+// false if it needs none.
 func (r *Registrar) NextWake() (clock.Millis, bool) {
 	if r.callInFlight || !r.ready || r.leaving {
 		return 0, false
--- a/roster/registrar_test.go
+++ b/roster/registrar_test.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// TestRegistrar guards against a VM that is not listed while it is ready, or is
-// listed before it is and after it leaves.
+// TestRegistrar guards against a VM that is missing from the list while it is
+// ready, or is listed before it is ready or after it leaves.
 func TestRegistrar(t *testing.T) {
 	r := roster.NewRegistrar(1)
 	steps := []struct {
@@ -51,8 +51,9 @@
 	}
 }
 
-// TestRegistrarOutage guards against an entry that lapses during an outage and
-// is not written again, and against calls without a pause.
+// TestRegistrarOutage guards against a Registrar that stops retrying during an
+// outage of the store, so that its expired entry stays missing, and against
+// retries without a backoff.
 func TestRegistrarOutage(t *testing.T) {
 	r := roster.NewRegistrar(1)
 	now := clock.Millis(1000)
@@ -63,7 +64,7 @@
 		for len(cmds) == 0 {
 			at, ok := r.NextWake()
 			if !ok {
-				t.Fatal("got no wake, want one")
+				t.Fatal("NextWake returned no time, want the time of the next retry")
 			}
 			now = max(now+1, at)
 			cmds = r.Update(now, roster.TickMsg{})
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -2,10 +2,10 @@
 
 import "context"
 
-// VM is one entry of the list.
+// VM is one entry of the VM list.
 type VM struct {
 	ID         string `json:"id"`
-	Address    string `json:"address"` // host:port for peers
+	Address    string `json:"address"` // host:port at which other VMs connect
 	DataCentre string `json:"data_centre"`
 	Leaving    bool   `json:"leaving"`
 }
