--- a/roster/httproster/client.go
+++ b/roster/httproster/client.go
@@ -15,7 +15,7 @@
 	"lentillink.example/lentillink/roster"
 )
 
-// VMsDoc is the answer to GET /vms.
+// VMsDoc is the reply to GET /vms.
 type VMsDoc struct {
 	VMs []roster.VM `json:"vms"`
 }
@@ -23,7 +23,7 @@
 // Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout bounds one call.
+// WithTimeout bounds the duration of one call.
 func WithTimeout(ms clock.Millis) Option { return func(c *Client) { c.timeoutMs = ms } }
 
 var _ roster.List = (*Client)(nil)
@@ -45,15 +45,15 @@
 	return c
 }
 
-// Close closes the connection; a running call fails.
+// Close closes the connection. A call in flight fails.
 func (c *Client) Close() { c.host.Close() }
 
-// VMs reads the list.
+// VMs reads the VM list.
 func (c *Client) VMs(ctx context.Context) ([]roster.VM, error) {
 	call := httpcall.Call{Method: fasthttp.MethodGet, Path: "/vms", Timeout: c.timeoutMs.Duration()}
 	r, err := c.host.Do(ctx, call, nil)
 	if err == nil && r.Status != fasthttp.StatusOK {
-		err = fmt.Errorf("status %d", r.Status)
+		err = fmt.Errorf("HTTP status is %d, want 200", r.Status)
 	}
 	if err != nil {
 		return nil, roster.NewError("vms", roster.KindUnavailable, trace.Wrap(err, "VM list at %s", c.host.Address()))
--- a/roster/httproster/httproster_test.go
+++ b/roster/httproster/httproster_test.go
@@ -12,7 +12,7 @@
 	"lentillink.example/lentillink/roster/httproster"
 )
 
-// TestVMs guards against an unusable list that is taken for a fleet without VMs.
+// TestVMs guards against an invalid list that is treated as a list without VMs.
 func TestVMs(t *testing.T) {
 	entry := `{"id":"vm-1","address":"127.0.0.1:1","data_centre":"dc-1","leaving":true}`
 	tests := []struct {
