--- a/cmd/lentillink/bench.go
+++ b/cmd/lentillink/bench.go
@@ -44,7 +44,7 @@
 		defer pprof.StopCPUProfile()
 	}
 	res, err := bench.Run(ctx, bench.Options{
-		Shards: c.Shards, Connections: c.Connections, Duration: time.Duration(c.Seconds) * time.Second,
+		Shards: c.Shards, Concurrency: c.Connections, Duration: time.Duration(c.Seconds) * time.Second,
 	})
 	if err != nil {
 		return err
@@ -87,9 +87,9 @@
 
 func benchTable(tw *tabwriter.Writer, res bench.Result) {
 	_, _ = fmt.Fprintln(tw, "VARIANT\tQUERIES/S\tP50 MS\tP99 MS\tEXTRA ATTEMPTS %\tALLOCS/QUERY\tINCOMPLETE")
-	for _, v := range []bench.Variant{res.Off, res.On} {
+	for _, v := range []bench.Variant{res.HedgingOff, res.HedgingOn} {
 		_, _ = fmt.Fprintf(tw, "%s\t%.1f\t%.1f\t%.1f\t%.2f\t%.0f\t%d of %d\n", v.Name, v.QueriesPerSecond, v.P50Ms, v.P99Ms,
 			v.ExtraAttemptsPercent, v.AllocsPerQuery, v.Incomplete, v.Queries)
 	}
-	_, _ = fmt.Fprintf(tw, "on / off\t%.2f\t%.2f\t%.2f\n", res.On.QueriesPerSecond/res.Off.QueriesPerSecond, res.P50Ratio, res.P99Ratio)
+	_, _ = fmt.Fprintf(tw, "on / off\t%.2f\t%.2f\t%.2f\n", res.HedgingOn.QueriesPerSecond/res.HedgingOff.QueriesPerSecond, res.P50Ratio, res.P99Ratio)
 }
--- a/cmd/lentillink/daemon_test.go
+++ b/cmd/lentillink/daemon_test.go
@@ -159,7 +159,7 @@
 func (p *platform) runs(id string) int {
 	n := 0
 	for _, up := range p.Upstreams() {
-		n += p.Upstream(up).Runs(id)
+		n += p.Upstream(up).Executions(id)
 	}
 	return n
 }
--- a/cmd/lentillink/soak.go
+++ b/cmd/lentillink/soak.go
@@ -36,7 +36,7 @@
 			return err
 		}
 		err := soak.Run(ctx, soak.Options{
-			Seed: seed, Length: time.Duration(c.Seconds) * time.Second, Program: program, Dir: logs, Out: os.Stdout,
+			Seed: seed, Duration: time.Duration(c.Seconds) * time.Second, Program: program, Dir: logs, Out: os.Stdout,
 		})
 		if err == nil {
 			if err := os.RemoveAll(logs); err != nil {
--- a/demo/bench/bench.go
+++ b/demo/bench/bench.go
@@ -48,10 +48,10 @@
 
 // Result compares the variants.
 type Result struct {
-	Off      Variant `json:"hedging_off"`
-	On       Variant `json:"hedging_on"`
-	P50Ratio float64 `json:"p50_ratio"` // on against off
-	P99Ratio float64 `json:"p99_ratio"`
+	HedgingOff Variant `json:"hedging_off"`
+	HedgingOn  Variant `json:"hedging_on"`
+	P50Ratio   float64 `json:"p50_ratio"` // on against off
+	P99Ratio   float64 `json:"p99_ratio"`
 }
 
 // Run starts the VM and its upstreams, and measures both variants.
@@ -60,31 +60,31 @@
 	if err != nil {
 		return res, err
 	}
-	f, err := demo.StartConfig(ctx, demo.FleetConfig{
+	f, err := demo.StartFromConfig(ctx, demo.FleetConfig{
 		Settings: cfg, VMs: 1, Logger: log.NewNopLogger(),
-		Standins: []standin.DeploymentOption{standin.WithUpstreamOptions(standin.WithSlowShare(slowShare, slowFactor))},
-		Entry:    []entry.Option{entry.WithInitialRecord(record())},
+		StandinOptions: []standin.DeploymentOption{standin.WithUpstreamOptions(standin.WithSlowShare(slowShare, slowFactor))},
+		EntryOptions:   []entry.Option{entry.WithInitialRecord(record())},
 	})
 	if err != nil {
 		return res, err
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
-	res.Off, res.On = newVariant(hedgingOff), newVariant(hedgingOn)
+	res.HedgingOff, res.HedgingOn = newVariant(hedgingOff), newVariant(hedgingOn)
 	b := &bench{fleet: f, options: o}
 	warm := newVariant(hedgingOff)
 	if err := b.measure(ctx, &warm, time.Second); err != nil { // opens connections
 		return res, err
 	}
 	for range rounds {
-		for _, v := range []*Variant{&res.Off, &res.On} {
+		for _, v := range []*Variant{&res.HedgingOff, &res.HedgingOn} {
 			if err := b.round(ctx, v); err != nil {
 				return res, err
 			}
 		}
 	}
-	res.Off.finish()
-	res.On.finish()
-	res.P50Ratio, res.P99Ratio = res.On.P50Ms/res.Off.P50Ms, res.On.P99Ms/res.Off.P99Ms
+	res.HedgingOff.finish()
+	res.HedgingOn.finish()
+	res.P50Ratio, res.P99Ratio = res.HedgingOn.P50Ms/res.HedgingOff.P50Ms, res.HedgingOn.P99Ms/res.HedgingOff.P99Ms
 	return res, nil
 }
 
@@ -136,9 +136,9 @@
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	begin := time.Now()
-	results := make(chan worker, b.options.Connections)
+	results := make(chan worker, b.options.Concurrency)
 	var wait sync.WaitGroup
-	for i := range b.options.Connections {
+	for i := range b.options.Concurrency {
 		wait.Go(func() { results <- b.send(ctx, i) })
 	}
 	wait.Wait()
--- a/demo/bench/options.go
+++ b/demo/bench/options.go
@@ -11,7 +11,7 @@
 // Options of a measurement.
 type Options struct {
 	Shards      int
-	Connections int           // callers that each send their next query after an answer
+	Concurrency int           // callers that each send their next query after an answer
 	Duration    time.Duration // of each variant
 }
 
--- a/demo/bench/plot.go
+++ b/demo/bench/plot.go
@@ -22,7 +22,7 @@
 	p.Y.Label.Text = "ms"
 	p.Y.Min = 0
 	p.Legend.Top, p.Legend.Left = true, true
-	if err := plotutil.AddLines(p, r.Off.Name, r.Off.points(), r.On.Name, r.On.points()); err != nil {
+	if err := plotutil.AddLines(p, r.HedgingOff.Name, r.HedgingOff.points(), r.HedgingOn.Name, r.HedgingOn.points()); err != nil {
 		return err
 	}
 	to, err := p.WriterTo(plotWidth, plotHeight, format)
--- a/demo/check.go
+++ b/demo/check.go
@@ -97,7 +97,7 @@
 	return func(id string) int {
 		n := 0
 		for _, up := range d.Upstreams() {
-			n += d.Upstream(up).Runs(id)
+			n += d.Upstream(up).Executions(id)
 		}
 		return n
 	}
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -29,11 +29,11 @@
 
 // FleetConfig describes a fleet to start.
 type FleetConfig struct {
-	Settings *settings.Settings // of any VM; addresses are replaced by free ports
-	VMs      int
-	Logger   log.Logger
-	Standins []standin.DeploymentOption
-	Entry    []entry.Option // for every VM
+	Settings       *settings.Settings // of any VM; addresses are replaced by free ports
+	VMs            int
+	Logger         log.Logger
+	StandinOptions []standin.DeploymentOption
+	EntryOptions   []entry.Option // for every VM
 }
 
 // Fleet is a running deployment: its stand-ins and its entry VMs.
@@ -63,17 +63,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return StartConfig(ctx, FleetConfig{Settings: cfg, VMs: n, Logger: logger, Standins: opts})
+	return StartFromConfig(ctx, FleetConfig{Settings: cfg, VMs: n, Logger: logger, StandinOptions: opts})
 }
 
-// StartConfig starts a fleet and waits until every VM is ready.
-func StartConfig(ctx context.Context, cfg FleetConfig) (*Fleet, error) {
-	opts := append([]standin.DeploymentOption{standin.WithFreePorts()}, cfg.Standins...)
+// StartFromConfig starts a fleet and waits until every VM is ready.
+func StartFromConfig(ctx context.Context, cfg FleetConfig) (*Fleet, error) {
+	opts := append([]standin.DeploymentOption{standin.WithFreePorts()}, cfg.StandinOptions...)
 	standins, err := standin.StartDeployment(ctx, cfg.Settings, opts...)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Standins: standins, logger: cfg.Logger, options: cfg.Entry}
+	f := &Fleet{Standins: standins, logger: cfg.Logger, options: cfg.EntryOptions}
 	for i := range cfg.VMs {
 		if err := f.Start(ctx, fmt.Sprintf("vm-%d", i+1)); err != nil {
 			return nil, errors.Join(err, f.Close())
--- a/entry/helper_test.go
+++ b/entry/helper_test.go
@@ -49,7 +49,7 @@
 	// The context of the test ends before its cleanup, but the VMs need their
 	// store until they have stopped.
 	ctx := context.WithoutCancel(t.Context())
-	f, err := demo.StartConfig(ctx, demo.FleetConfig{Settings: cfg, VMs: vms, Logger: log.NewNopLogger(), Entry: opts})
+	f, err := demo.StartFromConfig(ctx, demo.FleetConfig{Settings: cfg, VMs: vms, Logger: log.NewNopLogger(), EntryOptions: opts})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 func runs(f *demo.Fleet, id string) int {
 	n := 0
 	for _, up := range f.Standins.Upstreams() {
-		n += f.Standins.Upstream(up).Runs(id)
+		n += f.Standins.Upstream(up).Executions(id)
 	}
 	return n
 }
@@ -180,7 +180,7 @@
 	n := 0
 	for _, up := range f.Standins.Upstreams() {
 		if strings.HasPrefix(string(up), prefix) {
-			n += f.Standins.Upstream(up).Counts().Received
+			n += f.Standins.Upstream(up).AttemptCounts().Received
 		}
 	}
 	return n
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -93,14 +93,14 @@
 	t.Parallel()
 	f := start(t, 3)
 	for range 5 {
-		lost := f.Standins.Store().LostAnswers()
+		lost := f.Standins.Store().DroppedReplies()
 		inject(t, f, "store", "lose_answers", 1)
 		o := newOrder()
 		a, err := f.Caller(0).Order(o)
 		if err != nil || a.Outcome != "done" {
 			t.Errorf("got %+v, %v, want done", a, err)
 		}
-		until(t, "the answer is lost", func() bool { return f.Standins.Store().LostAnswers() > lost })
+		until(t, "the answer is lost", func() bool { return f.Standins.Store().DroppedReplies() > lost })
 		if again, err := f.Caller(1).Order(o); err != nil || again.Outcome != "already_submitted" {
 			t.Errorf("repeat: got %+v, %v, want already_submitted", again, err)
 		}
--- a/entry/perform.go
+++ b/entry/perform.go
@@ -132,4 +132,4 @@
 }
 
 // Disconnected reports a broken stream.
-func (h meshHandler) Disconnected(peer string) { h.v.post(vm.PeerDownMsg{VM: peer}) }
+func (h meshHandler) Disconnected(peer string) { h.v.post(vm.PeerDisconnectedMsg{VM: peer}) }
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -93,11 +93,11 @@
 	complete(t, f, 0) // one VM may notice
 	time.Sleep(time.Until(left.Add(3 * time.Second)))
 	up := f.Standins.Upstream(id)
-	before := up.Counts().Received
+	before := up.AttemptCounts().Received
 	for n := range 10 * f.Size() {
 		complete(t, f, n)
 	}
-	if got := up.Counts().Received; got != before {
+	if got := up.AttemptCounts().Received; got != before {
 		t.Errorf("the leaving upstream received %d more attempts after 3 s, want 0", got-before)
 	}
 }
--- a/examples/order/main.go
+++ b/examples/order/main.go
@@ -45,6 +45,6 @@
 		}
 	}
 	ledger := fleet.Standins.Ledger()
-	_, err = fmt.Fprintf(out, "the upstreams ran %d order %d time\n", ledger.Orders, ledger.Runs)
+	_, err = fmt.Fprintf(out, "the upstreams ran %d order %d time\n", ledger.Orders, ledger.Executions)
 	return err
 }
--- a/experiment/querysystem.go
+++ b/experiment/querysystem.go
@@ -149,7 +149,7 @@
 // extraPercent returns the attempts beyond the needed ones as a share of them.
 func (s *querySystem) extraPercent() float64 {
 	n := s.totals()
-	return 100 * float64(n.Sent-n.Needed) / float64(n.Needed)
+	return 100 * float64(n.Sent-n.AttemptsNeeded) / float64(n.AttemptsNeeded)
 }
 
 func (s *querySystem) quantileMs(q float64) float64 { return float64(s.took.ValueAtQuantile(q)) }
--- a/experiment/tier_hooks.go
+++ b/experiment/tier_hooks.go
@@ -103,7 +103,7 @@
 			life := other.life
 			t.Loop.After(tierHopMs, func() {
 				if other.life == life {
-					other.update(vm.PeerDownMsg{VM: id})
+					other.update(vm.PeerDisconnectedMsg{VM: id})
 				}
 			})
 		}
--- a/pool/message.go
+++ b/pool/message.go
@@ -38,9 +38,9 @@
 // AvailableMsg reports that an upstream accepts attempts again.
 type AvailableMsg struct{ Upstream string }
 
-// PolicyMsg sets the guaranteed share of dispatches of each rank to the rank's
+// PresetMsg sets the guaranteed share of dispatches of each rank to the rank's
 // FloorPercent in the preset.
-type PolicyMsg struct{ Preset preset.Preset }
+type PresetMsg struct{ Preset preset.Preset }
 
 // TickMsg runs what is due. The runtime sends it at the time returned by NextWake.
 type TickMsg struct{}
@@ -52,5 +52,5 @@
 func (LimitMsg) poolMsg()     {}
 func (LeavingMsg) poolMsg()   {}
 func (AvailableMsg) poolMsg() {}
-func (PolicyMsg) poolMsg()    {}
+func (PresetMsg) poolMsg()    {}
 func (TickMsg) poolMsg()      {}
--- a/pool/model.go
+++ b/pool/model.go
@@ -50,7 +50,7 @@
 		u := m.upstreamFor(v.Upstream)
 		u.leaving = false
 		return m.schedule(now, u, nil)
-	case PolicyMsg:
+	case PresetMsg:
 		m.setShares(v)
 	case TickMsg:
 		var cmds []Cmd
@@ -72,7 +72,7 @@
 	return u
 }
 
-func (m *Model) setShares(msg PolicyMsg) {
+func (m *Model) setShares(msg PresetMsg) {
 	for _, r := range rank.All() {
 		m.cfg.shares.Set(r, msg.Preset.Policy(r).FloorPercent/100)
 	}
--- a/query/command.go
+++ b/query/command.go
@@ -44,23 +44,23 @@
 
 // Answer is the answer to one query.
 type Answer struct {
-	ID            string
-	Outcome       Outcome
-	Execution     attempt.Execution // NotExecuted only if every attempt is proven not executed
-	Snapshot      uint64
-	Expected      uint32
-	Covered       uint32
-	Missing       []coverage.Range
-	Rows          []coverage.Row
-	Preset        string
-	Revision      uint64
-	Rank          rank.Rank
-	TookMs        clock.Millis
-	Reason        string
-	Attempts      int          // attempts sent, including hedges and retries
-	Needed        int          // attempts without hedges and retries: one per group
-	MaxQueueMs    clock.Millis // longest queue wait at a carrier, as the replies state it
-	MeanQueueMs   clock.Millis // mean queue wait at the carriers, as the replies state it
-	MeanServiceMs clock.Millis // mean latency of the successful attempts without that wait
-	Overloaded    bool         // an attempt was shed by its upstream or dropped by its carrier
+	ID             string
+	Outcome        Outcome
+	Execution      attempt.Execution // NotExecuted only if every attempt is proven not executed
+	Snapshot       uint64
+	Expected       uint32
+	Covered        uint32
+	Missing        []coverage.Range
+	Rows           []coverage.Row
+	Preset         string
+	Revision       uint64
+	Rank           rank.Rank
+	TookMs         clock.Millis
+	Reason         string
+	Attempts       int          // attempts sent, including hedges and retries
+	AttemptsNeeded int          // attempts without hedges and retries: one per group
+	MaxQueueMs     clock.Millis // longest queue wait at a carrier, as the replies state it
+	MeanQueueMs    clock.Millis // mean queue wait at the carriers, as the replies state it
+	MeanServiceMs  clock.Millis // mean latency of the successful attempts without that wait
+	Overloaded     bool         // an attempt was shed by its upstream or dropped by its carrier
 }
--- a/query/finish.go
+++ b/query/finish.go
@@ -30,7 +30,7 @@
 func (q *openQuery) answer(now clock.Millis, reason string) Answer {
 	a := Answer{
 		ID: q.ID, Outcome: Failed, Execution: q.execution(), Snapshot: q.version, Preset: q.Preset, Revision: q.Revision,
-		Rank: q.Rank, TookMs: now - q.startedAt, Reason: reason, Attempts: q.attempts, Needed: len(q.subrequests),
+		Rank: q.Rank, TookMs: now - q.startedAt, Reason: reason, Attempts: q.attempts, AttemptsNeeded: len(q.subrequests),
 		MaxQueueMs: q.maxQueueMs, MeanQueueMs: q.totalQueueMs / clock.Millis(max(q.replies, 1)), Overloaded: q.overloaded,
 		MeanServiceMs: q.totalServiceMs / clock.Millis(max(q.okReplies, 1)),
 	}
--- a/query/model_test.go
+++ b/query/model_test.go
@@ -263,8 +263,8 @@
 			if a.Outcome != tt.outcome || a.Covered != tt.covered || a.Execution != tt.execution {
 				t.Errorf("got %s, %d keys, execution %s, want %s, %d, %s", a.Outcome, a.Covered, a.Execution, tt.outcome, tt.covered, tt.execution)
 			}
-			if a.Attempts != tt.sent || a.Needed != 2 {
-				t.Errorf("%d attempts and %d needed, want %d and 2", a.Attempts, a.Needed, tt.sent)
+			if a.Attempts != tt.sent || a.AttemptsNeeded != 2 {
+				t.Errorf("%d attempts and %d needed, want %d and 2", a.Attempts, a.AttemptsNeeded, tt.sent)
 			}
 			if got := h.model.Dropped(tt.drop); got != tt.drops {
 				t.Errorf("%d replies dropped, want %d", got, tt.drops)
--- a/query/start.go
+++ b/query/start.go
@@ -45,7 +45,7 @@
 		return
 	}
 	needed := len(q.service.groups)
-	totals.Needed += needed
+	totals.AttemptsNeeded += needed
 	budget := m.budgets.Ref(q.Rank)
 	budget.hedges.refill(float64(needed) * q.Policy.HedgeBudgetPercent / 100)
 	budget.retries.refill(float64(needed) * q.Policy.RetryBudgetPercent / 100)
--- a/query/tail_test.go
+++ b/query/tail_test.go
@@ -98,7 +98,7 @@
 			if got := tt.extra(n); got > limit || got < limit/2 {
 				t.Errorf("%d extra attempts, want at most %d and at least half of it", got, limit)
 			}
-			if n.Needed != queries*groups || n.Sent != n.Needed+n.Hedges+n.Retries {
+			if n.AttemptsNeeded != queries*groups || n.Sent != n.AttemptsNeeded+n.Hedges+n.Retries {
 				t.Errorf("totals %+v are inconsistent", n)
 			}
 			if h.events[timeline.BudgetExhausted] == 0 {
--- a/query/totals.go
+++ b/query/totals.go
@@ -27,7 +27,7 @@
 // Totals counts the queries and attempts of one rank since the Model was created.
 type Totals struct {
 	Queries            int
-	Needed             int // attempts without hedges and retries: one per group of each query
+	AttemptsNeeded     int // attempts without hedges and retries: one per group of each query
 	Sent               int // all attempts sent
 	Hedges             int
 	Retries            int
--- a/standin/control.go
+++ b/standin/control.go
@@ -30,9 +30,9 @@
 
 // Ledger sums up the order ledgers of all upstreams.
 type Ledger struct {
-	Orders   int      `json:"orders"`
-	Runs     int      `json:"runs"`
-	Repeated []string `json:"repeated"` // ids that were run more than once, sorted
+	Orders     int      `json:"orders"`
+	Executions int      `json:"runs"`
+	Repeated   []string `json:"repeated"` // ids that were run more than once, sorted
 }
 
 // Ledger returns the sum of the order ledgers.
@@ -43,7 +43,7 @@
 	}
 	sum := Ledger{Orders: len(total), Repeated: []string{}}
 	for id, runs := range total {
-		sum.Runs += runs
+		sum.Executions += runs
 		if runs > 1 {
 			sum.Repeated = append(sum.Repeated, id)
 		}
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -66,7 +66,7 @@
 	if d.freePorts {
 		storeAddress, listAddress = "127.0.0.1:0", "127.0.0.1:0"
 	}
-	if d.store, err = StartStore(ctx, append([]StoreOption{WithStoreAddress(storeAddress), WithRates(storeWrites, storeReads)}, d.storeOptions...)...); err != nil {
+	if d.store, err = StartStore(ctx, append([]StoreOption{WithStoreAddress(storeAddress), WithRateLimits(storeWrites, storeReads)}, d.storeOptions...)...); err != nil {
 		return err
 	}
 	if d.vmList, err = StartVMList(ctx, append([]VMListOption{WithVMListAddress(listAddress)}, d.vmListOptions...)...); err != nil {
@@ -161,10 +161,10 @@
 		return err
 	}
 	for _, u := range members {
-		u.Hold(version)
-		held := u.Held()
+		u.AddVersion(version)
+		held := u.HeldVersions()
 		for _, old := range held[:max(0, len(held)-2)] {
-			u.Drop(old)
+			u.RemoveVersion(old)
 		}
 	}
 	return nil
--- a/standin/deployment_test.go
+++ b/standin/deployment_test.go
@@ -158,7 +158,7 @@
 			t.Errorf("Send = %+v, want ok", got)
 		}
 	}
-	if got := d.Ledger(); got.Orders != 2 || got.Runs != 3 || len(got.Repeated) != 1 || got.Repeated[0] != "one" {
+	if got := d.Ledger(); got.Orders != 2 || got.Executions != 3 || len(got.Repeated) != 1 || got.Repeated[0] != "one" {
 		t.Errorf("Ledger = %+v, want 2 orders, 3 runs, one repeated", got)
 	}
 }
--- a/standin/options.go
+++ b/standin/options.go
@@ -12,8 +12,8 @@
 // WithStoreAddress sets the address; the default is a free port on loopback.
 func WithStoreAddress(address string) StoreOption { return func(s *Store) { s.address = address } }
 
-// WithRates sets the accepted writes and reads a second; 0 means no limit.
-func WithRates(writes, reads int) StoreOption {
+// WithRateLimits sets the accepted writes and reads a second; 0 means no limit.
+func WithRateLimits(writes, reads int) StoreOption {
 	return func(s *Store) { s.writes.rate, s.reads.rate = float64(writes), float64(reads) }
 }
 
@@ -39,8 +39,8 @@
 	return func(u *Upstream) { u.b.slowShare, u.b.slowShareFactor = share, factor }
 }
 
-// WithStraggler multiplies every service time.
-func WithStraggler(factor float64) UpstreamOption {
+// WithSlowFactor multiplies every service time.
+func WithSlowFactor(factor float64) UpstreamOption {
 	return func(u *Upstream) { u.b.slowFactor = factor }
 }
 
@@ -55,8 +55,8 @@
 	return func(u *Upstream) { u.b.workers, u.b.shedAbove = workers, shedAbove }
 }
 
-// WithHeld sets the snapshot versions that the upstream holds.
-func WithHeld(versions ...uint64) UpstreamOption {
+// WithHeldVersions sets the snapshot versions that the upstream holds.
+func WithHeldVersions(versions ...uint64) UpstreamOption {
 	return func(u *Upstream) { u.b.held = append([]uint64(nil), versions...) }
 }
 
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -102,7 +102,7 @@
 	return doc
 }
 
-func (c *Counts) add(status string) {
+func (c *AttemptCounts) add(status string) {
 	switch status {
 	case httpup.StatusShed:
 		c.Shed++
--- a/standin/store.go
+++ b/standin/store.go
@@ -196,8 +196,8 @@
 	return maps.Clone(s.calls)
 }
 
-// LostAnswers returns how many effective writes were not answered.
-func (s *Store) LostAnswers() int {
+// DroppedReplies returns how many effective writes were not answered.
+func (s *Store) DroppedReplies() int {
 	s.data.Lock()
 	defer s.data.Unlock()
 	return s.lost
--- a/standin/store_test.go
+++ b/standin/store_test.go
@@ -81,8 +81,8 @@
 	wantKind(t, "Swap of a wrong revision", err, store.KindConflict)
 	_, err = c.Swap(ctx, "k", []byte("2"), first.Revision)
 	wantKind(t, "Swap with a lost answer", err, store.KindUnknown)
-	if e, err := c.Get(ctx, "k"); err != nil || !bytes.Equal(e.Value, []byte("2")) || s.LostAnswers() != 1 {
-		t.Errorf("Get = %+v, %v with %d lost answers, want the lost write in effect", e, err, s.LostAnswers())
+	if e, err := c.Get(ctx, "k"); err != nil || !bytes.Equal(e.Value, []byte("2")) || s.DroppedReplies() != 1 {
+		t.Errorf("Get = %+v, %v with %d lost answers, want the lost write in effect", e, err, s.DroppedReplies())
 	}
 
 	inject(t, s, "down", true)
@@ -154,7 +154,7 @@
 
 // TestRates guards against a store that takes calls above its rates.
 func TestRates(t *testing.T) {
-	s, c := startStore(t, standin.WithRates(1, 1))
+	s, c := startStore(t, standin.WithRateLimits(1, 1))
 	_, err := c.Swap(t.Context(), "k", nil, 0)
 	wantKind(t, "first Swap", err, store.KindOK)
 	inject(t, s, "writes_per_second", 1e-6)
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -30,7 +30,7 @@
 	slots   *queue
 	open    map[attempt.ID]*job
 	ledger  map[string]int // runs by order id
-	counts  Counts
+	counts  AttemptCounts
 	prior   *httpup.ReplyDoc // last reply, which a crossed reply repeats
 	load    upstream.Load    // as last shown by the load endpoint
 	shownAt time.Time
@@ -62,8 +62,8 @@
 	once   sync.Once
 }
 
-// Counts counts what an upstream did with attempts.
-type Counts struct {
+// AttemptCounts counts what an upstream did with attempts.
+type AttemptCounts struct {
 	Received    int `json:"received"`
 	Started     int `json:"started"`
 	Finished    int `json:"finished"`
@@ -105,8 +105,8 @@
 // ID returns the identifier of the upstream.
 func (u *Upstream) ID() upstream.ID { return u.id }
 
-// Runs returns how often the order with the given id was run.
-func (u *Upstream) Runs(order string) int {
+// Executions returns how often the order with the given id was run.
+func (u *Upstream) Executions(order string) int {
 	u.data.Lock()
 	defer u.data.Unlock()
 	return u.ledger[order]
@@ -121,22 +121,22 @@
 	}
 }
 
-// Counts returns what the upstream did with attempts.
-func (u *Upstream) Counts() Counts {
+// AttemptCounts returns what the upstream did with attempts.
+func (u *Upstream) AttemptCounts() AttemptCounts {
 	u.data.Lock()
 	defer u.data.Unlock()
 	return u.counts
 }
 
-// Held returns the snapshot versions that the upstream holds.
-func (u *Upstream) Held() []uint64 {
+// HeldVersions returns the snapshot versions that the upstream holds.
+func (u *Upstream) HeldVersions() []uint64 {
 	u.data.Lock()
 	defer u.data.Unlock()
 	return slices.Clone(u.b.held)
 }
 
-// Hold adds a snapshot version. The oldest one goes when too many are held.
-func (u *Upstream) Hold(version uint64) {
+// AddVersion adds a snapshot version. The oldest one goes when too many are held.
+func (u *Upstream) AddVersion(version uint64) {
 	u.data.Lock()
 	defer u.data.Unlock()
 	if slices.Contains(u.b.held, version) {
@@ -147,8 +147,8 @@
 	u.b.held = held[max(0, len(held)-maxHeld):]
 }
 
-// Drop removes a snapshot version.
-func (u *Upstream) Drop(version uint64) {
+// RemoveVersion removes a snapshot version.
+func (u *Upstream) RemoveVersion(version uint64) {
 	u.data.Lock()
 	defer u.data.Unlock()
 	u.b.held = slices.DeleteFunc(slices.Clone(u.b.held), func(v uint64) bool { return v == version })
--- a/standin/upstream_test.go
+++ b/standin/upstream_test.go
@@ -124,7 +124,7 @@
 				if got.Status != attempt.OK && got.Execution != attempt.ExecutionUnknown {
 					t.Errorf("order %s ended %v %v, want ran unknown", name, got.Status, got.Execution)
 				}
-				if runs := u.Runs(name); runs != 1 {
+				if runs := u.Executions(name); runs != 1 {
 					t.Errorf("order %s ran %d times, want 1", name, runs)
 				}
 			}
@@ -179,8 +179,8 @@
 	if got := <-first; got.Status != attempt.Cancelled || got.Execution != attempt.ExecutionUnknown {
 		t.Errorf("cancelled while running = %v %v, want cancelled unknown", got.Status, got.Execution)
 	}
-	if u.Runs("queued")+u.Runs("shed") != 0 || u.Counts().Started != 1 {
-		t.Errorf("Counts = %+v, want one started", u.Counts())
+	if u.Executions("queued")+u.Executions("shed") != 0 || u.AttemptCounts().Started != 1 {
+		t.Errorf("Counts = %+v, want one started", u.AttemptCounts())
 	}
 	if err := c.Cancel(t.Context(), id, query(9, 0).ID); err != nil {
 		t.Errorf("Cancel of an unknown attempt = %v", err)
--- a/vm/call.go
+++ b/vm/call.go
@@ -177,7 +177,7 @@
 	c.enqueue(admission.DoneMsg{ID: a.ID, QueueMs: a.MeanQueueMs, ServiceMs: a.MeanServiceMs, ElapsedMs: a.TookMs, Overloaded: a.Overloaded})
 	c.answerQuery(now, callID, cl, QueryAnswer{
 		Outcome: Outcome(a.Outcome), Execution: a.Execution, Snapshot: a.Snapshot, Expected: a.Expected, Covered: a.Covered,
-		Missing: a.Missing, Rows: a.Rows, Reason: a.Reason, Attempts: a.Attempts, AttemptsNeeded: a.Needed,
+		Missing: a.Missing, Rows: a.Rows, Reason: a.Reason, Attempts: a.Attempts, AttemptsNeeded: a.AttemptsNeeded,
 	})
 }
 
--- a/vm/forward_test.go
+++ b/vm/forward_test.go
@@ -104,7 +104,7 @@
 	first := func(first, _ vm.SendPeerCmd) vm.SendPeerCmd { return first }
 	last := func(_, last vm.SendPeerCmd) vm.SendPeerCmd { return last }
 	unsent := func(first, _ vm.SendPeerCmd) vm.Msg { return vm.PeerUnsentMsg{To: first.To, Body: first.Body} }
-	down := func(first, _ vm.SendPeerCmd) vm.Msg { return vm.PeerDownMsg{VM: first.To} }
+	down := func(first, _ vm.SendPeerCmd) vm.Msg { return vm.PeerDisconnectedMsg{VM: first.To} }
 	tests := []struct {
 		name     string
 		events   []event
--- a/vm/handle.go
+++ b/vm/handle.go
@@ -54,7 +54,7 @@
 		c.handlePeerMsg(now, m)
 	case PeerUnsentMsg:
 		c.handlePeerUnsent(now, m)
-	case PeerDownMsg:
+	case PeerDisconnectedMsg:
 		c.handlePeerDown(now, m.VM)
 	case StopMsg:
 		c.stop(now)
--- a/vm/member.go
+++ b/vm/member.go
@@ -75,7 +75,7 @@
 	}
 	c.preset, c.revision = p, rec.Revision
 	c.enqueue(admission.PresetMsg{Preset: p})
-	c.enqueue(pool.PolicyMsg{Preset: p})
+	c.enqueue(pool.PresetMsg{Preset: p})
 }
 
 func (c *Core) handleUpstreamLeaving(now clock.Millis, m fleet.UpstreamLeavingCmd) {
--- a/vm/message.go
+++ b/vm/message.go
@@ -84,4 +84,4 @@
 func (TickMsg) vmMsg()               {}
 func (PeerMsg) vmMsg()               {}
 func (PeerUnsentMsg) vmMsg()         {}
-func (PeerDownMsg) vmMsg()           {}
+func (PeerDisconnectedMsg) vmMsg()   {}
--- a/vm/peer.go
+++ b/vm/peer.go
@@ -61,9 +61,9 @@
 	Body PeerBody
 }
 
-// PeerDownMsg reports that the connection to a VM broke. Messages that were
+// PeerDisconnectedMsg reports that the connection to a VM broke. Messages that were
 // sent before may or may not have arrived.
-type PeerDownMsg struct{ VM string }
+type PeerDisconnectedMsg struct{ VM string }
 
 // SendPeerCmd sends a message to another VM.
 type SendPeerCmd struct {
--- a/vm/status.go
+++ b/vm/status.go
@@ -142,7 +142,7 @@
 	for _, r := range rank.All() {
 		t := c.queries.Totals(r)
 		s.Totals = append(s.Totals, RankTotals{
-			Rank: r, Queries: t.Queries, AttemptsNeeded: t.Needed, AttemptsSent: t.Sent, Hedges: t.Hedges, Retries: t.Retries,
+			Rank: r, Queries: t.Queries, AttemptsNeeded: t.AttemptsNeeded, AttemptsSent: t.Sent, Hedges: t.Hedges, Retries: t.Retries,
 		})
 	}
 	for _, svc := range c.serviceList {
