--- a/entry/change.go
+++ b/entry/change.go
@@ -14,9 +14,9 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// changeLimit bounds an operator's change. Afterwards the answer says whether
+// changeTimeout bounds an operator's change. Afterwards the answer says whether
 // the change is in force, or that this is not known.
-const changeLimit = 5 * clock.Second
+const changeTimeout = 5 * clock.Second
 
 // ChangeDocument is the answer to POST /v1/presets.
 type ChangeDocument struct {
@@ -35,7 +35,7 @@
 		return
 	}
 	var known preset.Record
-	if err := v.view(func(core *vm.Core, _ clock.Millis) { known = core.Record() }); err != nil {
+	if err := v.readCore(func(core *vm.Core, _ clock.Millis) { known = core.Record() }); err != nil {
 		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: err.Error(), Execution: attempt.NotExecuted})
 		return
 	}
@@ -44,8 +44,8 @@
 	if result.Record.Revision > 0 {
 		v.post(vm.PresetRecordMsg{Record: result.Record})
 	}
-	if past, ok := result.Record.FindChange(change.ID); ok && result.Accepted == preset.Accepted {
-		v.post(vm.PresetSwitchedMsg{Change: past})
+	if applied, ok := result.Record.FindChange(change.ID); ok && result.Accepted == preset.Accepted {
+		v.post(vm.PresetSwitchedMsg{Change: applied})
 	}
 	writeJSON(r, ChangeStatus(result), NewChangeDocument(result))
 }
@@ -65,10 +65,10 @@
 // ApplyChange carries out an operator's change against a store. known is the
 // newest record of this VM. It takes at most some seconds.
 func ApplyChange(ctx context.Context, st store.Store, cl clock.Clock, change preset.Change, known preset.Record) preset.Result {
-	ctx, cancel := context.WithTimeout(ctx, changeLimit.Duration()+time.Second)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout.Duration()+time.Second)
 	defer cancel()
-	changer := preset.NewCommitter(change, known, cl.Now()+changeLimit)
-	cmds := changer.Update(cl.Now(), preset.StartMsg{})
+	committer := preset.NewCommitter(change, known, cl.Now()+changeTimeout)
+	cmds := committer.Update(cl.Now(), preset.StartMsg{})
 	for {
 		for len(cmds) > 0 {
 			cmd := cmds[0]
@@ -78,13 +78,13 @@
 				return c.Result
 			case preset.StoreCmd:
 				reply := callStore(ctx, st, c.Request)
-				cmds = append(cmds, changer.Update(cl.Now(), preset.StoreMsg{Reply: reply})...)
+				cmds = append(cmds, committer.Update(cl.Now(), preset.StoreMsg{Reply: reply})...)
 			}
 		}
-		if at, ok := changer.NextWake(); ok {
+		if at, ok := committer.NextWake(); ok {
 			sleep(ctx, at-cl.Now())
 		}
-		cmds = changer.Update(cl.Now(), preset.TickMsg{})
+		cmds = committer.Update(cl.Now(), preset.TickMsg{})
 	}
 }
 
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -9,8 +9,8 @@
 	"lentillink.example/lentillink/order"
 )
 
-// refusedWell reports whether a refusal names its field.
-func refusedWell(err error) bool {
+// isInvalidWithField reports whether a refusal names its field.
+func isInvalidWithField(err error) bool {
 	var failed *entry.Error
 	return errors.As(err, &failed) && failed.Kind() == entry.KindInvalid && failed.Field() != ""
 }
@@ -28,7 +28,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		q, r, err := entry.DecodeQuery(body)
 		if err != nil {
-			if !refusedWell(err) {
+			if !isInvalidWithField(err) {
 				t.Fatalf("%q: refusal %v names no field", body, err)
 			}
 			return
@@ -59,7 +59,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		o, r, err := entry.DecodeOrder(body)
 		if err != nil {
-			if !refusedWell(err) {
+			if !isInvalidWithField(err) {
 				t.Fatalf("%q: refusal %v names no field", body, err)
 			}
 			return
--- a/entry/helper_test.go
+++ b/entry/helper_test.go
@@ -25,14 +25,14 @@
 const (
 	// waitLimit bounds every wait for a condition. It is generous because the
 	// machine may be busy; a condition that holds ends the wait at once.
-	waitLimit = 20 * time.Second
-	groupKeys = 1000
-	deskCount = 6
+	waitLimit    = 20 * time.Second
+	keysPerGroup = 1000
+	orderGroups  = 6
 )
 
-// start runs a fleet with a search service of 20 groups of 2 upstreams and an
+// startFleet runs a fleet with a search service of 20 groups of 2 upstreams and an
 // order service of 6 groups of 2.
-func start(t *testing.T, vms int, opts ...entry.Option) *demo.Fleet {
+func startFleet(t *testing.T, vms int, opts ...entry.Option) *demo.Fleet {
 	t.Helper()
 	example, err := settings.Example("hautakukka")
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 	doc := example.Document()
 	search, orders := doc.Services[0], doc.Services[1]
-	orders.Groups = orders.Groups[:deskCount]
+	orders.Groups = orders.Groups[:orderGroups]
 	doc.Services = []settings.Service{search, orders}
 	cfg, err := settings.New(doc)
 	if err != nil {
@@ -61,15 +61,15 @@
 	return f
 }
 
-func inject(t *testing.T, f *demo.Fleet, target, fault string, value any) {
+func injectFault(t *testing.T, f *demo.Fleet, target, fault string, value any) {
 	t.Helper()
 	if _, err := f.Standins.Inject(target, fault, value); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// until polls a condition.
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor polls a condition.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitLimit)
 	for !ok() {
@@ -92,7 +92,7 @@
 	n := lastID.Add(1)
 	return entry.OrderRequest{
 		ID: fmt.Sprintf("%d-t%d", clock.System{}.Now(), n), Rank: "ordinary", Service: "orders",
-		Group: fmt.Sprintf("desk-%02d", n%deskCount+1), Body: json.RawMessage(`{"flowers":1}`),
+		Group: fmt.Sprintf("desk-%02d", n%orderGroups+1), Body: json.RawMessage(`{"flowers":1}`),
 	}
 }
 
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// complete sends a query and requires the whole answer.
-func complete(t *testing.T, f *demo.Fleet, vm int) {
+// requireComplete sends a query and requires the whole answer.
+func requireComplete(t *testing.T, f *demo.Fleet, vm int) {
 	t.Helper()
 	q := newQuery()
 	a, err := f.Caller(vm).Query(q)
@@ -166,8 +166,8 @@
 	}
 }
 
-// runs returns how often the upstreams ran an order.
-func runs(f *demo.Fleet, id string) int {
+// orderRuns returns how often the upstreams ran an order.
+func orderRuns(f *demo.Fleet, id string) int {
 	n := 0
 	for _, up := range f.Standins.Upstreams() {
 		n += f.Standins.Upstream(up).Executions(id)
@@ -175,8 +175,8 @@
 	return n
 }
 
-// received returns how many attempts reached upstreams whose name starts so.
-func received(f *demo.Fleet, prefix string) int {
+// receivedAttempts returns how many attempts reached upstreams whose name starts so.
+func receivedAttempts(f *demo.Fleet, prefix string) int {
 	n := 0
 	for _, up := range f.Standins.Upstreams() {
 		if strings.HasPrefix(string(up), prefix) {
@@ -186,40 +186,42 @@
 	return n
 }
 
-// ledger collects the answers to orders by id.
-type ledger struct {
+// orderAnswers collects the answers to orders by id.
+type orderAnswers struct {
 	mu      sync.Mutex
 	answers map[string][]entry.OrderDocument
 }
 
-func newLedger() *ledger { return &ledger{answers: make(map[string][]entry.OrderDocument)} }
+func newOrderAnswers() *orderAnswers {
+	return &orderAnswers{answers: make(map[string][]entry.OrderDocument)}
+}
 
 // add notes an answer; without one, whether the order ran is not known.
-func (l *ledger) add(id string, a entry.OrderDocument, err error) {
+func (o *orderAnswers) add(id string, a entry.OrderDocument, err error) {
 	if err != nil {
 		a = entry.OrderDocument{ID: id, Outcome: "unknown"}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.answers[id] = append(l.answers[id], a)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.answers[id] = append(o.answers[id], a)
 }
 
 // check compares all answers with what the upstreams ran.
-func (l *ledger) check(t *testing.T, f *demo.Fleet) (done int) {
+func (o *orderAnswers) check(t *testing.T, f *demo.Fleet) (done int) {
 	t.Helper()
-	for id, answers := range l.answers {
-		n, notRun, ran := runs(f, id), true, false
+	for id, answers := range o.answers {
+		n, notExecuted, executed := orderRuns(f, id), true, false
 		for _, a := range answers {
-			notRun = notRun && a.Execution == attempt.NotExecuted
-			ran = ran || a.Outcome == "done"
+			notExecuted = notExecuted && a.Execution == attempt.NotExecuted
+			executed = executed || a.Outcome == "done"
 			if a.ID != id {
 				t.Errorf("order %s received the answer to %s", id, a.ID)
 			}
 		}
-		if n > 1 || notRun && n > 0 || ran && n != 1 {
+		if n > 1 || notExecuted && n > 0 || executed && n != 1 {
 			t.Errorf("order %s ran %d times, answers %+v", id, n, answers)
 		}
-		if ran {
+		if executed {
 			done++
 		}
 	}
--- a/entry/http.go
+++ b/entry/http.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	readLimit = 30 * clock.Second // a caller that sends its request more slowly is cut
-	idleLimit = 60 * clock.Second
+	readTimeout = 30 * clock.Second // a caller that sends its request more slowly is cut
+	idleTimeout = 60 * clock.Second
 )
 
 func (v *VM) newServer() *fasthttp.Server {
@@ -44,31 +44,31 @@
 			}
 			h(r)
 		},
-		ErrorHandler:       badRequest,
+		ErrorHandler:       serveReadError,
 		MaxRequestBodySize: v.settings.Limits().RequestBodyBytes,
-		ReadTimeout:        readLimit.Duration(),
-		IdleTimeout:        idleLimit.Duration(),
+		ReadTimeout:        readTimeout.Duration(),
+		IdleTimeout:        idleTimeout.Duration(),
 		CloseOnShutdown:    true,
 		Name:               "lentillink",
-		Logger:             quietLogger{},
+		Logger:             discardLogger{},
 	}
 }
 
-// quietLogger drops what fasthttp prints about broken connections; metrics
+// discardLogger drops what fasthttp prints about broken connections; metrics
 // and events cover what matters.
-type quietLogger struct{}
+type discardLogger struct{}
 
 // Printf does nothing.
-func (quietLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// badRequest answers a request that could not be read whole. It never reached
+// serveReadError answers a request that could not be read whole. It never reached
 // the core, so it did not run.
-func badRequest(r *fasthttp.RequestCtx, err error) {
+func serveReadError(r *fasthttp.RequestCtx, err error) {
 	text := "request could not be read whole: " + err.Error()
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		text = "body: larger than limits.request_body_bytes"
 		if c, ok := r.Conn().(*lingerConn); ok {
-			c.unread = true
+			c.bodyUnread = true
 		}
 	}
 	writeJSON(r, fasthttp.StatusBadRequest, ErrorDocument{Error: text, Field: "body", Execution: attempt.NotExecuted})
@@ -85,7 +85,7 @@
 		return
 	}
 	msg := vm.QueryMsg{
-		CallID: v.calls.Add(1), ID: q.ID, Rank: rk, Service: q.Service, Body: q.Query, MinCoverage: -1,
+		CallID: v.lastCallID.Add(1), ID: q.ID, Rank: rk, Service: q.Service, Body: q.Query, MinCoverage: -1,
 	}
 	if q.DeadlineMs != nil {
 		msg.BudgetMs = *q.DeadlineMs
@@ -93,7 +93,7 @@
 	if q.MinCoverage != nil {
 		msg.MinCoverage = *q.MinCoverage * 100
 	}
-	a, ok := v.call(msg.CallID, msg).(vm.AnswerQueryCmd)
+	a, ok := v.callCore(msg.CallID, msg).(vm.AnswerQueryCmd)
 	if !ok {
 		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: "the VM has stopped", Execution: attempt.ExecutionUnknown})
 		return
@@ -112,8 +112,8 @@
 		writeInvalid(r, err)
 		return
 	}
-	msg := vm.OrderMsg{CallID: v.calls.Add(1), ID: o.ID, Rank: rk, Service: o.Service, Group: o.Group, Body: o.Body}
-	a, ok := v.call(msg.CallID, msg).(vm.AnswerOrderCmd)
+	msg := vm.OrderMsg{CallID: v.lastCallID.Add(1), ID: o.ID, Rank: rk, Service: o.Service, Group: o.Group, Body: o.Body}
+	a, ok := v.callCore(msg.CallID, msg).(vm.AnswerOrderCmd)
 	if !ok {
 		writeJSON(r, fasthttp.StatusBadGateway, ErrorDocument{Error: "the VM has stopped", Execution: attempt.ExecutionUnknown})
 		return
@@ -152,12 +152,12 @@
 	return services
 }
 
-// call hands a request to the core and waits for its answer. It returns nil if
+// callCore hands a request to the core and waits for its answer. It returns nil if
 // the VM stops first.
-func (v *VM) call(n uint64, msg vm.Msg) vm.Cmd {
+func (v *VM) callCore(callID uint64, msg vm.Msg) vm.Cmd {
 	answer := make(chan vm.Cmd, 1)
 	select {
-	case v.inbox <- item{msg: msg, call: n, answer: answer}:
+	case v.inbox <- inboxItem{msg: msg, callID: callID, answer: answer}:
 	case <-v.stopped:
 		return nil
 	}
@@ -175,7 +175,7 @@
 }
 
 func (v *VM) serveHealth(r *fasthttp.RequestCtx) {
-	if err := v.view(func(*vm.Core, clock.Millis) {}); err != nil {
+	if err := v.readCore(func(*vm.Core, clock.Millis) {}); err != nil {
 		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: err.Error()})
 		return
 	}
@@ -184,7 +184,7 @@
 
 func (v *VM) serveReady(r *fasthttp.RequestCtx) {
 	ready, reason := false, "stopped"
-	_ = v.view(func(core *vm.Core, _ clock.Millis) { ready, reason = core.Ready() })
+	_ = v.readCore(func(core *vm.Core, _ clock.Millis) { ready, reason = core.Ready() })
 	if !ready {
 		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: reason, Execution: attempt.NotExecuted})
 		return
@@ -193,7 +193,7 @@
 }
 
 func (v *VM) serveMetrics(r *fasthttp.RequestCtx, scrape fasthttp.RequestHandler) {
-	_ = v.view(func(core *vm.Core, _ clock.Millis) { v.metrics.state(core) })
+	_ = v.readCore(func(core *vm.Core, _ clock.Millis) { v.metrics.updateGauges(core) })
 	scrape(r)
 }
 
--- a/entry/linger.go
+++ b/entry/linger.go
@@ -10,8 +10,8 @@
 
 // Bounds of what is read and dropped from a caller whose body is too large.
 const (
-	lingerLimit = clock.Second
-	lingerBytes = 16 << 20
+	lingerTimeout  = clock.Second
+	maxLingerBytes = 16 << 20
 )
 
 // lingerListener accepts connections that can be closed without a reset.
@@ -31,15 +31,15 @@
 // the answer before the caller reads it.
 type lingerConn struct {
 	net.Conn
-	unread bool // set by the goroutine that also closes the connection
+	bodyUnread bool // set by the goroutine that also closes the connection
 }
 
 // Close closes the connection, after the rest of a refused body.
 func (c *lingerConn) Close() error {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if c.unread && ok && half.CloseWrite() == nil {
-		_ = c.SetReadDeadline(time.Now().Add(lingerLimit.Duration()))
-		_, _ = io.CopyN(io.Discard, c.Conn, lingerBytes)
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if c.bodyUnread && ok && halfCloser.CloseWrite() == nil {
+		_ = c.SetReadDeadline(time.Now().Add(lingerTimeout.Duration()))
+		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 	}
 	return c.Conn.Close()
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -9,15 +9,15 @@
 
 // metrics holds the collectors. Every label has a small closed set of values.
 type metrics struct {
-	queries  *prometheus.CounterVec
-	orders   *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	attempts *prometheus.CounterVec
-	needed   *prometheus.CounterVec
-	seconds  *prometheus.HistogramVec
-	events   *prometheus.CounterVec
-	revision prometheus.Gauge
-	ready    prometheus.Gauge
+	queries       *prometheus.CounterVec
+	orders        *prometheus.CounterVec
+	refusals      *prometheus.CounterVec
+	attempts      *prometheus.CounterVec
+	needed        *prometheus.CounterVec
+	queryDuration *prometheus.HistogramVec
+	events        *prometheus.CounterVec
+	revision      prometheus.Gauge
+	ready         prometheus.Gauge
 }
 
 // latencyBuckets are in seconds, around the 180 ms target.
@@ -43,11 +43,11 @@
 		events:   counter("events_total", "Events of the time line, by kind.", "kind"),
 		revision: gauge("preset_revision", "Revision of the preset record in force."),
 		ready:    gauge("ready", "1 if the VM is ready for the balancer."),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		queryDuration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "lentillink", Name: "query_duration_seconds", Help: "Time from arrival to answer.", Buckets: latencyBuckets,
 		}, []string{"rank"}),
 	}
-	reg.MustRegister(m.seconds)
+	reg.MustRegister(m.queryDuration)
 	return m
 }
 
@@ -58,33 +58,33 @@
 	"draining": true, "duplicate_id": true,
 }
 
-func knownReason(reason string) string {
+func refusalLabel(reason string) string {
 	if refusalReasons[reason] {
 		return reason
 	}
 	return "other"
 }
 
-func (m *metrics) query(a vm.QueryAnswer) {
+func (m *metrics) observeQuery(a vm.QueryAnswer) {
 	r := a.Rank.String()
 	m.queries.WithLabelValues(r, string(a.Outcome)).Inc()
 	if a.Outcome == vm.Refused {
-		m.refusals.WithLabelValues(r, knownReason(a.Reason)).Inc()
+		m.refusals.WithLabelValues(r, refusalLabel(a.Reason)).Inc()
 		return
 	}
 	m.attempts.WithLabelValues(r).Add(float64(a.Attempts))
 	m.needed.WithLabelValues(r).Add(float64(a.AttemptsNeeded))
-	m.seconds.WithLabelValues(r).Observe(a.TookMs.Duration().Seconds())
+	m.queryDuration.WithLabelValues(r).Observe(a.TookMs.Duration().Seconds())
 }
 
-func (m *metrics) order(a vm.OrderAnswer) {
+func (m *metrics) observeOrder(a vm.OrderAnswer) {
 	m.orders.WithLabelValues(string(a.Outcome), a.Execution.String()).Inc()
 }
 
-func (m *metrics) event(kind timeline.Kind) { m.events.WithLabelValues(string(kind)).Inc() }
+func (m *metrics) countEvent(kind timeline.Kind) { m.events.WithLabelValues(string(kind)).Inc() }
 
-// state is read from the core when the metrics are scraped.
-func (m *metrics) state(core *vm.Core) {
+// updateGauges is read from the core when the metrics are scraped.
+func (m *metrics) updateGauges(core *vm.Core) {
 	_, revision := core.Preset()
 	m.revision.Set(float64(revision))
 	ready, _ := core.Ready()
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -28,7 +28,7 @@
 // serveStatus reports this VM, or with fleet=1 all VMs.
 func (v *VM) serveStatus(r *fasthttp.RequestCtx) {
 	var own vm.Status
-	if err := v.view(func(core *vm.Core, now clock.Millis) { own = core.Status(now) }); err != nil {
+	if err := v.readCore(func(core *vm.Core, now clock.Millis) { own = core.Status(now) }); err != nil {
 		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: err.Error()})
 		return
 	}
@@ -36,8 +36,8 @@
 		writeJSON(r, fasthttp.StatusOK, own)
 		return
 	}
-	others, silent := askMembers[vm.Status](r, v, own.Members, vm.AdminStatus, nil)
-	doc := FleetStatus{VMs: append(others, own), Unresponsive: append([]string{}, silent...)}
+	others, unresponsive := fanOutAdminRequest[vm.Status](r, v, own.Members, vm.AdminStatus, nil)
+	doc := FleetStatus{VMs: append(others, own), Unresponsive: append([]string{}, unresponsive...)}
 	slices.SortFunc(doc.VMs, func(a, b vm.Status) int { return strings.Compare(a.VM, b.VM) })
 	slices.Sort(doc.Unresponsive)
 	writeJSON(r, fasthttp.StatusOK, doc)
@@ -52,7 +52,7 @@
 	}
 	var own []timeline.Event
 	var status vm.Status
-	err = v.view(func(core *vm.Core, now clock.Millis) { own, status = core.Events(f), core.Status(now) })
+	err = v.readCore(func(core *vm.Core, now clock.Millis) { own, status = core.Events(f), core.Status(now) })
 	if err != nil {
 		writeJSON(r, fasthttp.StatusServiceUnavailable, ErrorDocument{Error: err.Error()})
 		return
@@ -64,9 +64,9 @@
 			writeInvalid(r, err)
 			return
 		}
-		others, silent := askMembers[[]timeline.Event](r, v, status.Members, vm.AdminEvents, payload)
+		others, unresponsive := fanOutAdminRequest[[]timeline.Event](r, v, status.Members, vm.AdminEvents, payload)
 		doc.Events = timeline.Merge(append(others, own)...)
-		doc.Unresponsive = append(doc.Unresponsive, silent...)
+		doc.Unresponsive = append(doc.Unresponsive, unresponsive...)
 	}
 	if doc.Events == nil {
 		doc.Events = []timeline.Event{}
@@ -104,7 +104,7 @@
 // servePresets returns the record in force.
 func (v *VM) servePresets(r *fasthttp.RequestCtx) {
 	var doc any
-	err := v.view(func(core *vm.Core, _ clock.Millis) {
+	err := v.readCore(func(core *vm.Core, _ clock.Millis) {
 		if rec := core.Record(); rec.Revision > 0 {
 			doc = rec
 		}
--- a/entry/options.go
+++ b/entry/options.go
@@ -27,7 +27,7 @@
 func WithStore(s store.Store) Option { return func(v *VM) { v.store = s } }
 
 // WithVMList sets the VM list.
-func WithVMList(l roster.List) Option { return func(v *VM) { v.roster = l } }
+func WithVMList(l roster.List) Option { return func(v *VM) { v.vmList = l } }
 
 // WithUpstreams sets the client of the upstreams.
 func WithUpstreams(c upstream.Client) Option { return func(v *VM) { v.upstreams = c } }
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -12,11 +12,11 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// TestOrderRepeats guards against an order that runs again when it is repeated
+// TestRepeatedOrderRunsOnce guards against an order that runs again when it is repeated
 // at the same time or later, through any VM.
-func TestOrderRepeats(t *testing.T) {
+func TestRepeatedOrderRunsOnce(t *testing.T) {
 	t.Parallel()
-	f := start(t, 5)
+	f := startFleet(t, 5)
 	for range 5 {
 		o := newOrder()
 		var mu sync.Mutex
@@ -41,7 +41,7 @@
 				t.Errorf("later, VM %d: got %d %s, want 409", vm, status, a.Outcome)
 			}
 		}
-		if got := runs(f, o.ID); got != 1 {
+		if got := orderRuns(f, o.ID); got != 1 {
 			t.Errorf("order %s ran %d times, want 1", o.ID, got)
 		}
 	}
@@ -51,18 +51,18 @@
 // the store is down, and against queries that depend on the store.
 func TestStoreDown(t *testing.T) {
 	t.Parallel()
-	f := start(t, 3)
-	complete(t, f, 0)
+	f := startFleet(t, 3)
+	requireComplete(t, f, 0)
 	for _, tt := range []struct {
 		preset string
 		least  time.Duration // a waiting order is refused only when its deadline is near
 	}{{"ordinary", 0}, {"maintenance", time.Second}} {
 		if tt.preset != "ordinary" {
-			switchTo(t, f, tt.preset)
+			switchPreset(t, f, tt.preset)
 		}
-		inject(t, f, "store", "down", true)
+		injectFault(t, f, "store", "down", true)
 		for vm := range f.Size() {
-			complete(t, f, vm)
+			requireComplete(t, f, vm)
 		}
 		o := newOrder()
 		o.Rank = "urgent" // the shortest deadline
@@ -76,44 +76,44 @@
 		if took < tt.least {
 			t.Errorf("%s: refused after %s, want at least %s", tt.preset, took, tt.least)
 		}
-		if got := runs(f, o.ID); got != 0 {
+		if got := orderRuns(f, o.ID); got != 0 {
 			t.Errorf("%s: a refused order ran %d times", tt.preset, got)
 		}
-		inject(t, f, "store", "down", false)
-		until(t, "an order is done after the outage", func() bool {
+		injectFault(t, f, "store", "down", false)
+		waitFor(t, "an order is done after the outage", func() bool {
 			a, err := f.Caller(2).Order(newOrder())
 			return err == nil && a.Outcome == "done"
 		})
 	}
 }
 
-// TestStoreAnswerLost guards against a write that took effect, but whose lost
+// TestStoreReplyLost guards against a write that took effect, but whose lost
 // answer makes an order run twice or a switch be reported as refused.
-func TestStoreAnswerLost(t *testing.T) {
+func TestStoreReplyLost(t *testing.T) {
 	t.Parallel()
-	f := start(t, 3)
+	f := startFleet(t, 3)
 	for range 5 {
 		lost := f.Standins.Store().DroppedReplies()
-		inject(t, f, "store", "lose_answers", 1)
+		injectFault(t, f, "store", "lose_answers", 1)
 		o := newOrder()
 		a, err := f.Caller(0).Order(o)
 		if err != nil || a.Outcome != "done" {
 			t.Errorf("got %+v, %v, want done", a, err)
 		}
-		until(t, "the answer is lost", func() bool { return f.Standins.Store().DroppedReplies() > lost })
+		waitFor(t, "the answer is lost", func() bool { return f.Standins.Store().DroppedReplies() > lost })
 		if again, err := f.Caller(1).Order(o); err != nil || again.Outcome != "already_submitted" {
 			t.Errorf("repeat: got %+v, %v, want already_submitted", again, err)
 		}
-		if got := runs(f, o.ID); got != 1 {
+		if got := orderRuns(f, o.ID); got != 1 {
 			t.Errorf("order %s ran %d times, want 1", o.ID, got)
 		}
 	}
-	inject(t, f, "store", "lose_answers", 1)
-	switchTo(t, f, "peak")
+	injectFault(t, f, "store", "lose_answers", 1)
+	switchPreset(t, f, "peak")
 }
 
-// switchTo requires that a switch is accepted and in force everywhere.
-func switchTo(t *testing.T, f *demo.Fleet, name string) {
+// switchPreset requires that a switch is accepted and in force everywhere.
+func switchPreset(t *testing.T, f *demo.Fleet, name string) {
 	t.Helper()
 	doc, err := f.Caller(0).Change(preset.Change{ID: "to-" + name, Author: "aino", Reason: "test", SwitchTo: name})
 	if err != nil || doc.Accepted != preset.Accepted || doc.InForce != name {
@@ -128,9 +128,9 @@
 // when VMs die without a drain while orders are open on them.
 func TestKilledVM(t *testing.T) {
 	t.Parallel()
-	f := start(t, 5)
-	inject(t, f, "orders", "median_ms", 40)
-	answers := newLedger()
+	f := startFleet(t, 5)
+	injectFault(t, f, "orders", "median_ms", 40)
+	answers := newOrderAnswers()
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
 	for w := range 10 {
@@ -153,12 +153,12 @@
 		})
 	}
 	for _, vm := range []int{1, 3} {
-		before := received(f, "orders")
-		until(t, "orders run", func() bool { return received(f, "orders") > before+40 })
+		before := receivedAttempts(f, "orders")
+		waitFor(t, "orders run", func() bool { return receivedAttempts(f, "orders") > before+40 })
 		f.Kill(vm)
 	}
-	before := received(f, "orders")
-	until(t, "orders run after the kills", func() bool { return received(f, "orders") > before+40 })
+	before := receivedAttempts(f, "orders")
+	waitFor(t, "orders run after the kills", func() bool { return receivedAttempts(f, "orders") > before+40 })
 	close(stop)
 	wait.Wait()
 	done := answers.check(t, f)
@@ -166,7 +166,7 @@
 	if done < 80 {
 		t.Errorf("%d of %d orders are done, want at least 80", done, len(answers.answers))
 	}
-	until(t, "a complete query through each VM that is left", func() bool {
+	waitFor(t, "a complete query through each VM that is left", func() bool {
 		for _, vm := range []int{0, 2, 4} {
 			if a, err := f.Caller(vm).Query(newQuery()); err != nil || a.Outcome != "complete" {
 				return false
--- a/entry/perform.go
+++ b/entry/perform.go
@@ -12,61 +12,61 @@
 
 // perform carries out one command. Calls that take time run in goroutines that
 // end with a message to the event loop.
-func (v *VM) perform(io context.Context, cmd vm.Cmd) {
-	switch m := cmd.(type) {
+func (v *VM) perform(ioCtx context.Context, cmd vm.Cmd) {
+	switch c := cmd.(type) {
 	case vm.AnswerQueryCmd:
-		v.metrics.query(m.Answer)
-		v.answer(m.CallID, m)
+		v.metrics.observeQuery(c.Answer)
+		v.deliverAnswer(c.CallID, c)
 	case vm.AnswerOrderCmd:
-		v.metrics.order(m.Answer)
-		v.answer(m.CallID, m)
+		v.metrics.observeOrder(c.Answer)
+		v.deliverAnswer(c.CallID, c)
 	case vm.DispatchCmd:
-		v.startAttempt(io, m.Request)
+		v.dispatchAttempt(ioCtx, c.Request)
 	case vm.AbortCmd:
-		go v.abort(io, m)
+		go v.abort(ioCtx, c)
 	case vm.ConnectionLimitCmd:
-		v.upstreams.SetConnectionLimit(m.Upstream, m.Connections)
+		v.upstreams.SetConnectionLimit(c.Upstream, c.Connections)
 	case vm.PollLoadCmd:
-		go v.pollLoad(io, m.Upstream)
+		go v.pollLoad(ioCtx, c.Upstream)
 	case vm.StoreCmd:
-		go v.callStore(io, m.Request)
+		go v.callStore(ioCtx, c.Request)
 	case vm.SendPeerCmd:
-		v.sendPeer(m)
+		v.sendPeer(c)
 	case vm.EventCmd:
-		v.logEvent(m.Event)
-		v.metrics.event(m.Event.Kind)
+		v.logEvent(c.Event)
+		v.metrics.countEvent(c.Event.Kind)
 	}
 }
 
-func (v *VM) answer(call uint64, cmd vm.Cmd) {
-	if ch, ok := v.waiters[call]; ok {
-		delete(v.waiters, call)
+func (v *VM) deliverAnswer(callID uint64, cmd vm.Cmd) {
+	if ch, ok := v.waiters[callID]; ok {
+		delete(v.waiters, callID)
 		ch <- cmd // has room for the one answer
 	}
 }
 
-func (v *VM) sendPeer(m vm.SendPeerCmd) {
-	if m.Address == "" {
-		v.requeued = append(v.requeued, vm.PeerUnsentMsg{To: m.To, Body: m.Body})
+func (v *VM) sendPeer(cmd vm.SendPeerCmd) {
+	if cmd.Address == "" {
+		v.msgQueue = append(v.msgQueue, vm.PeerUnsentMsg{To: cmd.To, Body: cmd.Body})
 		return
 	}
-	v.mesh.Send(m.To, m.Address, m.Stamp, m.Body)
+	v.mesh.Send(cmd.To, cmd.Address, cmd.Stamp, cmd.Body)
 }
 
 // abort asks the upstream to stop. The reply to the attempt itself ends it.
-func (v *VM) abort(io context.Context, m vm.AbortCmd) {
-	if err := v.upstreams.Cancel(io, upstream.ID(m.Upstream), m.ID); err != nil {
-		_ = v.logger.Log("event", "cancel_failed", "upstream", m.Upstream, "attempt", m.ID, "err", err)
+func (v *VM) abort(ioCtx context.Context, cmd vm.AbortCmd) {
+	if err := v.upstreams.Cancel(ioCtx, upstream.ID(cmd.Upstream), cmd.ID); err != nil {
+		_ = v.logger.Log("event", "cancel_failed", "upstream", cmd.Upstream, "attempt", cmd.ID, "err", err)
 	}
 }
 
-func (v *VM) pollLoad(io context.Context, id upstream.ID) {
-	load, err := v.upstreams.Load(io, id)
+func (v *VM) pollLoad(ioCtx context.Context, id upstream.ID) {
+	load, err := v.upstreams.Load(ioCtx, id)
 	v.post(vm.LoadMsg{Upstream: id, Load: load, OK: err == nil})
 }
 
-func (v *VM) callStore(io context.Context, req store.Request) {
-	v.post(vm.StoreMsg{Reply: callStore(io, v.store, req)})
+func (v *VM) callStore(ioCtx context.Context, req store.Request) {
+	v.post(vm.StoreMsg{Reply: callStore(ioCtx, v.store, req)})
 }
 
 // callStore performs one call and turns its error into a kind.
@@ -87,16 +87,16 @@
 	return reply
 }
 
-// rosterInterval is how often the VM list is read. The list lags anyway.
-const rosterInterval = clock.Second
+// vmListInterval is how often the VM list is read. The list lags anyway.
+const vmListInterval = clock.Second
 
-// pollRoster reads the VM list until ctx ends.
-func (v *VM) pollRoster(ctx context.Context) error {
-	ticker := time.NewTicker(rosterInterval.Duration())
+// pollVMList reads the VM list until ctx ends.
+func (v *VM) pollVMList(ctx context.Context) error {
+	ticker := time.NewTicker(vmListInterval.Duration())
 	defer ticker.Stop()
 	for {
-		if list, err := v.roster.VMs(ctx); err == nil {
-			v.post(vm.ListedVMsMsg{VMs: convertRoster(list)})
+		if list, err := v.vmList.VMs(ctx); err == nil {
+			v.post(vm.ListedVMsMsg{VMs: convertVMList(list)})
 		}
 		select {
 		case <-ctx.Done():
@@ -113,9 +113,9 @@
 func (h meshHandler) Received(from string, stamp clock.Timestamp, body vm.PeerBody) {
 	switch b := body.(type) {
 	case vm.AdminRequest:
-		h.v.answerPeer(from, b)
+		h.v.serveAdminRequest(from, b)
 	case vm.AdminResponse:
-		h.v.told.resolve(b)
+		h.v.adminRequests.resolve(b)
 	default:
 		h.v.post(vm.PeerMsg{From: from, Stamp: stamp, Body: body})
 	}
@@ -123,8 +123,8 @@
 
 // Unsent reports a message that never left.
 func (h meshHandler) Unsent(to string, body vm.PeerBody) {
-	if q, ok := body.(vm.AdminRequest); ok {
-		h.v.told.resolve(vm.AdminResponse{ID: q.ID})
+	if req, ok := body.(vm.AdminRequest); ok {
+		h.v.adminRequests.resolve(vm.AdminResponse{ID: req.ID})
 		return
 	}
 	// Send may call this from the event loop, which must not wait for itself.
--- a/entry/preset_test.go
+++ b/entry/preset_test.go
@@ -15,11 +15,11 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// TestRacingSwitches guards against two operators who both believe that their
+// TestConcurrentPresetSwitches guards against two operators who both believe that their
 // switch is in force, and against a loser who is not told why.
-func TestRacingSwitches(t *testing.T) {
+func TestConcurrentPresetSwitches(t *testing.T) {
 	t.Parallel()
-	f := start(t, 3)
+	f := startFleet(t, 3)
 	rec, err := f.Caller(0).Presets()
 	if err != nil {
 		t.Fatal(err)
@@ -39,31 +39,31 @@
 		})
 	}
 	wait.Wait()
-	won := 0
+	winnerIndex := 0
 	if docs[0].Accepted != preset.Accepted {
-		won = 1
+		winnerIndex = 1
 	}
-	winner, lost := changes[won], docs[1-won]
-	if docs[won].Accepted != preset.Accepted || lost.Accepted != preset.NotAccepted {
+	winner, loser := changes[winnerIndex], docs[1-winnerIndex]
+	if docs[winnerIndex].Accepted != preset.Accepted || loser.Accepted != preset.NotAccepted {
 		t.Fatalf("got %+v, want one accepted and one not", docs)
 	}
 	for _, part := range []string{winner.Author, winner.Reason, winner.SwitchTo, winner.ID, time.Now().UTC().Format("2006-01-")} {
-		if !strings.Contains(lost.Error, part) {
-			t.Errorf("the loser reads %q, which lacks %q", lost.Error, part)
+		if !strings.Contains(loser.Error, part) {
+			t.Errorf("the loser reads %q, which lacks %q", loser.Error, part)
 		}
 	}
-	if _, err := demo.AwaitRevision(f, docs[won].Revision, 4000); err != nil {
+	if _, err := demo.AwaitRevision(f, docs[winnerIndex].Revision, 4000); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestChangeThenStoreLost guards against a change that is accepted but stays
+// TestStoreLostAfterChange guards against a change that is accepted but stays
 // in the store that is lost right after the write.
-func TestChangeThenStoreLost(t *testing.T) {
+func TestStoreLostAfterChange(t *testing.T) {
 	t.Parallel()
-	f := start(t, 7)
+	f := startFleet(t, 7)
 	doc, err := f.Caller(2).Change(preset.Change{ID: "c1", Author: "aino", Reason: "test", SwitchTo: "peak"})
-	inject(t, f, "store", "down", true)
+	injectFault(t, f, "store", "down", true)
 	if err != nil || doc.Accepted != preset.Accepted {
 		t.Fatalf("got %+v, %v", doc, err)
 	}
@@ -76,7 +76,7 @@
 	if err != nil || late.Accepted != preset.NotAccepted {
 		t.Errorf("in an outage: got %+v, %v, want not accepted", late, err)
 	}
-	inject(t, f, "store", "down", false)
+	injectFault(t, f, "store", "down", false)
 	for vm := range f.Size() {
 		if rec, err := f.Caller(vm).Presets(); err != nil || rec.InForce != "peak" || rec.Revision < doc.Revision {
 			t.Errorf("VM %d: %s at revision %d, %v, want peak at %d", vm, rec.InForce, rec.Revision, err, doc.Revision)
@@ -84,19 +84,19 @@
 	}
 }
 
-// TestStartInOutage guards against a VM that serves under a guessed preset: it
+// TestStartDuringOutage guards against a VM that serves under a guessed preset: it
 // has no record until its peers, whom it first does not know, have sent theirs.
-func TestStartInOutage(t *testing.T) {
+func TestStartDuringOutage(t *testing.T) {
 	t.Parallel()
-	f := start(t, 3)
-	switchTo(t, f, "peak")
-	inject(t, f, "store", "down", true)
-	inject(t, f, "vm_list", "down", true)
+	f := startFleet(t, 3)
+	switchPreset(t, f, "peak")
+	injectFault(t, f, "store", "down", true)
+	injectFault(t, f, "vm_list", "down", true)
 	if err := f.Start(context.WithoutCancel(t.Context()), "vm-late"); err != nil {
 		t.Fatal(err)
 	}
 	late := f.Caller(3)
-	until(t, "the VM answers", func() bool { _, err := late.Status(); return err == nil })
+	waitFor(t, "the VM answers", func() bool { _, err := late.Status(); return err == nil })
 	q := newQuery()
 	for range 20 {
 		if late.Ready() {
@@ -111,12 +111,12 @@
 	if err != nil || len(doc.Events) != 1 || doc.Events[0].Kind != timeline.Refused || doc.Events[0].Detail != "not_ready" {
 		t.Errorf("the time line shows %+v, %v, want the refusal and its reason", doc.Events, err)
 	}
-	inject(t, f, "vm_list", "down", false)
-	until(t, "the VM is ready", late.Ready)
+	injectFault(t, f, "vm_list", "down", false)
+	waitFor(t, "the VM is ready", late.Ready)
 	if rec, err := late.Presets(); err != nil || rec.InForce != "peak" {
 		t.Errorf("got %s, %v, want peak", rec.InForce, err)
 	}
-	complete(t, f, 3)
+	requireComplete(t, f, 3)
 }
 
 // memberState returns how VM i sees a member.
--- a/entry/query_test.go
+++ b/entry/query_test.go
@@ -18,17 +18,17 @@
 // TestQueryCoverage guards against an answer that hides missing keys.
 func TestQueryCoverage(t *testing.T) {
 	t.Parallel()
-	f := start(t, 3)
+	f := startFleet(t, 3)
 	var a entry.QueryDocument
 	status, _ := postJSON(t, f.Address(0), "/v1/query", newQuery(), &a)
-	if status != http.StatusOK || a.Outcome != "complete" || a.Coverage.Covered != 20*groupKeys {
-		t.Fatalf("got status %d, %s, coverage %+v, want 200 and all %d keys", status, a.Outcome, a.Coverage, 20*groupKeys)
+	if status != http.StatusOK || a.Outcome != "complete" || a.Coverage.Covered != 20*keysPerGroup {
+		t.Fatalf("got status %d, %s, coverage %+v, want 200 and all %d keys", status, a.Outcome, a.Coverage, 20*keysPerGroup)
 	}
-	inject(t, f, "search/planner-03", "down", true)
+	injectFault(t, f, "search/planner-03", "down", true)
 	for vm := range f.Size() {
 		q := newQuery()
 		status, _ = postJSON(t, f.Address(vm), "/v1/query", q, &a)
-		want := coverage.Range{From: 2 * groupKeys, To: 3 * groupKeys}
+		want := coverage.Range{From: 2 * keysPerGroup, To: 3 * keysPerGroup}
 		if status != http.StatusPartialContent || a.Outcome != "partial" || len(a.Coverage.Missing) != 1 || a.Coverage.Missing[0] != want {
 			t.Fatalf("got status %d, %s, missing %v, want 206 and %v", status, a.Outcome, a.Coverage.Missing, want)
 		}
@@ -36,8 +36,8 @@
 			t.Error(err)
 		}
 	}
-	inject(t, f, "search/planner-03", "down", false)
-	until(t, "a complete answer after the group is back", func() bool {
+	injectFault(t, f, "search/planner-03", "down", false)
+	waitFor(t, "a complete answer after the group is back", func() bool {
 		a, err := f.Caller(1).Query(newQuery())
 		return err == nil && a.Outcome == "complete"
 	})
@@ -47,7 +47,7 @@
 // against an error that does not say which field is wrong.
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
-	f := start(t, 1)
+	f := startFleet(t, 1)
 	const id = `"id":"1700000000000-a","rank":"urgent",`
 	tests := []struct{ name, path, body, field string }{
 		{"unknown rank", "query", `{"id":"a","rank":"vip","service":"search","query":{}}`, "rank"},
@@ -88,14 +88,14 @@
 			t.Errorf("%s: got status %d, %+v, want 400 naming %s", tt.name, status, doc, tt.field)
 		}
 	}
-	cutBody(t, f.Address(0))
-	if got := received(f, ""); got != 0 {
+	sendTruncatedBody(t, f.Address(0))
+	if got := receivedAttempts(f, ""); got != 0 {
 		t.Errorf("upstreams received %d attempts, want 0", got)
 	}
 }
 
-// cutBody sends half a body, then ends its side of the connection.
-func cutBody(t *testing.T, address string) {
+// sendTruncatedBody sends half a body, then ends its side of the connection.
+func sendTruncatedBody(t *testing.T, address string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -116,15 +116,15 @@
 	}
 }
 
-// TestBrokenReplies guards against a caller that receives part of an answer, or
+// TestFaultyReplies guards against a caller that receives part of an answer, or
 // another caller's, when upstreams send late, crossed, cut and doubled replies.
-func TestBrokenReplies(t *testing.T) {
+func TestFaultyReplies(t *testing.T) {
 	t.Parallel()
-	f := start(t, 3)
+	f := startFleet(t, 3)
 	for _, fault := range []string{"crossed_share", "cut_share", "doubled_share", "late_share"} {
-		inject(t, f, "search", fault, 0.01)
+		injectFault(t, f, "search", fault, 0.01)
 	}
-	inject(t, f, "search", "late_ms", 200)
+	injectFault(t, f, "search", "late_ms", 200)
 	const workers, each = 12, 10
 	outcomes := make(chan string, workers*each)
 	var wait sync.WaitGroup
--- a/entry/request.go
+++ b/entry/request.go
@@ -44,7 +44,7 @@
 	if err := decodeStrict(body, &q); err != nil {
 		return q, 0, err
 	}
-	r, err := checkCommon(q.ID, q.Rank, q.Service)
+	r, err := checkCommonFields(q.ID, q.Rank, q.Service)
 	if err != nil {
 		return q, 0, err
 	}
@@ -65,7 +65,7 @@
 	if err := decodeStrict(body, &o); err != nil {
 		return o, 0, err
 	}
-	r, err := checkCommon(o.ID, o.Rank, o.Service)
+	r, err := checkCommonFields(o.ID, o.Rank, o.Service)
 	if err != nil {
 		return o, 0, err
 	}
@@ -89,7 +89,7 @@
 	return err == nil
 }
 
-func checkCommon(id, rankName, service string) (rank.Rank, error) {
+func checkCommonFields(id, rankName, service string) (rank.Rank, error) {
 	if id == "" || len(id) > maxIDBytes {
 		return 0, invalid("id", "has %d bytes, must have 1 to %d", len(id), maxIDBytes)
 	}
@@ -103,10 +103,10 @@
 	return r, nil
 }
 
-func decodeStrict(body []byte, into any) error {
+func decodeStrict(body []byte, out any) error {
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+	if err := dec.Decode(out); err != nil {
 		return decodeError(err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -18,17 +18,17 @@
 // or that the balancer and the other VMs do not notice.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
-	f := start(t, 3, entry.WithBalancerWait(2000))
-	inject(t, f, "search", "median_ms", 300)
-	inject(t, f, "orders", "median_ms", 300)
-	answers := newLedger()
-	var open atomic.Int32 // requests in flight on the VM that stops
+	f := startFleet(t, 3, entry.WithBalancerWait(2000))
+	injectFault(t, f, "search", "median_ms", 300)
+	injectFault(t, f, "orders", "median_ms", 300)
+	answers := newOrderAnswers()
+	var inFlight atomic.Int32 // requests in flight on the VM that stops
 	var queries, complete atomic.Int32
 	var wait sync.WaitGroup
 	for w := range 12 {
 		wait.Go(func() {
 			for f.Caller(0).Ready() { // as the balancer does
-				open.Add(1)
+				inFlight.Add(1)
 				if w%2 == 0 {
 					o := newOrder()
 					a, err := f.Caller(0).Order(o)
@@ -50,18 +50,18 @@
 						complete.Add(1)
 					}
 				}
-				open.Add(-1)
+				inFlight.Add(-1)
 			}
 		})
 	}
-	until(t, "load is in flight", func() bool { return queries.Load() > 12 && open.Load() >= 8 })
+	waitFor(t, "load is in flight", func() bool { return queries.Load() > 12 && inFlight.Load() >= 8 })
 	end := make(chan error, 1)
 	go func() { end <- f.Stop(0) }()
-	until(t, "not ready", func() bool { return !f.Caller(0).Ready() })
-	if open.Load() == 0 {
+	waitFor(t, "not ready", func() bool { return !f.Caller(0).Ready() })
+	if inFlight.Load() == 0 {
 		t.Error("readyz turned 503 only when nothing was in flight")
 	}
-	until(t, "the others stop choosing it", func() bool {
+	waitFor(t, "the others stop choosing it", func() bool {
 		return memberState(f, 1, "vm-1") != fleet.Alive && memberState(f, 2, "vm-1") != fleet.Alive
 	})
 	wait.Wait()
@@ -83,36 +83,36 @@
 // that has not noticed by itself.
 func TestLeavingUpstream(t *testing.T) {
 	t.Parallel()
-	f := start(t, 7)
+	f := startFleet(t, 7)
 	for vm := range f.Size() {
-		complete(t, f, vm)
+		requireComplete(t, f, vm)
 	}
 	id := upstream.ID("search/app-04/b")
-	inject(t, f, string(id), "leaving", true)
+	injectFault(t, f, string(id), "leaving", true)
 	left := time.Now()
-	complete(t, f, 0) // one VM may notice
+	requireComplete(t, f, 0) // one VM may notice
 	time.Sleep(time.Until(left.Add(3 * time.Second)))
 	up := f.Standins.Upstream(id)
 	before := up.AttemptCounts().Received
 	for n := range 10 * f.Size() {
-		complete(t, f, n)
+		requireComplete(t, f, n)
 	}
 	if got := up.AttemptCounts().Received; got != before {
 		t.Errorf("the leaving upstream received %d more attempts after 3 s, want 0", got-before)
 	}
 }
 
-// TestStopInOutage guards against a planned stop that fails only because the
+// TestStopDuringOutage guards against a planned stop that fails only because the
 // store cannot take the marks of orders that are already answered.
-func TestStopInOutage(t *testing.T) {
+func TestStopDuringOutage(t *testing.T) {
 	t.Parallel()
-	f := start(t, 1, entry.WithDrainLimit(3000))
+	f := startFleet(t, 1, entry.WithDrainLimit(3000))
 	for range 5 {
 		if a, err := f.Caller(0).Order(newOrder()); err != nil || a.Outcome != "done" {
 			t.Fatalf("got %+v, %v, want done", a, err)
 		}
 	}
-	inject(t, f, "store", "down", true)
+	injectFault(t, f, "store", "down", true)
 	if err := f.Stop(0); err != nil {
 		t.Errorf("Run: %v, want nil", err)
 	}
@@ -123,11 +123,11 @@
 // under the caller's id.
 func TestRefusedWhileStopping(t *testing.T) {
 	t.Parallel()
-	f := start(t, 1, entry.WithBalancerWait(5000))
+	f := startFleet(t, 1, entry.WithBalancerWait(5000))
 	end := make(chan error, 1)
 	go func() { end <- f.Stop(0) }()
-	until(t, "not ready", func() bool { return !f.Caller(0).Ready() })
-	before := received(f, "")
+	waitFor(t, "not ready", func() bool { return !f.Caller(0).Ready() })
+	before := receivedAttempts(f, "")
 	q, o := newQuery(), newOrder()
 	a, err := f.Caller(0).Query(q)
 	if err != nil || a.Outcome != "refused" || a.Execution != attempt.NotExecuted || a.RetryAfterMs == 0 {
@@ -143,7 +143,7 @@
 			t.Errorf("%s: the time line shows %+v, %v, want one refusal: draining", id, doc.Events, err)
 		}
 	}
-	if got := received(f, ""); got != before {
+	if got := receivedAttempts(f, ""); got != before {
 		t.Errorf("upstreams received %d attempts for refused requests", got-before)
 	}
 	if err := <-end; err != nil {
--- a/entry/vm.go
+++ b/entry/vm.go
@@ -23,14 +23,14 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// inboxLen bounds the messages that wait for the event loop.
-const inboxLen = 1 << 14
+// inboxSize bounds the messages that wait for the event loop.
+const inboxSize = 1 << 14
 
 // VM runs one entry VM.
 type VM struct {
 	settings     *settings.Settings
 	store        store.Store
-	roster       roster.List
+	vmList       roster.List
 	upstreams    upstream.Client
 	clock        clock.Clock
 	logger       log.Logger
@@ -42,32 +42,32 @@
 	seed         uint64
 	listeners    *listeners // nil to listen on the addresses in the settings
 
-	core    *vm.Core
-	self    fleet.VM
-	mesh    *peer.Mesh
-	metrics *metrics
-	inbox   chan item
-	asks    chan ask
-	stopped chan struct{} // closed when the event loop has ended
-	calls   atomic.Uint64
-	told    *questions
-	work    chan attempt.Request       // to idle attempt workers
-	groups  map[string]map[string]bool // names of the groups of each service
+	core          *vm.Core
+	self          fleet.VM
+	mesh          *peer.Mesh
+	metrics       *metrics
+	inbox         chan inboxItem
+	reads         chan coreRead
+	stopped       chan struct{} // closed when the event loop has ended
+	lastCallID    atomic.Uint64
+	adminRequests *pendingRequests
+	attempts      chan attempt.Request       // to idle attempt workers
+	groups        map[string]map[string]bool // names of the groups of each service
 
 	waiters  map[uint64]chan<- vm.Cmd // owned by the event loop
-	requeued []vm.Msg                 // owned by the event loop
+	msgQueue []vm.Msg                 // owned by the event loop
 }
 
-// item is a message for the event loop. A request of a caller also brings the
+// inboxItem is a message for the event loop. A request of a caller also brings the
 // channel that receives its answer.
-type item struct {
+type inboxItem struct {
 	msg    vm.Msg
-	call   uint64
+	callID uint64
 	answer chan<- vm.Cmd
 }
 
-// ask is a read of the core. Done is closed after it ran.
-type ask struct {
+// coreRead is a read of the core. Done is closed after it ran.
+type coreRead struct {
 	read func(core *vm.Core, now clock.Millis)
 	done chan struct{}
 }
@@ -77,13 +77,13 @@
 	v := &VM{
 		settings: s, clock: clock.System{}, logger: log.NewNopLogger(), registry: prometheus.NewRegistry(),
 		drainLimit: defaultDrainLimit, balancerWait: defaultBalancerWait, initial: preset.Default(),
-		inbox: make(chan item, inboxLen), asks: make(chan ask), stopped: make(chan struct{}),
-		told: newQuestions(), work: make(chan attempt.Request), groups: groupsOf(s), waiters: make(map[uint64]chan<- vm.Cmd),
+		inbox: make(chan inboxItem, inboxSize), reads: make(chan coreRead), stopped: make(chan struct{}),
+		adminRequests: newPendingRequests(), attempts: make(chan attempt.Request), groups: groupsOf(s), waiters: make(map[uint64]chan<- vm.Cmd),
 	}
 	for _, opt := range opts {
 		opt(v)
 	}
-	if v.store == nil || v.roster == nil || v.upstreams == nil {
+	if v.store == nil || v.vmList == nil || v.upstreams == nil {
 		return nil, wrap("new", KindInvalid, errors.New("the store, the VM list and the upstreams must be set"))
 	}
 	now := v.clock.Now()
@@ -121,44 +121,44 @@
 		return err
 	}
 	// Input and output outlive ctx, because a planned stop finishes what is in flight.
-	io, stopIO := context.WithCancel(context.WithoutCancel(ctx))
+	ioCtx, stopIO := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopIO()
-	ends := make(chan error, 3+len(listeners.http))
-	go func() { ends <- v.mesh.Run(io, listeners.peers) }()
-	go func() { ends <- v.pollRoster(io) }()
+	serverErrs := make(chan error, 3+len(listeners.http))
+	go func() { serverErrs <- v.mesh.Run(ioCtx, listeners.peers) }()
+	go func() { serverErrs <- v.pollVMList(ioCtx) }()
 	server := v.newServer()
 	for _, lis := range listeners.http {
-		go func() { ends <- serve(server, lis) }()
+		go func() { serverErrs <- serve(server, lis) }()
 	}
-	loopEnd := make(chan error, 1)
-	go func() { loopEnd <- v.loop(ctx, io) }()
+	loopErr := make(chan error, 1)
+	go func() { loopErr <- v.loop(ctx, ioCtx) }()
 	_ = v.logger.Log("event", "started", "vm", v.self.ID, "data_centre", v.self.DataCentre, "callers", v.settings.Addresses().Callers)
 
 	running := 2 + len(listeners.http)
-	var first error
+	var firstErr error
 	select {
-	case first = <-loopEnd:
-	case first = <-ends: // a server that ends before the loop has failed
+	case firstErr = <-loopErr:
+	case firstErr = <-serverErrs: // a server that ends before the loop has failed
 		running--
 		stopIO()
 	}
-	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownLimit.Duration())
+	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout.Duration())
 	defer cancel()
-	if err := server.ShutdownWithContext(shutdown); err != nil && first == nil {
-		first = wrap("shutdown", KindServe, err)
+	if err := server.ShutdownWithContext(shutdown); err != nil && firstErr == nil {
+		firstErr = wrap("shutdown", KindServe, err)
 	}
 	stopIO()
 	for range running {
-		if err := <-ends; err != nil && first == nil {
-			first = err
+		if err := <-serverErrs; err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	_ = v.logger.Log("event", "stopped", "vm", v.self.ID, "err", first)
-	return first
+	_ = v.logger.Log("event", "stopped", "vm", v.self.ID, "err", firstErr)
+	return firstErr
 }
 
-// shutdownLimit bounds the wait for callers' connections to become idle.
-const shutdownLimit = 2 * clock.Second
+// shutdownTimeout bounds the wait for callers' connections to become idle.
+const shutdownTimeout = 2 * clock.Second
 
 type listeners struct {
 	peers net.Listener
--- a/entry/roster.go
+++ b/entry/vmlist.go
@@ -5,7 +5,7 @@
 	"lentillink.example/lentillink/roster"
 )
 
-func convertRoster(list []roster.VM) []fleet.VM {
+func convertVMList(list []roster.VM) []fleet.VM {
 	out := make([]fleet.VM, len(list))
 	for i, r := range list {
 		out[i] = fleet.VM{ID: r.ID, Address: r.Address, DataCentre: r.DataCentre, State: stateOf(r.Leaving)}
