--- a/entry/admin.go
+++ b/entry/admin.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// adminTimeout bounds the wait for other VMs, so that a lost VM delays an
-	// operator's answer only this long.
+	// adminTimeout bounds the wait for responses of other VMs. It is the longest
+	// delay that an unreachable VM adds to an operator's request.
 	adminTimeout = 1500 * clock.Millis(1)
-	// maxPeerEvents bounds the events in one answer, because a message between
-	// VMs may not exceed 4 MB.
+	// maxPeerEvents bounds the events in one response, because messages between
+	// VMs are limited to 4 MB.
 	maxPeerEvents = 4096
 )
 
-// pendingRequests tracks the operators' questions that were passed to other VMs.
+// pendingRequests tracks the admin requests to other VMs that have no response yet.
 type pendingRequests struct {
 	mu        sync.Mutex
 	lastID    uint64
@@ -31,8 +31,8 @@
 	return &pendingRequests{responses: make(map[uint64]chan<- []byte)}
 }
 
-// add registers a question. The channel receives the one answer; it is empty
-// if the question was not sent.
+// add registers a request and returns its ID. The channel receives one response,
+// which is empty if the request was not sent.
 func (p *pendingRequests) add() (uint64, <-chan []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,8 +57,9 @@
 	delete(p.responses, id)
 }
 
-// serveAdminRequest answers another VM's question from the core. It runs on the
-// goroutine that reads the stream; the event loop serves it between messages.
+// serveAdminRequest responds to an admin request of another VM with data from the
+// core. It runs on the goroutine that reads the stream; the event loop reads the
+// core between two messages.
 func (v *VM) serveAdminRequest(from string, req vm.AdminRequest) {
 	var doc any
 	var address string
@@ -85,7 +86,7 @@
 		return newest(core.Events(f), maxPeerEvents)
 	}
 	status := core.Status(now)
-	status.Members = nil // the VM that asks has its own list, which grows with the fleet
+	status.Members = nil // the requesting VM has its own list, whose size grows with the fleet
 	return status
 }
 
@@ -93,7 +94,7 @@
 	return events[max(0, len(events)-n):]
 }
 
-// sendAdminRequest passes a question to one member and decodes the answer.
+// sendAdminRequest sends a request to one member and decodes the response.
 func sendAdminRequest[T any](ctx context.Context, v *VM, m fleet.VM, kind vm.AdminKind, payload []byte) (T, bool) {
 	var doc T
 	id, answer := v.adminRequests.add()
@@ -107,8 +108,8 @@
 	}
 }
 
-// fanOutAdminRequest asks every other member that is not dead, all at once. Members
-// that do not answer in time are returned as silent.
+// fanOutAdminRequest sends a request to all other members that are not dead, in
+// parallel. It returns the members that did not respond in time as unresponsive.
 func fanOutAdminRequest[T any](ctx context.Context, v *VM, members []fleet.VM, kind vm.AdminKind, payload []byte) (answers []T, unresponsive []string) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout.Duration())
 	defer cancel()
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -12,15 +12,16 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// CoverageDocument says how much of the key space an answer covers.
+// CoverageDocument gives the number of expected and covered keys of an answer and
+// the ranges of missing keys.
 type CoverageDocument struct {
 	Expected uint32           `json:"expected"`
 	Covered  uint32           `json:"covered"`
 	Missing  []coverage.Range `json:"missing"`
 }
 
-// AnswerInfo says under which preset and on which VM an answer was made, and why
-// it is not whole.
+// AnswerInfo holds the preset, revision and VM that produced an answer, its
+// duration, and the reason if it is incomplete or refused.
 type AnswerInfo struct {
 	Preset       string       `json:"preset"`
 	Revision     uint64       `json:"revision"`
@@ -30,7 +31,7 @@
 	RetryAfterMs clock.Millis `json:"retry_after_ms,omitempty"`
 }
 
-// QueryDocument is the answer to POST /v1/query.
+// QueryDocument is the response body of POST /v1/query.
 type QueryDocument struct {
 	ID        string            `json:"id"`
 	Outcome   string            `json:"outcome"`
@@ -41,7 +42,7 @@
 	AnswerInfo
 }
 
-// OrderDocument is the answer to POST /v1/order.
+// OrderDocument is the response body of POST /v1/order.
 type OrderDocument struct {
 	ID        string            `json:"id"`
 	Outcome   string            `json:"outcome"`
@@ -50,7 +51,7 @@
 	AnswerInfo
 }
 
-// ErrorDocument is the answer to a request that cannot be accepted.
+// ErrorDocument is the response body of a request that cannot be accepted.
 type ErrorDocument struct {
 	Error     string            `json:"error"`
 	Field     string            `json:"field,omitempty"`
@@ -67,7 +68,7 @@
 			Reason: a.Reason, RetryAfterMs: a.RetryAfterMs,
 		},
 	}
-	// Callers read lists without checking for null.
+	// Encode empty lists as [], because callers do not check for null.
 	if doc.Rows == nil {
 		doc.Rows = []coverage.Row{}
 	}
@@ -95,11 +96,13 @@
 	return doc
 }
 
-// overloadReasons are refusals that a caller meets with fewer requests; the
-// others are answered with 503.
+// overloadReasons are the refusal reasons that are answered with 429, because the
+// caller can avoid them by sending fewer requests. Reasons in neither set are
+// answered with 503.
 var overloadReasons = map[string]bool{"queue_full": true, "displaced": true, "too_late": true, "busy": true}
 
-// badRequestReasons are refusals that the same request meets again for ever.
+// badRequestReasons are the refusal reasons that are answered with 400, because a
+// retry of the same request is always refused again.
 var badRequestReasons = map[string]bool{
 	vm.ReasonUnknownService: true, string(order.ReasonBadID): true,
 	string(order.ReasonTooOld): true, string(order.ReasonTooNew): true,
--- a/entry/change.go
+++ b/entry/change.go
@@ -14,11 +14,11 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// changeTimeout bounds an operator's change. Afterwards the answer says whether
-// the change is in force, or that this is not known.
+// changeTimeout bounds the attempts to commit an operator's change. After it, the
+// answer reports whether the change was accepted, or that this is unknown.
 const changeTimeout = 5 * clock.Second
 
-// ChangeDocument is the answer to POST /v1/presets.
+// ChangeDocument is the response body of POST /v1/presets.
 type ChangeDocument struct {
 	Accepted   preset.Acceptance `json:"accepted"`
 	Revision   uint64            `json:"revision"`
@@ -50,7 +50,7 @@
 	writeJSON(r, ChangeStatus(result), NewChangeDocument(result))
 }
 
-// NewChangeDocument describes what became of a change.
+// NewChangeDocument returns the response body for the result of a change.
 func NewChangeDocument(result preset.Result) ChangeDocument {
 	doc := ChangeDocument{
 		Accepted: result.Accepted, Revision: result.Record.Revision, InForce: result.Record.InForce,
@@ -62,8 +62,9 @@
 	return doc
 }
 
-// ApplyChange carries out an operator's change against a store. known is the
-// newest record of this VM. It takes at most some seconds.
+// ApplyChange commits an operator's change to the record in a store. known is the
+// newest record of this VM. changeTimeout bounds it; store calls that are still
+// open one second later are cancelled.
 func ApplyChange(ctx context.Context, st store.Store, cl clock.Clock, change preset.Change, known preset.Record) preset.Result {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout.Duration()+time.Second)
 	defer cancel()
@@ -97,7 +98,7 @@
 	}
 }
 
-// ChangeStatus returns the HTTP status of a result.
+// ChangeStatus returns the HTTP status for the result of a change.
 func ChangeStatus(res preset.Result) int {
 	if res.Err == nil {
 		return fasthttp.StatusOK
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,8 +1,11 @@
 // Package entry runs one entry VM: it serves callers and operators over HTTP,
-// performs the commands of vm.Core over sockets and feeds the results back.
+// performs the commands of vm.Core over sockets and passes the results to the core
+// as messages.
 //
-// A caller that goes away is not noticed: fasthttp reports a closed connection
-// only when the answer is written. Its query runs to its end or its deadline.
+// One event loop owns the core. Other goroutines access it only through channels
+// to the loop.
 //
-// One event loop owns the core. Everything else reaches it through messages.
+// The disconnect of a caller is not detected, because fasthttp reports a closed
+// connection only when the answer is written. The query runs to completion or to
+// its deadline.
 package entry
--- a/entry/error.go
+++ b/entry/error.go
@@ -11,9 +11,9 @@
 
 // The kinds of failures.
 const (
-	KindInvalid Kind = "invalid" // a request or setting that cannot be accepted
-	KindListen  Kind = "listen"  // an address that cannot be listened on
-	KindServe   Kind = "serve"   // a server that stopped with an error
+	KindInvalid Kind = "invalid" // a request or option is not valid
+	KindListen  Kind = "listen"  // listening on an address failed
+	KindServe   Kind = "serve"   // a server stopped with an error
 	KindClosed  Kind = "closed"  // the VM has stopped
 )
 
@@ -39,10 +39,10 @@
 // Kind returns the class of the failure.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Field returns the name of the request field at fault, or "".
+// Field returns the name of the invalid request field, or "".
 func (e *Error) Field() string { return e.field }
 
-// Error formats the operation, the kind, the field and the cause.
+// Error formats the field and the cause, or without a field the operation, the kind and the cause.
 func (e *Error) Error() string {
 	if e.field != "" {
 		return fmt.Sprintf("%s: %v", e.field, e.err)
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -9,14 +9,15 @@
 	"lentillink.example/lentillink/order"
 )
 
-// isInvalidWithField reports whether a refusal names its field.
+// isInvalidWithField reports whether err is of kind invalid and names a field.
 func isInvalidWithField(err error) bool {
 	var failed *entry.Error
 	return errors.As(err, &failed) && failed.Kind() == entry.KindInvalid && failed.Field() != ""
 }
 
-// FuzzDecodeQuery guards against a panic, a refusal that names no field, and an
-// accepted query that breaks a bound or changes when it is sent on.
+// FuzzDecodeQuery guards against a panic, an error that names no field, and an
+// accepted query that violates a limit or is decoded differently after it is
+// encoded again.
 func FuzzDecodeQuery(f *testing.F) {
 	for _, seed := range []string{
 		`{"id":"a","rank":"urgent","service":"search","query":{}}`,
@@ -46,8 +47,8 @@
 	})
 }
 
-// FuzzDecodeOrder guards against the same as FuzzDecodeQuery, and against an
-// accepted id without an issue time.
+// FuzzDecodeOrder guards against the same failures as FuzzDecodeQuery, and against
+// an accepted order whose id has no issue time.
 func FuzzDecodeOrder(f *testing.F) {
 	for _, seed := range []string{
 		`{"id":"1700000000000-a","rank":"urgent","service":"orders","group":"desk-01","body":{}}`,
--- a/entry/helper_test.go
+++ b/entry/helper_test.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	// waitLimit bounds every wait for a condition. It is generous because the
-	// machine may be busy; a condition that holds ends the wait at once.
+	// waitLimit bounds every wait for a condition. It is long because the machine
+	// may be busy; the wait ends as soon as the condition holds.
 	waitLimit    = 20 * time.Second
 	keysPerGroup = 1000
 	orderGroups  = 6
 )
 
-// startFleet runs a fleet with a search service of 20 groups of 2 upstreams and an
-// order service of 6 groups of 2.
+// startFleet starts a fleet with a search service of 20 groups of 2 upstreams and
+// an order service of 6 groups of 2. It stops the fleet when the test ends.
 func startFleet(t *testing.T, vms int, opts ...entry.Option) *demo.Fleet {
 	t.Helper()
 	example, err := settings.Example("hautakukka")
@@ -46,8 +46,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The context of the test ends before its cleanup, but the VMs need their
-	// store until they have stopped.
+	// The test's context is cancelled before its cleanup functions run, but the VMs
+	// need the store until they have stopped.
 	ctx := context.WithoutCancel(t.Context())
 	f, err := demo.StartFromConfig(ctx, demo.FleetConfig{Settings: cfg, VMs: vms, Logger: log.NewNopLogger(), EntryOptions: opts})
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// waitFor polls a condition.
+// waitFor polls until a condition holds, and fails the test after waitLimit.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitLimit)
@@ -96,7 +96,7 @@
 	}
 }
 
-// post sends a body as it is and returns the status and the answer.
+// post sends a body unchanged and returns the status, headers and body of the response.
 func post(t *testing.T, address, path string, body []byte) (int, http.Header, []byte) {
 	t.Helper()
 	r, err := http.Post("http://"+address+path, "application/json", bytes.NewReader(body))
@@ -124,7 +124,8 @@
 	return status, head
 }
 
-// checkQuery reports what is untrue in an answer.
+// checkQuery returns an error if an answer does not match its query, or its rows
+// and coverage are inconsistent.
 func checkQuery(q entry.QueryRequest, a entry.QueryDocument) error {
 	var missing uint32
 	for _, gap := range a.Coverage.Missing {
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// requireComplete sends a query and requires the whole answer.
+// requireComplete sends a query and requires a complete answer.
 func requireComplete(t *testing.T, f *demo.Fleet, vm int) {
 	t.Helper()
 	q := newQuery()
@@ -166,7 +167,7 @@
 	}
 }
 
-// orderRuns returns how often the upstreams ran an order.
+// orderRuns returns how often the upstreams executed an order.
 func orderRuns(f *demo.Fleet, id string) int {
 	n := 0
 	for _, up := range f.Standins.Upstreams() {
@@ -175,7 +176,7 @@
 	return n
 }
 
-// receivedAttempts returns how many attempts reached upstreams whose name starts so.
+// receivedAttempts returns how many attempts reached upstreams whose name starts with prefix.
 func receivedAttempts(f *demo.Fleet, prefix string) int {
 	n := 0
 	for _, up := range f.Standins.Upstreams() {
@@ -196,7 +197,7 @@
 	return &orderAnswers{answers: make(map[string][]entry.OrderDocument)}
 }
 
-// add notes an answer; without one, whether the order ran is not known.
+// add records an answer. If err is set, there is none, and it records the outcome unknown.
 func (o *orderAnswers) add(id string, a entry.OrderDocument, err error) {
 	if err != nil {
 		a = entry.OrderDocument{ID: id, Outcome: "unknown"}
@@ -206,7 +207,8 @@
 	o.answers[id] = append(o.answers[id], a)
 }
 
-// check compares all answers with what the upstreams ran.
+// check compares all answers with the number of executions at the upstreams and
+// returns the number of orders that are done.
 func (o *orderAnswers) check(t *testing.T, f *demo.Fleet) (done int) {
 	t.Helper()
 	for id, answers := range o.answers {
--- a/entry/http.go
+++ b/entry/http.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	readTimeout = 30 * clock.Second // a caller that sends its request more slowly is cut
+	readTimeout = 30 * clock.Second // a connection is closed if reading one request takes longer
 	idleTimeout = 60 * clock.Second
 )
 
@@ -54,15 +54,15 @@
 	}
 }
 
-// discardLogger drops what fasthttp prints about broken connections; metrics
-// and events cover what matters.
+// discardLogger discards fasthttp's messages about broken connections. Metrics
+// and events cover failures that need attention.
 type discardLogger struct{}
 
 // Printf does nothing.
 func (discardLogger) Printf(string, ...any) {}
 
-// serveReadError answers a request that could not be read whole. It never reached
-// the core, so it did not run.
+// serveReadError answers a request that could not be read completely. The core
+// never received it, so it was not executed.
 func serveReadError(r *fasthttp.RequestCtx, err error) {
 	text := "request could not be read whole: " + err.Error()
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
@@ -152,8 +152,8 @@
 	return services
 }
 
-// callCore hands a request to the core and waits for its answer. It returns nil if
-// the VM stops first.
+// callCore sends a request to the event loop and waits for the answer. It returns
+// nil if the VM stops first.
 func (v *VM) callCore(callID uint64, msg vm.Msg) vm.Cmd {
 	answer := make(chan vm.Cmd, 1)
 	select {
@@ -166,7 +166,7 @@
 		return a
 	case <-v.stopped:
 	}
-	select { // the answer may have come together with the stop
+	select { // both channels may have been ready, and select picks one at random
 	case a := <-answer:
 		return a
 	default:
@@ -227,7 +227,7 @@
 // stringArg returns a query argument.
 func stringArg(r *fasthttp.RequestCtx, name string) string { return string(r.QueryArgs().Peek(name)) }
 
-// uintArg returns a numeric query argument, 0 if it is absent.
+// uintArg returns a numeric query argument, or 0 if it is absent.
 func uintArg(r *fasthttp.RequestCtx, name string) (uint64, error) {
 	s := stringArg(r, name)
 	if s == "" {
@@ -240,7 +240,7 @@
 	return n, nil
 }
 
-// durationArg returns a duration argument such as 90s, 0 if it is absent.
+// durationArg returns a duration argument such as 90s, or 0 if it is absent.
 func durationArg(r *fasthttp.RequestCtx, name string) (time.Duration, error) {
 	s := stringArg(r, name)
 	if s == "" {
--- a/entry/linger.go
+++ b/entry/linger.go
@@ -8,13 +8,13 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Bounds of what is read and dropped from a caller whose body is too large.
+// Limits of reading and discarding the rest of a request body that is too large.
 const (
 	lingerTimeout  = clock.Second
 	maxLingerBytes = 16 << 20
 )
 
-// lingerListener accepts connections that can be closed without a reset.
+// lingerListener accepts connections that can be closed without a TCP reset.
 type lingerListener struct{ net.Listener }
 
 // Accept returns the next connection.
@@ -26,15 +26,16 @@
 	return &lingerConn{Conn: c}, nil
 }
 
-// lingerConn is closed gently after a refusal that came before the whole body:
-// closing with unread bytes resets the connection, and the reset can destroy
-// the answer before the caller reads it.
+// lingerConn reads the rest of a refused request body before it closes. Closing a
+// socket with unread bytes resets the connection, and the reset can discard the
+// answer before the caller has read it.
 type lingerConn struct {
 	net.Conn
 	bodyUnread bool // set by the goroutine that also closes the connection
 }
 
-// Close closes the connection, after the rest of a refused body.
+// Close closes the connection. If a request body was refused, it first closes the
+// write side and discards the rest of the body, within the limits.
 func (c *lingerConn) Close() error {
 	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if c.bodyUnread && ok && halfCloser.CloseWrite() == nil {
--- a/entry/log.go
+++ b/entry/log.go
@@ -4,7 +4,7 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// logEvent writes one line of key=value pairs. Empty fields are left out.
+// logEvent logs an event as key-value pairs. Empty fields are omitted.
 func (v *VM) logEvent(ev timeline.Event) {
 	kv := []any{"event", string(ev.Kind), "wall_ms", int64(ev.Timestamp.WallMs), "logical", ev.Timestamp.Logical, "vm", ev.VM, "revision", ev.Revision}
 	add := func(key, value string) {
--- a/entry/loop.go
+++ b/entry/loop.go
@@ -11,14 +11,15 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// maxBatch is how many waiting messages the loop handles before it looks at
+// maxBatch is the number of queued messages that the loop handles before it checks
 // its timer again.
 const maxBatch = 256
 
-// errDrainLimit ends a planned stop that takes too long.
+// errDrainLimit means that a planned stop did not finish its work within the drain limit.
 var errDrainLimit = errors.New("drain limit reached with work still open")
 
-// loop owns the core. It returns once ctx has ended and the core is drained.
+// loop owns the core. It drains the core after ctx is cancelled, then returns. It
+// also returns when ioCtx is cancelled.
 func (v *VM) loop(ctx, ioCtx context.Context) error {
 	defer close(v.stopped)
 	timer := time.NewTimer(0)
@@ -50,14 +51,15 @@
 	}
 }
 
-// logPending names what a planned stop leaves behind.
+// logPending logs the work that a planned stop left unfinished.
 func (v *VM) logPending() {
 	if pending := v.core.PendingWork(v.clock.Now()); len(pending) > 0 {
 		_ = v.logger.Log("event", "drain_incomplete", "vm", v.self.ID, "pending", strings.Join(pending, ", "))
 	}
 }
 
-// resetTimer sets the timer to the next wake of the core or of the drain.
+// resetTimer sets the timer to the next wake-up of the core, to the next drain
+// check, or to one second, whichever is first.
 func (v *VM) resetTimer(timer *time.Timer, d *drain) {
 	now := v.clock.Now()
 	wait := clock.Second
@@ -88,8 +90,8 @@
 	v.process(ioCtx, item.msg)
 }
 
-// process updates the core and performs its commands, and those that follow from
-// results that are known at once.
+// process updates the core with a message and performs its commands. Messages that
+// the commands add to msgQueue are processed too.
 func (v *VM) process(ioCtx context.Context, msg vm.Msg) {
 	v.msgQueue = append(v.msgQueue, msg)
 	for i := 0; i < len(v.msgQueue); i++ {
@@ -101,7 +103,7 @@
 	v.msgQueue = v.msgQueue[:0]
 }
 
-// post hands a message to the event loop. It is dropped once the loop has ended.
+// post sends a message to the event loop. It drops the message if the loop has ended.
 func (v *VM) post(msg vm.Msg) {
 	select {
 	case v.inbox <- inboxItem{msg: msg}:
@@ -109,7 +111,7 @@
 	}
 }
 
-// readCore runs a read of the core in the event loop.
+// readCore runs a function that reads the core in the event loop.
 func (v *VM) readCore(read func(core *vm.Core, now clock.Millis)) error {
 	request := coreRead{read: read, done: make(chan struct{})}
 	select {
@@ -121,22 +123,25 @@
 	}
 }
 
-// drainCheckMs is how often a stopping VM looks whether it is drained.
+// drainCheckMs is the interval at which a stopping VM checks whether it is drained.
 const drainCheckMs clock.Millis = 20
 
-// drain tracks a planned stop.
+// drain is the state of a planned stop.
 type drain struct {
 	active    bool
 	deadline  clock.Millis
-	drainedAt clock.Millis // since when nothing is left to do, 0 if something is
+	drainedAt clock.Millis // when the core became drained, 0 if work is left
 }
 
 func (d *drain) begin(now, limit clock.Millis) { d.active, d.deadline = true, now+limit }
 
-// finished reports whether the stop is complete. At the limit it is an error only
-// if a request would be cut: marks and releases of orders that are answered wait
-// for the store, and an order whose mark is lost still never runs again. It waits for the balancer after
-// the last request, because requests may still arrive until it notices.
+// finished reports whether the stop is complete. Without pending work it still
+// waits for balancerWait, because requests can arrive until the balancer notices
+// that the VM is not ready.
+//
+// Reaching the deadline is an error only if requests are unfinished. Pending store
+// writes alone are not: they mark or release claims of orders that are answered,
+// and an order whose mark is lost is still never executed again.
 func (d *drain) finished(now clock.Millis, core *vm.Core, wait clock.Millis) (bool, error) {
 	if !d.active {
 		return false, nil
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -7,7 +7,7 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// metrics holds the collectors. Every label has a small closed set of values.
+// metrics holds the Prometheus collectors. Every label has a small, fixed set of values.
 type metrics struct {
 	queries       *prometheus.CounterVec
 	orders        *prometheus.CounterVec
@@ -20,7 +20,7 @@
 	ready         prometheus.Gauge
 }
 
-// latencyBuckets are in seconds, around the 180 ms target.
+// latencyBuckets are in seconds and finest around the latency target of 180 ms.
 var latencyBuckets = []float64{0.005, 0.01, 0.02, 0.04, 0.08, 0.12, 0.18, 0.25, 0.5, 1, 2, 5, 15, 60}
 
 func newMetrics(reg *prometheus.Registry) *metrics {
@@ -51,8 +51,8 @@
 	return m
 }
 
-// refusalReasons are the values of the label reason. Anything else is counted
-// as other, so that text in a reason can never add time series.
+// refusalReasons are the values of the label reason. All others are counted as
+// "other", so that arbitrary text in a reason cannot create time series.
 var refusalReasons = map[string]bool{
 	vm.ReasonNotReady: true, vm.ReasonUnknownService: true, "queue_full": true, "displaced": true, "too_late": true,
 	"draining": true, "duplicate_id": true,
@@ -83,7 +83,7 @@
 
 func (m *metrics) countEvent(kind timeline.Kind) { m.events.WithLabelValues(string(kind)).Inc() }
 
-// updateGauges is read from the core when the metrics are scraped.
+// updateGauges sets the gauges from the core. It is called for each scrape.
 func (m *metrics) updateGauges(core *vm.Core) {
 	_, revision := core.Preset()
 	m.revision.Set(float64(revision))
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -13,19 +13,19 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// FleetStatus is the answer to GET /v1/status?fleet=1.
+// FleetStatus is the response body of GET /v1/status?fleet=1.
 type FleetStatus struct {
 	VMs          []vm.Status `json:"vms"`
-	Unresponsive []string    `json:"silent"` // members that did not answer in time
+	Unresponsive []string    `json:"silent"` // members that did not respond in time
 }
 
-// EventsDocument is the answer to GET /v1/events.
+// EventsDocument is the response body of GET /v1/events.
 type EventsDocument struct {
 	Events       []timeline.Event `json:"events"`
-	Unresponsive []string         `json:"silent"`
+	Unresponsive []string         `json:"silent"` // members that did not respond in time
 }
 
-// serveStatus reports this VM, or with fleet=1 all VMs.
+// serveStatus returns the status of this VM, or with fleet=1 of all VMs.
 func (v *VM) serveStatus(r *fasthttp.RequestCtx) {
 	var own vm.Status
 	if err := v.readCore(func(core *vm.Core, now clock.Millis) { own = core.Status(now) }); err != nil {
@@ -43,7 +43,7 @@
 	writeJSON(r, fasthttp.StatusOK, doc)
 }
 
-// serveEvents returns events of this VM, or with fleet=1 of all VMs, merged.
+// serveEvents returns the events of this VM, or with fleet=1 the merged events of all VMs.
 func (v *VM) serveEvents(r *fasthttp.RequestCtx) {
 	f, err := v.eventFilter(r)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return f, err
 }
 
-// servePresets returns the record in force.
+// servePresets returns the preset record of this VM.
 func (v *VM) servePresets(r *fasthttp.RequestCtx) {
 	var doc any
 	err := v.readCore(func(core *vm.Core, _ clock.Millis) {
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -12,8 +12,8 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// TestRepeatedOrderRunsOnce guards against an order that runs again when it is repeated
-// at the same time or later, through any VM.
+// TestRepeatedOrderRunsOnce guards against an order that is executed again when it
+// is repeated, concurrently or later, through any VM.
 func TestRepeatedOrderRunsOnce(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 5)
@@ -47,15 +47,15 @@
 	}
 }
 
-// TestStoreDown guards against orders that run, hang or claim too much while
-// the store is down, and against queries that depend on the store.
+// TestStoreDown guards against orders that are executed, hang or get a wrong answer
+// while the store is down, and against queries that depend on the store.
 func TestStoreDown(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3)
 	requireComplete(t, f, 0)
 	for _, tt := range []struct {
 		preset string
-		least  time.Duration // a waiting order is refused only when its deadline is near
+		least  time.Duration // an order that waits for the store is refused only near its deadline
 	}{{"ordinary", 0}, {"maintenance", time.Second}} {
 		if tt.preset != "ordinary" {
 			switchPreset(t, f, tt.preset)
@@ -65,7 +65,7 @@
 			requireComplete(t, f, vm)
 		}
 		o := newOrder()
-		o.Rank = "urgent" // the shortest deadline
+		o.Rank = "urgent" // urgent has the shortest deadline
 		begin := time.Now()
 		var a entry.OrderDocument
 		status, head := postJSON(t, f.Address(1), "/v1/order", o, &a)
@@ -87,8 +87,9 @@
 	}
 }
 
-// TestStoreReplyLost guards against a write that took effect, but whose lost
-// answer makes an order run twice or a switch be reported as refused.
+// TestStoreReplyLost guards against an order that is executed twice, or a preset
+// switch that is reported as refused, when a store write takes effect but its reply
+// is lost.
 func TestStoreReplyLost(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3)
@@ -112,7 +113,8 @@
 	switchPreset(t, f, "peak")
 }
 
-// switchPreset requires that a switch is accepted and in force everywhere.
+// switchPreset switches the preset and requires that the switch is accepted and
+// reaches all VMs.
 func switchPreset(t *testing.T, f *demo.Fleet, name string) {
 	t.Helper()
 	doc, err := f.Caller(0).Change(preset.Change{ID: "to-" + name, Author: "aino", Reason: "test", SwitchTo: name})
@@ -124,8 +126,8 @@
 	}
 }
 
-// TestKilledVM guards against orders that run twice, or run after `ran: no`,
-// when VMs die without a drain while orders are open on them.
+// TestKilledVM guards against orders that are executed twice, or executed despite
+// an answer with `ran: no`, when VMs are killed while they process orders.
 func TestKilledVM(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 5)
@@ -142,7 +144,7 @@
 				default:
 				}
 				o := newOrder()
-				for repeat := range 3 { // as a caller does through the balancer
+				for repeat := range 3 { // retries through another VM, as the balancer routes a caller's retries
 					a, err := f.Caller(n + repeat).Order(o)
 					answers.add(o.ID, a, err)
 					if err == nil && a.Outcome == "done" {
--- a/entry/perform.go
+++ b/entry/perform.go
@@ -10,8 +10,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// perform carries out one command. Calls that take time run in goroutines that
-// end with a message to the event loop.
+// perform executes one command. Blocking calls run in goroutines, which post their
+// result to the event loop.
 func (v *VM) perform(ioCtx context.Context, cmd vm.Cmd) {
 	switch c := cmd.(type) {
 	case vm.AnswerQueryCmd:
@@ -41,7 +41,7 @@
 func (v *VM) deliverAnswer(callID uint64, cmd vm.Cmd) {
 	if ch, ok := v.waiters[callID]; ok {
 		delete(v.waiters, callID)
-		ch <- cmd // has room for the one answer
+		ch <- cmd // does not block: the channel is buffered for its one answer
 	}
 }
 
@@ -53,7 +53,7 @@
 	v.mesh.Send(cmd.To, cmd.Address, cmd.Stamp, cmd.Body)
 }
 
-// abort asks the upstream to stop. The reply to the attempt itself ends it.
+// abort sends a cancel request to the upstream. The attempt ends with its own reply.
 func (v *VM) abort(ioCtx context.Context, cmd vm.AbortCmd) {
 	if err := v.upstreams.Cancel(ioCtx, upstream.ID(cmd.Upstream), cmd.ID); err != nil {
 		_ = v.logger.Log("event", "cancel_failed", "upstream", cmd.Upstream, "attempt", cmd.ID, "err", err)
@@ -69,7 +69,7 @@
 	v.post(vm.StoreMsg{Reply: callStore(ioCtx, v.store, req)})
 }
 
-// callStore performs one call and turns its error into a kind.
+// callStore executes one store request and classifies its error.
 func callStore(ctx context.Context, s store.Store, req store.Request) store.Reply {
 	reply := store.Reply{Requester: req.Requester, Tag: req.Tag, Op: req.Op}
 	var err error
@@ -87,10 +87,11 @@
 	return reply
 }
 
-// vmListInterval is how often the VM list is read. The list lags anyway.
+// vmListInterval is the interval between reads of the VM list. Shorter intervals
+// do not help, because the list itself lags behind the fleet.
 const vmListInterval = clock.Second
 
-// pollVMList reads the VM list until ctx ends.
+// pollVMList reads the VM list periodically until ctx is cancelled.
 func (v *VM) pollVMList(ctx context.Context) error {
 	ticker := time.NewTicker(vmListInterval.Duration())
 	defer ticker.Stop()
@@ -106,10 +107,11 @@
 	}
 }
 
-// meshHandler turns what happens on the streams into messages.
+// meshHandler converts messages and failures of the streams between VMs into
+// messages for the event loop. Admin requests and responses do not pass through the core.
 type meshHandler struct{ v *VM }
 
-// Received delivers a message from a peer.
+// Received handles a message from a peer.
 func (h meshHandler) Received(from string, stamp clock.Timestamp, body vm.PeerBody) {
 	switch b := body.(type) {
 	case vm.AdminRequest:
@@ -121,15 +123,16 @@
 	}
 }
 
-// Unsent reports a message that never left.
+// Unsent handles a message that could not be sent.
 func (h meshHandler) Unsent(to string, body vm.PeerBody) {
 	if req, ok := body.(vm.AdminRequest); ok {
 		h.v.adminRequests.resolve(vm.AdminResponse{ID: req.ID})
 		return
 	}
-	// Send may call this from the event loop, which must not wait for itself.
+	// Mesh.Send may call Unsent from the event loop. Posting from the loop itself
+	// would deadlock if the inbox is full.
 	go h.v.post(vm.PeerUnsentMsg{To: to, Body: body})
 }
 
-// Disconnected reports a broken stream.
+// Disconnected handles a broken stream to a peer.
 func (h meshHandler) Disconnected(peer string) { h.v.post(vm.PeerDisconnectedMsg{VM: peer}) }
--- a/entry/preset_test.go
+++ b/entry/preset_test.go
@@ -15,8 +15,8 @@
 	"lentillink.example/lentillink/timeline"
 )
 
-// TestConcurrentPresetSwitches guards against two operators who both believe that their
-// switch is in force, and against a loser who is not told why.
+// TestConcurrentPresetSwitches guards against two concurrent switches that are both
+// reported as accepted, and against an error that does not describe the accepted one.
 func TestConcurrentPresetSwitches(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3)
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestStoreLostAfterChange guards against a change that is accepted but stays
-// in the store that is lost right after the write.
+// TestStoreLostAfterChange guards against an accepted change that does not reach
+// all VMs because the store fails right after the write.
 func TestStoreLostAfterChange(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 7)
@@ -71,7 +71,7 @@
 	if err != nil || len(status.VMs) != 7 {
 		t.Fatalf("%v, %d VMs answered", err, len(status.VMs))
 	}
-	// A change during the outage is reported as not in force, and stays so.
+	// A change during the outage is reported as not accepted, and is not applied later.
 	late, err := f.Caller(0).Change(preset.Change{ID: "c2", Author: "aino", Reason: "test", SwitchTo: "ordinary"})
 	if err != nil || late.Accepted != preset.NotAccepted {
 		t.Errorf("in an outage: got %+v, %v, want not accepted", late, err)
@@ -84,8 +84,9 @@
 	}
 }
 
-// TestStartDuringOutage guards against a VM that serves under a guessed preset: it
-// has no record until its peers, whom it first does not know, have sent theirs.
+// TestStartDuringOutage guards against a VM that serves requests without a preset
+// record. While the store and the VM list are down, a new VM knows no peers, and it
+// receives the record from them only after the VM list is back.
 func TestStartDuringOutage(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3)
@@ -119,7 +120,7 @@
 	requireComplete(t, f, 3)
 }
 
-// memberState returns how VM i sees a member.
+// memberState returns the state of a member in the member list of VM i.
 func memberState(f *demo.Fleet, i int, id string) fleet.State {
 	s, err := f.Caller(i).Status()
 	if err != nil {
--- a/entry/query_test.go
+++ b/entry/query_test.go
@@ -15,7 +15,8 @@
 	"lentillink.example/lentillink/entry"
 )
 
-// TestQueryCoverage guards against an answer that hides missing keys.
+// TestQueryCoverage guards against an answer that does not report missing keys
+// while all replicas of a group are down.
 func TestQueryCoverage(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3)
@@ -43,8 +44,8 @@
 	})
 }
 
-// TestBadRequests guards against work for a request that is refused, and
-// against an error that does not say which field is wrong.
+// TestBadRequests guards against invalid requests that reach an upstream, and
+// against errors that do not name the invalid field.
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1)
@@ -94,7 +95,8 @@
 	}
 }
 
-// sendTruncatedBody sends half a body, then ends its side of the connection.
+// sendTruncatedBody sends part of a request body, closes the write side of the
+// connection and requires an error that names the body.
 func sendTruncatedBody(t *testing.T, address string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -116,8 +118,9 @@
 	}
 }
 
-// TestFaultyReplies guards against a caller that receives part of an answer, or
-// another caller's, when upstreams send late, crossed, cut and doubled replies.
+// TestFaultyReplies guards against a caller that receives a truncated answer or the
+// answer to another query, when upstreams send late, truncated or duplicate replies,
+// or replies to other requests.
 func TestFaultyReplies(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3)
@@ -150,7 +153,7 @@
 		got[o]++
 	}
 	t.Log("outcomes:", got)
-	// A group is missing only if both replicas spoil their reply, or the retry budget is spent.
+	// A group is missing only if the replies of both replicas are faulty, or the retry budget is exhausted.
 	if got["complete"] < workers*each*3/4 {
 		t.Errorf("outcomes %v, want most of them complete", got)
 	}
--- a/entry/request.go
+++ b/entry/request.go
@@ -12,7 +12,7 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// Bounds of a request's fields.
+// Limits of request fields.
 const (
 	maxIDBytes              = 128
 	maxDeadlineMs           = clock.Hour
@@ -38,7 +38,7 @@
 	Body    json.RawMessage `json:"body"`
 }
 
-// DecodeQuery reads and checks a query. Errors are of type *Error and name the field.
+// DecodeQuery decodes and validates a query. Errors are of type *Error and name the field.
 func DecodeQuery(body []byte) (QueryRequest, rank.Rank, error) {
 	var q QueryRequest
 	if err := decodeStrict(body, &q); err != nil {
@@ -59,7 +59,7 @@
 	return q, r, nil
 }
 
-// DecodeOrder reads and checks an order. Errors are of type *Error and name the field.
+// DecodeOrder decodes and validates an order. Errors are of type *Error and name the field.
 func DecodeOrder(body []byte) (OrderRequest, rank.Rank, error) {
 	var o OrderRequest
 	if err := decodeStrict(body, &o); err != nil {
@@ -80,8 +80,8 @@
 	return o, r, nil
 }
 
-// present reports whether a field that takes any JSON was given. null counts
-// as left out, as it does for every other field.
+// present reports whether a field that accepts any JSON value is set. As for all
+// other fields, null means that it is not set.
 func present(raw json.RawMessage) bool { return len(raw) > 0 && string(raw) != "null" }
 
 func validOrderID(id string) bool {
@@ -115,11 +115,11 @@
 	return nil
 }
 
-// decodeError turns an error of encoding/json into one that names the field.
+// decodeError converts an error of encoding/json into one that names the field.
 func decodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		if wrongType.Field == "" { // the document itself
+		if wrongType.Field == "" { // the type of the document itself is wrong
 			return invalid("body", "is a JSON %s, must be an object", wrongType.Value)
 		}
 		return invalid(wrongType.Field, "is a %s, must be a %s", wrongType.Value, wrongType.Type)
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -14,8 +14,8 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// TestPlannedStop guards against a planned stop that cuts requests in flight,
-// or that the balancer and the other VMs do not notice.
+// TestPlannedStop guards against a planned stop that aborts requests in flight, or
+// that is not visible to the balancer and the other VMs.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3, entry.WithBalancerWait(2000))
@@ -27,7 +27,7 @@
 	var wait sync.WaitGroup
 	for w := range 12 {
 		wait.Go(func() {
-			for f.Caller(0).Ready() { // as the balancer does
+			for f.Caller(0).Ready() { // the balancer sends requests only to ready VMs
 				inFlight.Add(1)
 				if w%2 == 0 {
 					o := newOrder()
@@ -70,7 +70,7 @@
 		if err != nil {
 			t.Errorf("Run: %v, want nil", err)
 		}
-	case <-time.After(35 * time.Second): // the drain limit and some room
+	case <-time.After(35 * time.Second): // the drain limit of 30 s and some slack
 		t.Error("the stop took longer than its limit")
 	}
 	answers.check(t, f)
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestLeavingUpstream guards against new work for a leaving upstream from a VM
-// that has not noticed by itself.
+// TestLeavingUpstream guards against attempts to a leaving upstream from VMs that
+// have not received a reply from it since it began to leave.
 func TestLeavingUpstream(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 7)
@@ -90,7 +90,7 @@
 	id := upstream.ID("search/app-04/b")
 	injectFault(t, f, string(id), "leaving", true)
 	left := time.Now()
-	requireComplete(t, f, 0) // one VM may notice
+	requireComplete(t, f, 0) // this VM may detect that the upstream is leaving
 	time.Sleep(time.Until(left.Add(3 * time.Second)))
 	up := f.Standins.Upstream(id)
 	before := up.AttemptCounts().Received
@@ -103,7 +103,7 @@
 }
 
 // TestStopDuringOutage guards against a planned stop that fails only because the
-// store cannot take the marks of orders that are already answered.
+// store is down and cannot mark answered orders as done.
 func TestStopDuringOutage(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, entry.WithDrainLimit(3000))
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestRefusedWhileStopping guards against a late request that is dropped or
-// run, and against a refusal by admission that the time line does not show
-// under the caller's id.
+// TestRefusedWhileStopping guards against requests that are dropped or executed
+// when they arrive during a drain, and against refusals by admission control that
+// the time line does not show under the request's id.
 func TestRefusedWhileStopping(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, entry.WithBalancerWait(5000))
--- a/entry/vm.go
+++ b/entry/vm.go
@@ -23,7 +23,7 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// inboxSize bounds the messages that wait for the event loop.
+// inboxSize is the capacity of the event loop's message queue.
 const inboxSize = 1 << 14
 
 // VM runs one entry VM.
@@ -40,7 +40,7 @@
 	initial      preset.Record
 	meshOptions  []peer.Option
 	seed         uint64
-	listeners    *listeners // nil to listen on the addresses in the settings
+	listeners    *listeners // if nil, Run listens on the addresses in the settings
 
 	core          *vm.Core
 	self          fleet.VM
@@ -51,28 +51,29 @@
 	stopped       chan struct{} // closed when the event loop has ended
 	lastCallID    atomic.Uint64
 	adminRequests *pendingRequests
-	attempts      chan attempt.Request       // to idle attempt workers
-	groups        map[string]map[string]bool // names of the groups of each service
+	attempts      chan attempt.Request       // to idle workers; unbuffered
+	groups        map[string]map[string]bool // group names by service
 
-	waiters  map[uint64]chan<- vm.Cmd // owned by the event loop
-	msgQueue []vm.Msg                 // owned by the event loop
+	waiters  map[uint64]chan<- vm.Cmd // answer channels by call ID; owned by the event loop
+	msgQueue []vm.Msg                 // messages that process has still to handle; owned by the event loop
 }
 
-// inboxItem is a message for the event loop. A request of a caller also brings the
-// channel that receives its answer.
+// inboxItem is a message for the event loop. For a caller's request it also holds
+// the channel that receives the answer.
 type inboxItem struct {
 	msg    vm.Msg
 	callID uint64
 	answer chan<- vm.Cmd
 }
 
-// coreRead is a read of the core. Done is closed after it ran.
+// coreRead is a function that reads the core in the event loop. done is closed
+// after it has returned.
 type coreRead struct {
 	read func(core *vm.Core, now clock.Millis)
 	done chan struct{}
 }
 
-// New returns a VM. The store, the VM list and the upstreams must be set.
+// New returns a VM. The options WithStore, WithVMList and WithUpstreams are required.
 func New(s *settings.Settings, opts ...Option) (*VM, error) {
 	v := &VM{
 		settings: s, clock: clock.System{}, logger: log.NewNopLogger(), registry: prometheus.NewRegistry(),
@@ -103,24 +104,26 @@
 	return v, nil
 }
 
-// incarnationBits is the random part of an incarnation. Two processes of one VM
-// that start in the same millisecond must not share attempt identifiers or tokens.
+// incarnationBits is the number of random bits in an incarnation. They separate
+// two processes of one VM that start in the same millisecond, which must not share
+// attempt identifiers or tokens.
 const incarnationBits = 16
 
-// newIncarnation returns a number that rises with the start time.
+// newIncarnation returns a number that increases with the start time.
 func newIncarnation(now clock.Millis) uint64 {
 	return uint64(now)<<incarnationBits | rand.Uint64N(1<<incarnationBits)
 }
 
-// Run serves until ctx ends, then drains: requests in flight are finished,
-// new ones are refused as not run. It returns nil after a complete drain, and
-// at the drain limit if only writes that wait for the store are left.
+// Run serves requests until ctx is cancelled, then drains: it finishes requests in
+// flight and refuses new ones as not executed. It returns nil after a complete
+// drain, or at the drain limit if only store writes are pending.
 func (v *VM) Run(ctx context.Context) error {
 	listeners, err := v.listen()
 	if err != nil {
 		return err
 	}
-	// Input and output outlive ctx, because a planned stop finishes what is in flight.
+	// I/O has its own context, because a planned stop finishes requests in flight
+	// after ctx is cancelled.
 	ioCtx, stopIO := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopIO()
 	serverErrs := make(chan error, 3+len(listeners.http))
@@ -138,7 +141,7 @@
 	var firstErr error
 	select {
 	case firstErr = <-loopErr:
-	case firstErr = <-serverErrs: // a server that ends before the loop has failed
+	case firstErr = <-serverErrs: // a server that returns before the event loop has failed
 		running--
 		stopIO()
 	}
--- a/entry/worker.go
+++ b/entry/worker.go
@@ -9,13 +9,14 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// workerIdleTimeout is how long a worker waits for its next attempt. It covers the
-// gaps of steady load, and a burst's workers end soon after it.
+// workerIdleTimeout is how long a worker waits for its next attempt. It is longer
+// than the gaps between attempts under steady load, and short enough that the
+// workers started by a burst end soon after it.
 const workerIdleTimeout = 2 * clock.Second
 
-// dispatchAttempt gives an attempt to an idle worker, or starts one. Workers are
-// reused because a new goroutine grows its stack again in each attempt, which
-// took 9% of the processor time of a busy VM.
+// dispatchAttempt passes an attempt to an idle worker, or starts a new one. Workers
+// are reused because the stack of a new goroutine has to grow in each attempt,
+// which took 9% of the CPU time of a busy VM.
 func (v *VM) dispatchAttempt(ioCtx context.Context, req attempt.Request) {
 	select {
 	case v.attempts <- req:
@@ -24,8 +25,9 @@
 	}
 }
 
-// runWorker runs attempts one after the other until there is none for a
-// while. Pool limits bound the number of attempts, and so of workers.
+// runWorker runs attempts one after the other until it is idle for
+// workerIdleTimeout. Pool limits bound the number of concurrent attempts, and
+// therefore of workers.
 func (v *VM) runWorker(ioCtx context.Context, req attempt.Request) {
 	idle := time.NewTimer(workerIdleTimeout.Duration())
 	defer idle.Stop()
