--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -30,19 +30,19 @@
 		q, r, err := entry.DecodeQuery(body)
 		if err != nil {
 			if !isInvalidWithField(err) {
-				t.Fatalf("%q: refusal %v names no field", body, err)
+				t.Fatalf("%q: error %v is not of kind invalid or names no field", body, err)
 			}
 			return
 		}
 		if q.ID == "" || q.Service == "" || !json.Valid(q.Query) || q.DeadlineMs != nil && *q.DeadlineMs <= 0 {
-			t.Fatalf("%q: accepted as %+v", body, q)
+			t.Fatalf("%q: invalid request was accepted as %+v", body, q)
 		}
 		text, err := json.Marshal(q)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, again, err := entry.DecodeQuery(text); err != nil || again != r {
-			t.Fatalf("%q: sent on as %q: %v", body, text, err)
+			t.Fatalf("%q: encoded again as %q, which is decoded differently: %v", body, text, err)
 		}
 	})
 }
@@ -61,19 +61,19 @@
 		o, r, err := entry.DecodeOrder(body)
 		if err != nil {
 			if !isInvalidWithField(err) {
-				t.Fatalf("%q: refusal %v names no field", body, err)
+				t.Fatalf("%q: error %v is not of kind invalid or names no field", body, err)
 			}
 			return
 		}
 		if _, err := order.ParseID(o.ID); err != nil || o.Group == "" || !json.Valid(o.Body) {
-			t.Fatalf("%q: accepted as %+v", body, o)
+			t.Fatalf("%q: invalid request was accepted as %+v", body, o)
 		}
 		text, err := json.Marshal(o)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, again, err := entry.DecodeOrder(text); err != nil || again != r {
-			t.Fatalf("%q: sent on as %q: %v", body, text, err)
+			t.Fatalf("%q: encoded again as %q, which is decoded differently: %v", body, text, err)
 		}
 	})
 }
--- a/entry/helper_test.go
+++ b/entry/helper_test.go
@@ -74,7 +74,7 @@
 	deadline := time.Now().Add(waitLimit)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %s: %s", waitLimit, what)
+			t.Fatalf("condition did not hold within %s: %s", waitLimit, what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -119,7 +119,7 @@
 	}
 	status, head, data := post(t, address, path, body)
 	if err := json.Unmarshal(data, out); err != nil {
-		t.Fatalf("answer %q: %v", data, err)
+		t.Fatalf("decode answer %q: %v", data, err)
 	}
 	return status, head
 }
@@ -137,12 +137,12 @@
 	case a.Outcome == "refused" || a.Outcome == "failed":
 		return nil
 	case a.Coverage.Covered+missing != a.Coverage.Expected || (a.Outcome == "complete") != (missing == 0):
-		return fmt.Errorf("%s is %s with untrue coverage %+v", q.ID, a.Outcome, a.Coverage)
+		return fmt.Errorf("%s is %s with inconsistent coverage %+v", q.ID, a.Outcome, a.Coverage)
 	}
 	seen := make(map[uint32]bool)
 	for _, row := range a.Rows {
 		if seen[row.Key] || row.Value != fmt.Sprintf("v%d/%d", a.Snapshot, row.Key) {
-			return fmt.Errorf("%s has a doubled or mixed row %+v in snapshot %d", q.ID, row, a.Snapshot)
+			return fmt.Errorf("%s has a duplicate row, or a row of another snapshot, %+v in snapshot %d", q.ID, row, a.Snapshot)
 		}
 		seen[row.Key] = true
 		for _, gap := range a.Coverage.Missing {
@@ -221,7 +221,7 @@
 			}
 		}
 		if n > 1 || notExecuted && n > 0 || executed && n != 1 {
-			t.Errorf("order %s ran %d times, answers %+v", id, n, answers)
+			t.Errorf("order %s was executed %d times, which contradicts the answers %+v", id, n, answers)
 		}
 		if executed {
 			done++
--- a/entry/http.go
+++ b/entry/http.go
@@ -64,7 +64,7 @@
 // serveReadError answers a request that could not be read completely. The core
 // never received it, so it was not executed.
 func serveReadError(r *fasthttp.RequestCtx, err error) {
-	text := "request could not be read whole: " + err.Error()
+	text := "request could not be read completely: " + err.Error()
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		text = "body: larger than limits.request_body_bytes"
 		if c, ok := r.Conn().(*lingerConn); ok {
--- a/entry/loop.go
+++ b/entry/loop.go
@@ -16,7 +16,7 @@
 const maxBatch = 256
 
 // errDrainLimit means that a planned stop did not finish its work within the drain limit.
-var errDrainLimit = errors.New("drain limit reached with work still open")
+var errDrainLimit = errors.New("drain limit reached with pending work")
 
 // loop owns the core. It drains the core after ctx is cancelled, then returns. It
 // also returns when ioCtx is cancelled.
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -33,16 +33,16 @@
 		}
 		wait.Wait()
 		if statuses[http.StatusOK] != 1 || statuses[http.StatusConflict] != f.Size()-1 {
-			t.Errorf("at once: got statuses %v, want one 200 and else 409", statuses)
+			t.Errorf("concurrent: got statuses %v, want one 200 and otherwise 409", statuses)
 		}
 		for vm := range f.Size() {
 			var a entry.OrderDocument
 			if status, _ := postJSON(t, f.Address(vm), "/v1/order", o, &a); status != http.StatusConflict || a.Outcome != "already_submitted" {
-				t.Errorf("later, VM %d: got %d %s, want 409", vm, status, a.Outcome)
+				t.Errorf("repeat later, VM %d: got %d %s, want 409", vm, status, a.Outcome)
 			}
 		}
 		if got := orderRuns(f, o.ID); got != 1 {
-			t.Errorf("order %s ran %d times, want 1", o.ID, got)
+			t.Errorf("order %s was executed %d times, want 1", o.ID, got)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 			t.Errorf("%s: refused after %s, want at least %s", tt.preset, took, tt.least)
 		}
 		if got := orderRuns(f, o.ID); got != 0 {
-			t.Errorf("%s: a refused order ran %d times", tt.preset, got)
+			t.Errorf("%s: a refused order was executed %d times, want 0", tt.preset, got)
 		}
 		injectFault(t, f, "store", "down", false)
 		waitFor(t, "an order is done after the outage", func() bool {
@@ -101,12 +101,12 @@
 		if err != nil || a.Outcome != "done" {
 			t.Errorf("got %+v, %v, want done", a, err)
 		}
-		waitFor(t, "the answer is lost", func() bool { return f.Standins.Store().DroppedReplies() > lost })
+		waitFor(t, "the store loses a reply", func() bool { return f.Standins.Store().DroppedReplies() > lost })
 		if again, err := f.Caller(1).Order(o); err != nil || again.Outcome != "already_submitted" {
 			t.Errorf("repeat: got %+v, %v, want already_submitted", again, err)
 		}
 		if got := orderRuns(f, o.ID); got != 1 {
-			t.Errorf("order %s ran %d times, want 1", o.ID, got)
+			t.Errorf("order %s was executed %d times, want 1", o.ID, got)
 		}
 	}
 	injectFault(t, f, "store", "lose_answers", 1)
@@ -156,11 +156,11 @@
 	}
 	for _, vm := range []int{1, 3} {
 		before := receivedAttempts(f, "orders")
-		waitFor(t, "orders run", func() bool { return receivedAttempts(f, "orders") > before+40 })
+		waitFor(t, "orders are in progress", func() bool { return receivedAttempts(f, "orders") > before+40 })
 		f.Kill(vm)
 	}
 	before := receivedAttempts(f, "orders")
-	waitFor(t, "orders run after the kills", func() bool { return receivedAttempts(f, "orders") > before+40 })
+	waitFor(t, "orders are in progress after the VMs were killed", func() bool { return receivedAttempts(f, "orders") > before+40 })
 	close(stop)
 	wait.Wait()
 	done := answers.check(t, f)
@@ -168,7 +168,7 @@
 	if done < 80 {
 		t.Errorf("%d of %d orders are done, want at least 80", done, len(answers.answers))
 	}
-	waitFor(t, "a complete query through each VM that is left", func() bool {
+	waitFor(t, "a complete query through each remaining VM", func() bool {
 		for _, vm := range []int{0, 2, 4} {
 			if a, err := f.Caller(vm).Query(newQuery()); err != nil || a.Outcome != "complete" {
 				return false
--- a/entry/perform.go
+++ b/entry/perform.go
@@ -108,7 +108,7 @@
 }
 
 // meshHandler converts messages and failures of the streams between VMs into
-// messages for the event loop. Admin requests and responses do not pass through the core.
+// messages for the event loop. Admin requests and responses are handled directly.
 type meshHandler struct{ v *VM }
 
 // Received handles a message from a peer.
--- a/entry/preset_test.go
+++ b/entry/preset_test.go
@@ -45,11 +45,11 @@
 	}
 	winner, loser := changes[winnerIndex], docs[1-winnerIndex]
 	if docs[winnerIndex].Accepted != preset.Accepted || loser.Accepted != preset.NotAccepted {
-		t.Fatalf("got %+v, want one accepted and one not", docs)
+		t.Fatalf("got %+v, want exactly one accepted", docs)
 	}
 	for _, part := range []string{winner.Author, winner.Reason, winner.SwitchTo, winner.ID, time.Now().UTC().Format("2006-01-")} {
 		if !strings.Contains(loser.Error, part) {
-			t.Errorf("the loser reads %q, which lacks %q", loser.Error, part)
+			t.Errorf("error of the change that was not accepted is %q, want it to contain %q", loser.Error, part)
 		}
 	}
 	if _, err := demo.AwaitRevision(f, docs[winnerIndex].Revision, 4000); err != nil {
@@ -65,21 +65,21 @@
 	doc, err := f.Caller(2).Change(preset.Change{ID: "c1", Author: "aino", Reason: "test", SwitchTo: "peak"})
 	injectFault(t, f, "store", "down", true)
 	if err != nil || doc.Accepted != preset.Accepted {
-		t.Fatalf("got %+v, %v", doc, err)
+		t.Fatalf("got %+v, %v, want accepted", doc, err)
 	}
 	status, err := demo.AwaitRevision(f, doc.Revision, 4000)
 	if err != nil || len(status.VMs) != 7 {
-		t.Fatalf("%v, %d VMs answered", err, len(status.VMs))
+		t.Fatalf("await revision: %v, %d VMs responded, want 7", err, len(status.VMs))
 	}
 	// A change during the outage is reported as not accepted, and is not applied later.
 	late, err := f.Caller(0).Change(preset.Change{ID: "c2", Author: "aino", Reason: "test", SwitchTo: "ordinary"})
 	if err != nil || late.Accepted != preset.NotAccepted {
-		t.Errorf("in an outage: got %+v, %v, want not accepted", late, err)
+		t.Errorf("change during the outage: got %+v, %v, want not accepted", late, err)
 	}
 	injectFault(t, f, "store", "down", false)
 	for vm := range f.Size() {
 		if rec, err := f.Caller(vm).Presets(); err != nil || rec.InForce != "peak" || rec.Revision < doc.Revision {
-			t.Errorf("VM %d: %s at revision %d, %v, want peak at %d", vm, rec.InForce, rec.Revision, err, doc.Revision)
+			t.Errorf("VM %d: got %s at revision %d, %v, want peak at %d", vm, rec.InForce, rec.Revision, err, doc.Revision)
 		}
 	}
 }
@@ -97,11 +97,11 @@
 		t.Fatal(err)
 	}
 	late := f.Caller(3)
-	waitFor(t, "the VM answers", func() bool { _, err := late.Status(); return err == nil })
+	waitFor(t, "the VM responds", func() bool { _, err := late.Status(); return err == nil })
 	q := newQuery()
 	for range 20 {
 		if late.Ready() {
-			t.Fatal("ready without a record")
+			t.Fatal("VM is ready without a preset record")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -110,7 +110,7 @@
 	}
 	doc, err := late.Events(url.Values{"request": {q.ID}})
 	if err != nil || len(doc.Events) != 1 || doc.Events[0].Kind != timeline.Refused || doc.Events[0].Detail != "not_ready" {
-		t.Errorf("the time line shows %+v, %v, want the refusal and its reason", doc.Events, err)
+		t.Errorf("got events %+v, %v, want one refusal and its reason", doc.Events, err)
 	}
 	injectFault(t, f, "vm_list", "down", false)
 	waitFor(t, "the VM is ready", late.Ready)
--- a/entry/query_test.go
+++ b/entry/query_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	injectFault(t, f, "search/planner-03", "down", false)
-	waitFor(t, "a complete answer after the group is back", func() bool {
+	waitFor(t, "a complete answer after the group has recovered", func() bool {
 		a, err := f.Caller(1).Query(newQuery())
 		return err == nil && a.Outcome == "complete"
 	})
@@ -61,29 +61,29 @@
 		{"null query", "query", `{` + id + `"service":"search","query":null}`, "query"},
 		{"negative deadline", "query", `{` + id + `"service":"search","query":{},"deadline_ms":-1}`, "deadline_ms"},
 		{"zero deadline", "query", `{` + id + `"service":"search","query":{},"deadline_ms":0}`, "deadline_ms"},
-		{"absurd deadline", "query", `{` + id + `"service":"search","query":{},"deadline_ms":9000000000000}`, "deadline_ms"},
+		{"deadline above the limit", "query", `{` + id + `"service":"search","query":{},"deadline_ms":9000000000000}`, "deadline_ms"},
 		{"overflowing deadline", "query", `{` + id + `"service":"search","query":{},"deadline_ms":99999999999999999999}`, "deadline_ms"},
-		{"text as deadline", "query", `{` + id + `"service":"search","query":{},"deadline_ms":"1s"}`, "deadline_ms"},
+		{"deadline as text", "query", `{` + id + `"service":"search","query":{},"deadline_ms":"1s"}`, "deadline_ms"},
 		{"coverage above 1", "query", `{` + id + `"service":"search","query":{},"min_coverage":50}`, "min_coverage"},
 		{"unknown field", "query", `{` + id + `"service":"search","query":{},"color":1}`, "color"},
 		{"bad JSON", "query", `{"id":`, "body"},
-		{"no body", "query", ``, "body"},
+		{"empty body", "query", ``, "body"},
 		{"two documents", "query", `{` + id + `"service":"search","query":{}}{}`, "body"},
 		{"not an object", "query", `[]`, "body"},
-		{"oversized", "query", `{` + id + `"service":"search","query":"` + strings.Repeat("a", 1<<20) + `"}`, "body"},
+		{"oversized body", "query", `{` + id + `"service":"search","query":"` + strings.Repeat("a", 1<<20) + `"}`, "body"},
 		{"order: unknown group", "order", `{` + id + `"service":"orders","group":"desk-99","body":{}}`, "group"},
 		{"order: unknown service", "order", `{` + id + `"service":"nowhere","group":"desk-01","body":{}}`, "service"},
 		{"order: missing group", "order", `{` + id + `"service":"orders","body":{}}`, "group"},
 		{"order: missing body", "order", `{` + id + `"service":"orders","group":"desk-01"}`, "body"},
 		{"order: id without time", "order", `{"id":"a","rank":"urgent","service":"orders","group":"desk-01","body":{}}`, "id"},
 		{"order: unknown field", "order", `{` + id + `"service":"orders","group":"desk-01","body":{},"deadline_ms":5}`, "deadline_ms"},
-		{"order: oversized", "order", `{` + id + `"service":"orders","group":"desk-01","body":"` + strings.Repeat("a", 1<<20) + `"}`, "body"},
+		{"order: oversized body", "order", `{` + id + `"service":"orders","group":"desk-01","body":"` + strings.Repeat("a", 1<<20) + `"}`, "body"},
 	}
 	for _, tt := range tests {
 		status, _, data := post(t, f.Address(0), "/v1/"+tt.path, []byte(tt.body))
 		var doc entry.ErrorDocument
 		if err := json.Unmarshal(data, &doc); err != nil {
-			t.Errorf("%s: answer %q: %v", tt.name, data, err)
+			t.Errorf("%s: decode answer %q: %v", tt.name, data, err)
 		}
 		if status != http.StatusBadRequest || doc.Field != tt.field || doc.Execution != attempt.NotExecuted || doc.Error == "" {
 			t.Errorf("%s: got status %d, %+v, want 400 naming %s", tt.name, status, doc, tt.field)
@@ -114,7 +114,7 @@
 	_ = conn.SetReadDeadline(time.Now().Add(waitLimit))
 	data, err := io.ReadAll(conn)
 	if err != nil || !strings.Contains(string(data), " 400 ") || !strings.Contains(string(data), `"field":"body"`) {
-		t.Errorf("cut body: got %q, %v, want 400 naming body", data, err)
+		t.Errorf("truncated body: got %q, %v, want 400 naming body", data, err)
 	}
 }
 
@@ -155,6 +155,6 @@
 	t.Log("outcomes:", got)
 	// A group is missing only if the replies of both replicas are faulty, or the retry budget is exhausted.
 	if got["complete"] < workers*each*3/4 {
-		t.Errorf("outcomes %v, want most of them complete", got)
+		t.Errorf("outcomes %v, want at least 3/4 complete", got)
 	}
 }
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -33,7 +33,7 @@
 					o := newOrder()
 					a, err := f.Caller(0).Order(o)
 					if err != nil {
-						t.Errorf("order cut: %v", err)
+						t.Errorf("order received no answer: %v", err)
 					}
 					answers.add(o.ID, a, err)
 				} else {
@@ -43,7 +43,7 @@
 						err = checkQuery(q, a)
 					}
 					if err != nil {
-						t.Errorf("query cut: %v", err)
+						t.Errorf("query received no or a wrong answer: %v", err)
 					}
 					queries.Add(1)
 					if a.Outcome == "complete" {
@@ -54,14 +54,14 @@
 			}
 		})
 	}
-	waitFor(t, "load is in flight", func() bool { return queries.Load() > 12 && inFlight.Load() >= 8 })
+	waitFor(t, "requests are in flight", func() bool { return queries.Load() > 12 && inFlight.Load() >= 8 })
 	end := make(chan error, 1)
 	go func() { end <- f.Stop(0) }()
-	waitFor(t, "not ready", func() bool { return !f.Caller(0).Ready() })
+	waitFor(t, "the VM is not ready", func() bool { return !f.Caller(0).Ready() })
 	if inFlight.Load() == 0 {
-		t.Error("readyz turned 503 only when nothing was in flight")
+		t.Error("/readyz returned 503 only after all requests had ended")
 	}
-	waitFor(t, "the others stop choosing it", func() bool {
+	waitFor(t, "the other VMs no longer list it as alive", func() bool {
 		return memberState(f, 1, "vm-1") != fleet.Alive && memberState(f, 2, "vm-1") != fleet.Alive
 	})
 	wait.Wait()
@@ -71,11 +71,11 @@
 			t.Errorf("Run: %v, want nil", err)
 		}
 	case <-time.After(35 * time.Second): // the drain limit of 30 s and some slack
-		t.Error("the stop took longer than its limit")
+		t.Error("the stop took longer than the drain limit")
 	}
 	answers.check(t, f)
 	if q, c := queries.Load(), complete.Load(); c < q-3 {
-		t.Errorf("%d of %d queries are complete; a draining VM may refuse only those that arrive late", c, q)
+		t.Errorf("%d of %d queries are complete; a draining VM may refuse only queries that arrive after the drain began", c, q)
 	}
 }
 
@@ -126,7 +126,7 @@
 	f := startFleet(t, 1, entry.WithBalancerWait(5000))
 	end := make(chan error, 1)
 	go func() { end <- f.Stop(0) }()
-	waitFor(t, "not ready", func() bool { return !f.Caller(0).Ready() })
+	waitFor(t, "the VM is not ready", func() bool { return !f.Caller(0).Ready() })
 	before := receivedAttempts(f, "")
 	q, o := newQuery(), newOrder()
 	a, err := f.Caller(0).Query(q)
@@ -140,11 +140,11 @@
 	for _, id := range []string{q.ID, o.ID} {
 		doc, err := f.Caller(0).Events(url.Values{"request": {id}, "kind": {string(timeline.Refused)}})
 		if err != nil || len(doc.Events) != 1 || doc.Events[0].Detail != "draining" {
-			t.Errorf("%s: the time line shows %+v, %v, want one refusal: draining", id, doc.Events, err)
+			t.Errorf("%s: got events %+v, %v, want one refusal with detail draining", id, doc.Events, err)
 		}
 	}
 	if got := receivedAttempts(f, ""); got != before {
-		t.Errorf("upstreams received %d attempts for refused requests", got-before)
+		t.Errorf("upstreams received %d attempts for refused requests, want 0", got-before)
 	}
 	if err := <-end; err != nil {
 		t.Errorf("Run: %v, want nil", err)
