--- a/caller/client.go
+++ b/caller/client.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	defaultTimeout     = 30 * clock.Second
-	defaultConnections = 512
+	defaultTimeout  = 30 * clock.Second
+	defaultMaxConns = 512
 )
 
 // Client calls one entry VM, or the balancer in front of several. It is safe
@@ -39,7 +39,7 @@
 		opt(c)
 	}
 	c.http = &fasthttp.Client{
-		MaxConnsPerHost: defaultConnections, ReadTimeout: c.timeout.Duration(), WriteTimeout: c.timeout.Duration(),
+		MaxConnsPerHost: defaultMaxConns, ReadTimeout: c.timeout.Duration(), WriteTimeout: c.timeout.Duration(),
 		// A repeated order would be harmless, but the caller decides about repeats.
 		MaxIdemponentCallAttempts: 1, RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
@@ -103,20 +103,20 @@
 	if err != nil {
 		return out, wrap(op, KindUnavailable, err)
 	}
-	var failed struct {
-		Error   string `json:"error"`
-		Outcome string `json:"outcome"`
-		Truth   string `json:"accepted"`
+	var failure struct {
+		Error    string `json:"error"`
+		Outcome  string `json:"outcome"`
+		Accepted string `json:"accepted"`
 	}
-	if err := json.Unmarshal(data, &failed); err != nil {
+	if err := json.Unmarshal(data, &failure); err != nil {
 		return out, wrap(op, KindDecode, err)
 	}
-	if failed.Error != "" && failed.Outcome == "" && failed.Truth == "" {
+	if failure.Error != "" && failure.Outcome == "" && failure.Accepted == "" {
 		kind := KindUnavailable
 		if status < fasthttp.StatusInternalServerError {
 			kind = KindInvalid
 		}
-		return out, wrap(op, kind, fmt.Errorf("%s (HTTP %d)", failed.Error, status))
+		return out, wrap(op, kind, fmt.Errorf("%s (HTTP %d)", failure.Error, status))
 	}
 	if err := json.Unmarshal(data, &out); err != nil {
 		return out, wrap(op, KindDecode, err)
