--- a/caller/client.go
+++ b/caller/client.go
@@ -18,7 +18,7 @@
 	defaultMaxConns = 512
 )
 
-// Client calls one entry VM, or the balancer in front of several. It is safe
+// Client calls one entry VM, or the load balancer in front of several. It is safe
 // for concurrent use.
 type Client struct {
 	address string
@@ -29,10 +29,10 @@
 // Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout bounds each call.
+// WithTimeout sets the read timeout and the write timeout of each call.
 func WithTimeout(d clock.Millis) Option { return func(c *Client) { c.timeout = d } }
 
-// New returns a client of the VM at address, as host:port.
+// New returns a client for the VM at address, given as host:port.
 func New(address string, opts ...Option) *Client {
 	c := &Client{address: address, timeout: defaultTimeout}
 	for _, opt := range opts {
@@ -40,18 +40,20 @@
 	}
 	c.http = &fasthttp.Client{
 		MaxConnsPerHost: defaultMaxConns, ReadTimeout: c.timeout.Duration(), WriteTimeout: c.timeout.Duration(),
-		// A repeated order would be harmless, but the caller decides about repeats.
+		// Never retry here. A repeated order would be harmless, but retries are left
+		// to the code that calls the client.
 		MaxIdemponentCallAttempts: 1, RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 	return c
 }
 
-// Query asks a question. The answer says whether it is complete.
+// Query submits a query. The outcome in the answer tells whether it is complete.
 func (c *Client) Query(q entry.QueryRequest) (entry.QueryDocument, error) {
 	return call[entry.QueryDocument](c, "query", fasthttp.MethodPost, "/v1/query", q)
 }
 
-// Order submits non-idempotent work. Repeating it with the same id is safe.
+// Order submits an order, which is non-idempotent work. Repeating an order with the
+// same id is safe.
 func (c *Client) Order(o entry.OrderRequest) (entry.OrderDocument, error) {
 	return call[entry.OrderDocument](c, "order", fasthttp.MethodPost, "/v1/order", o)
 }
@@ -61,35 +63,37 @@
 	return call[vm.Status](c, "status", fasthttp.MethodGet, "/v1/status", nil)
 }
 
-// FleetStatus returns the status of all VMs, asked through this one.
+// FleetStatus returns the status of all VMs. The called VM requests it from the others.
 func (c *Client) FleetStatus() (entry.FleetStatus, error) {
 	return call[entry.FleetStatus](c, "status", fasthttp.MethodGet, "/v1/status?fleet=1", nil)
 }
 
-// Events returns the merged events of all VMs. args are those of GET /v1/events.
+// Events returns the merged events of all VMs. args are the query arguments of
+// GET /v1/events and must not be nil; fleet is set to 1 in them.
 func (c *Client) Events(args url.Values) (entry.EventsDocument, error) {
 	args.Set("fleet", "1")
 	return call[entry.EventsDocument](c, "events", fasthttp.MethodGet, "/v1/events?"+args.Encode(), nil)
 }
 
-// Presets returns the record in force on the VM.
+// Presets returns the preset record of the VM.
 func (c *Client) Presets() (preset.Record, error) {
 	return call[preset.Record](c, "presets", fasthttp.MethodGet, "/v1/presets", nil)
 }
 
-// Change applies an operator's change. The document says whether it was accepted.
+// Change submits an operator's change of the presets. The document tells whether it
+// was accepted.
 func (c *Client) Change(change preset.Change) (entry.ChangeDocument, error) {
 	return call[entry.ChangeDocument](c, "change", fasthttp.MethodPost, "/v1/presets", change)
 }
 
-// Ready reports whether the VM is ready for the balancer.
+// Ready reports whether the VM is ready to receive requests from the balancer.
 func (c *Client) Ready() bool {
 	status, _, err := c.do(fasthttp.MethodGet, "/readyz", nil)
 	return err == nil && status == fasthttp.StatusOK
 }
 
-// call sends in as JSON and decodes the answer. An answer that names no
-// outcome but an error becomes an Error.
+// call sends in as JSON and decodes the response. It returns an Error for a response
+// with an error text and neither an outcome nor the field accepted.
 func call[T any](c *Client, op, method, path string, in any) (T, error) {
 	var out T
 	var body []byte
@@ -131,8 +135,8 @@
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + c.address + path)
 	req.SetBody(body)
-	// Do returns only when the exchange is over, so the buffers may be
-	// released; DoTimeout would return while they are in use.
+	// Do returns only after the exchange has ended, so that the buffers can be
+	// released. DoTimeout could return while they are still in use.
 	if err := c.http.Do(req, resp); err != nil {
 		return 0, nil, err
 	}
--- a/caller/error.go
+++ b/caller/error.go
@@ -11,9 +11,9 @@
 
 // The kinds of failures.
 const (
-	KindInvalid     Kind = "invalid"     // the VM does not accept the request
-	KindUnavailable Kind = "unavailable" // the VM cannot be reached
-	KindDecode      Kind = "decode"      // the answer cannot be read
+	KindInvalid     Kind = "invalid"     // the request is not valid
+	KindUnavailable Kind = "unavailable" // the VM cannot be reached or cannot serve the request
+	KindDecode      Kind = "decode"      // the response is not the expected JSON
 )
 
 // Error reports a failed call.
