--- a/httpcall/conn.go
+++ b/httpcall/conn.go
@@ -10,12 +10,12 @@
 // returned before any byte is written.
 var errStale = errors.New("kept connection is closed or holds further bytes")
 
-// errClosedAtOnce means that the host closed a new connection before its first
+// errClosedBeforeUse means that the host closed a new connection before its first
 // use, as a host above its connection limit does.
-var errClosedAtOnce = errors.New("new connection was closed by the host")
+var errClosedBeforeUse = errors.New("new connection was closed by the host")
 
-// headEnd ends the head of an HTTP reply.
-const headEnd = "\r\n\r\n"
+// headerEnd ends the head of an HTTP reply.
+const headerEnd = "\r\n\r\n"
 
 // conn counts what one exchange wrote and read. fasthttp shows the connection
 // of a reply only through its remote address, so conn is its own address.
@@ -24,12 +24,12 @@
 	host      *Host
 	closeOnce sync.Once
 
-	kept     bool // no byte of the current exchange was written yet
-	used     bool // an exchange ended on this connection
-	sent     bool // a byte of the current exchange may have left
-	received int  // bytes read in the current exchange
-	matched  int  // bytes of headEnd that the last read bytes match
-	head     int  // length of the reply's head, 0 until it is complete
+	firstWrite    bool // no byte of the current exchange was written yet
+	usedBefore    bool // an exchange ended on this connection
+	sent          bool // a byte of the current exchange may have left
+	receivedBytes int  // bytes read in the current exchange
+	matchedBytes  int  // bytes of headEnd that the last read bytes match
+	headerLen     int  // length of the reply's head, 0 until it is complete
 }
 
 // RemoteAddr returns the connection itself as an address.
@@ -43,63 +43,63 @@
 // Write sends p. The first write of an exchange checks the connection, so that
 // one that is closed already proves that nothing was sent.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.kept {
-		if err := c.checkQuiet(); err != nil {
+	if c.firstWrite {
+		if err := c.checkReusable(); err != nil {
 			return 0, err
 		}
-		c.kept = false
+		c.firstWrite = false
 	}
 	c.sent = true
 	return c.Conn.Write(p)
 }
 
-func (c *conn) checkQuiet() error {
-	if quiet(c.Conn) {
+func (c *conn) checkReusable() error {
+	if reusable(c.Conn) {
 		return nil
 	}
-	if !c.used {
-		return dialError{errClosedAtOnce}
+	if !c.usedBefore {
+		return dialError{errClosedBeforeUse}
 	}
-	c.host.stale.Add(1)
+	c.host.staleConns.Add(1)
 	return errStale
 }
 
 // Read receives bytes and finds the end of the reply's head.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	for i := 0; i < n && c.head == 0; i++ {
-		c.scan(p[i])
-		if c.matched == len(headEnd) {
-			c.head = c.received + i + 1
+	for i := 0; i < n && c.headerLen == 0; i++ {
+		c.matchHeaderEnd(p[i])
+		if c.matchedBytes == len(headerEnd) {
+			c.headerLen = c.receivedBytes + i + 1
 		}
 	}
-	c.received += n
+	c.receivedBytes += n
 	return n, err
 }
 
-func (c *conn) scan(b byte) {
+func (c *conn) matchHeaderEnd(b byte) {
 	switch b {
-	case headEnd[c.matched]:
-		c.matched++
-	case headEnd[0]:
-		c.matched = 1
+	case headerEnd[c.matchedBytes]:
+		c.matchedBytes++
+	case headerEnd[0]:
+		c.matchedBytes = 1
 	default:
-		c.matched = 0
+		c.matchedBytes = 0
 	}
 }
 
-// surplus reports whether bytes arrived after a reply with a body of n bytes.
-func (c *conn) surplus(n int) bool { return c.received > c.head+n }
+// hasTrailingData reports whether bytes arrived after a reply with a body of n bytes.
+func (c *conn) hasTrailingData(n int) bool { return c.receivedBytes > c.headerLen+n }
 
-// finish ends an exchange, so that the connection can carry the next one.
-func (c *conn) finish() {
-	c.kept, c.used, c.sent = true, true, false
-	c.received, c.matched, c.head = 0, 0, 0
+// endExchange ends an exchange, so that the connection can carry the next one.
+func (c *conn) endExchange() {
+	c.firstWrite, c.usedBefore, c.sent = true, true, false
+	c.receivedBytes, c.matchedBytes, c.headerLen = 0, 0, 0
 }
 
 // Close closes the connection and counts it once.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
-	c.closeOnce.Do(func() { c.host.forget(c) })
+	c.closeOnce.Do(func() { c.host.removeConn(c) })
 	return err
 }
--- a/httpcall/do.go
+++ b/httpcall/do.go
@@ -35,24 +35,24 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = min(timeout, time.Until(deadline))
 	}
-	if err := h.ready(ctx, timeout); err != nil {
+	if err := h.checkReady(ctx, timeout); err != nil {
 		return Reply{}, &Error{op: op, kind: KindNotSent, err: err}
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	h.fill(req, call)
+	h.fillRequest(req, call)
 	if err := h.client.DoTimeout(req, resp, timeout); err != nil {
-		return Reply{}, &Error{op: op, kind: failure(err, connOf(resp)), err: err}
+		return Reply{}, &Error{op: op, kind: classify(err, connOf(resp)), err: err}
 	}
-	reply, kind, err := h.receive(resp, check)
+	reply, kind, err := h.readReply(resp, check)
 	if err != nil {
 		return Reply{}, &Error{op: op, kind: kind, err: err}
 	}
 	return reply, nil
 }
 
-func (h *Host) ready(ctx context.Context, timeout time.Duration) error {
+func (h *Host) checkReady(ctx context.Context, timeout time.Duration) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -64,13 +64,13 @@
 	if h.closed {
 		return errClosed
 	}
-	if h.connections < 1 { // fasthttp takes 0 for its own default
+	if h.maxConns < 1 { // fasthttp takes 0 for its own default
 		return fasthttp.ErrNoFreeConns
 	}
 	return nil
 }
 
-func (h *Host) fill(req *fasthttp.Request, call Call) {
+func (h *Host) fillRequest(req *fasthttp.Request, call Call) {
 	req.Header.SetMethod(call.Method)
 	req.SetRequestURI(call.Path)
 	req.SetHost(h.address)
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// failure classifies an error that came before the head of a reply.
-func failure(err error, c *conn) Kind {
+// classify classifies an error that came before the head of a reply.
+func classify(err error, c *conn) Kind {
 	switch {
 	case errors.As(err, new(dialError)):
 		return KindDial
@@ -98,7 +98,7 @@
 		return KindNotSent // also when the client closed or no place became free
 	case isTimeout(err):
 		return KindTimeout
-	case c.received > 0:
+	case c.receivedBytes > 0:
 		return KindTruncated
 	default:
 		return KindBroken
@@ -111,17 +111,17 @@
 }
 
 var (
-	errNoLength = errors.New("reply without content length")
-	errNoBody   = errors.New("reply without a body")
-	errCut      = errors.New("reply ended early")
-	errTooLarge = errors.New("reply exceeds the limit")
-	errExcess   = errors.New("more connections than allowed")
-	errDoubled  = errors.New("bytes follow the reply")
+	errNoLength     = errors.New("reply without content length")
+	errNoBody       = errors.New("reply without a body")
+	errTruncated    = errors.New("reply ended early")
+	errTooLarge     = errors.New("reply exceeds the limit")
+	errOverLimit    = errors.New("more connections than allowed")
+	errTrailingData = errors.New("bytes follow the reply")
 )
 
-// receive reads and checks the body while the connection is still held, then
+// readReply reads and checks the body while the connection is still held, then
 // returns the connection to the pool or closes it.
-func (h *Host) receive(resp *fasthttp.Response, check CheckReply) (Reply, Kind, error) {
+func (h *Host) readReply(resp *fasthttp.Response, check CheckReply) (Reply, Kind, error) {
 	c := connOf(resp)
 	if resp.BodyStream() == nil || c == nil {
 		// fasthttp gave the connection back already, as it does for status 204 and 304.
@@ -130,31 +130,31 @@
 		}
 		return Reply{}, KindTruncated, errNoBody
 	}
-	reply, kind, err := h.read(resp, c)
+	reply, kind, err := h.readBody(resp, c)
 	if err == nil && check != nil {
 		if err = check(reply); err != nil {
 			kind = KindRejected
 		}
 	}
-	end := err // an error closes the connection
+	closeErr := err // an error closes the connection
 	if err == nil {
-		c.finish()
-		if h.excess() {
-			end = errExcess
+		c.endExchange()
+		if h.overLimit() {
+			closeErr = errOverLimit
 		}
 	}
 	if body, ok := resp.BodyStream().(fasthttp.ReadCloserWithError); ok {
-		_ = body.CloseWithError(end)
+		_ = body.CloseWithError(closeErr)
 	}
 	return reply, kind, err
 }
 
-func (h *Host) read(resp *fasthttp.Response, c *conn) (Reply, Kind, error) {
+func (h *Host) readBody(resp *fasthttp.Response, c *conn) (Reply, Kind, error) {
 	length := resp.Header.ContentLength()
 	switch {
 	case length < 0:
 		return Reply{}, KindTruncated, errNoLength
-	case length > h.replyBytes:
+	case length > h.maxReplyBytes:
 		return Reply{}, KindTooLarge, errTooLarge
 	}
 	body := make([]byte, length)
@@ -162,11 +162,11 @@
 		if _, err := io.ReadFull(resp.BodyStream(), body); isTimeout(err) {
 			return Reply{}, KindTimeout, err
 		} else if err != nil {
-			return Reply{}, KindTruncated, errors.Join(errCut, err)
+			return Reply{}, KindTruncated, errors.Join(errTruncated, err)
 		}
 	}
-	if c.surplus(length) {
-		return Reply{}, KindTrailingData, errDoubled
+	if c.hasTrailingData(length) {
+		return Reply{}, KindTrailingData, errTrailingData
 	}
 	return Reply{Status: resp.StatusCode(), Body: body}, 0, nil
 }
--- a/httpcall/host.go
+++ b/httpcall/host.go
@@ -15,48 +15,48 @@
 
 // Defaults of the options.
 const (
-	defaultConnections    = 8
+	defaultMaxConns       = 8
 	defaultConnectTimeout = 500 * time.Millisecond
 	defaultIdleTimeout    = time.Minute
-	defaultReplyBytes     = 8 << 20
+	defaultMaxReplyBytes  = 8 << 20
 )
 
-// staleAttempts bounds how many kept connections one call may find stale.
-const staleAttempts = 64
+// maxStaleAttempts bounds how many kept connections one call may find stale.
+const maxStaleAttempts = 64
 
 var errClosed = errors.New("client is closed")
 
 // Host holds the connections to one host. It is safe for concurrent use.
 type Host struct {
 	address        string
-	connections    int
+	maxConns       int
 	connectTimeout time.Duration
 	idleTimeout    time.Duration
 	waitTimeout    time.Duration
-	replyBytes     int
-
-	client *fasthttp.HostClient
-	opened atomic.Int64
-	stale  atomic.Int64
-
-	mu      sync.Mutex
-	open    map[*conn]struct{}
-	dialing int
-	peak    int
-	freed   chan struct{} // closed and replaced when a place becomes free
-	closed  bool
+	maxReplyBytes  int
+
+	client      *fasthttp.HostClient
+	openedConns atomic.Int64
+	staleConns  atomic.Int64
+
+	mu        sync.Mutex
+	conns     map[*conn]struct{}
+	dialing   int
+	peakConns int
+	slotFreed chan struct{} // closed and replaced when a place becomes free
+	closed    bool
 }
 
 // New returns a Host for a host:port address. It opens no connection.
 func New(address string, opts ...Option) *Host {
 	h := &Host{
 		address:        address,
-		connections:    defaultConnections,
+		maxConns:       defaultMaxConns,
 		connectTimeout: defaultConnectTimeout,
 		idleTimeout:    defaultIdleTimeout,
-		replyBytes:     defaultReplyBytes,
-		open:           make(map[*conn]struct{}),
-		freed:          make(chan struct{}),
+		maxReplyBytes:  defaultMaxReplyBytes,
+		conns:          make(map[*conn]struct{}),
+		slotFreed:      make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(h)
@@ -65,10 +65,10 @@
 		Addr:                      address,
 		Name:                      "lentillink",
 		DialTimeout:               h.dial,
-		MaxConns:                  h.connections,
+		MaxConns:                  h.maxConns,
 		MaxIdleConnDuration:       h.idleTimeout,
 		MaxConnWaitTimeout:        h.waitTimeout,
-		MaxIdemponentCallAttempts: staleAttempts,
+		MaxIdemponentCallAttempts: maxStaleAttempts,
 		RetryIfErr:                retryStale,
 		StreamResponseBody:        true, // keeps the connection until its reply is checked
 		DisablePathNormalizing:    true,
@@ -94,7 +94,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	if err := h.reserve(ctx); err != nil {
+	if err := h.reserveSlot(ctx); err != nil {
 		return nil, err
 	}
 	nc, err := socket.Dialer().DialContext(ctx, "tcp", address)
@@ -102,30 +102,30 @@
 	defer h.mu.Unlock()
 	h.dialing--
 	if err != nil {
-		h.free()
+		h.notifySlotFreed()
 		return nil, dialError{err}
 	}
 	if h.closed {
 		_ = nc.Close()
 		return nil, errClosed
 	}
-	c := &conn{Conn: nc, host: h, kept: true}
-	h.open[c] = struct{}{}
-	h.opened.Add(1)
+	c := &conn{Conn: nc, host: h, firstWrite: true}
+	h.conns[c] = struct{}{}
+	h.openedConns.Add(1)
 	return c, nil
 }
 
-// reserve waits for a place below the bound. fasthttp frees the place of a
+// reserveSlot waits for a place below the bound. fasthttp frees the place of a
 // broken connection just before it closes it, so without this wait one
 // connection too many could be open for a moment.
-func (h *Host) reserve(ctx context.Context) error {
+func (h *Host) reserveSlot(ctx context.Context) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for len(h.open)+h.dialing >= h.connections && !h.closed {
-		freed := h.freed
+	for len(h.conns)+h.dialing >= h.maxConns && !h.closed {
+		slotFreed := h.slotFreed
 		h.mu.Unlock()
 		select {
-		case <-freed:
+		case <-slotFreed:
 		case <-ctx.Done():
 		}
 		h.mu.Lock()
@@ -137,29 +137,29 @@
 		return errClosed
 	}
 	h.dialing++
-	h.peak = max(h.peak, len(h.open)+h.dialing)
+	h.peakConns = max(h.peakConns, len(h.conns)+h.dialing)
 	return nil
 }
 
-// free wakes the calls that wait for a place. The caller holds h.mu.
-func (h *Host) free() {
-	close(h.freed)
-	h.freed = make(chan struct{})
+// notifySlotFreed wakes the calls that wait for a place. The caller holds h.mu.
+func (h *Host) notifySlotFreed() {
+	close(h.slotFreed)
+	h.slotFreed = make(chan struct{})
 }
 
-func (h *Host) forget(c *conn) {
+func (h *Host) removeConn(c *conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.open, c)
-	h.free()
+	delete(h.conns, c)
+	h.notifySlotFreed()
 }
 
-// excess reports whether more connections are open than allowed, which
+// overLimit reports whether more connections are open than allowed, which
 // happens when the bound shrinks while they are busy.
-func (h *Host) excess() bool {
+func (h *Host) overLimit() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.open) > h.connections
+	return len(h.conns) > h.maxConns
 }
 
 // SetConnectionLimit changes the bound of open connections. Idle connections are
@@ -167,14 +167,14 @@
 // no call is sent.
 func (h *Host) SetConnectionLimit(n int) {
 	h.mu.Lock()
-	shrinks := n < h.connections
-	h.connections = n
-	h.free()
+	lowered := n < h.maxConns
+	h.maxConns = n
+	h.notifySlotFreed()
 	h.mu.Unlock()
 	if n > 0 {
 		h.client.SetMaxConns(n)
 	}
-	if shrinks {
+	if lowered {
 		h.client.CloseIdleConnections()
 	}
 }
@@ -185,13 +185,13 @@
 func (h *Host) Close() {
 	h.mu.Lock()
 	h.closed = true
-	h.free()
-	conns := make([]*conn, 0, len(h.open))
-	for c := range h.open {
-		conns = append(conns, c)
+	h.notifySlotFreed()
+	toClose := make([]*conn, 0, len(h.conns))
+	for c := range h.conns {
+		toClose = append(toClose, c)
 	}
 	h.mu.Unlock()
-	for _, c := range conns {
+	for _, c := range toClose {
 		_ = c.Close()
 	}
 	h.client.CloseIdleConnections()
--- a/httpcall/options.go
+++ b/httpcall/options.go
@@ -6,7 +6,7 @@
 type Option func(*Host)
 
 // WithMaxConns bounds the connections that are open at once.
-func WithMaxConns(n int) Option { return func(h *Host) { h.connections = n } }
+func WithMaxConns(n int) Option { return func(h *Host) { h.maxConns = n } }
 
 // WithConnectTimeout bounds the opening of a connection.
 func WithConnectTimeout(d time.Duration) Option { return func(h *Host) { h.connectTimeout = d } }
@@ -18,4 +18,4 @@
 func WithWaitTimeout(d time.Duration) Option { return func(h *Host) { h.waitTimeout = d } }
 
 // WithMaxReplyBytes bounds the body of a reply.
-func WithMaxReplyBytes(n int) Option { return func(h *Host) { h.replyBytes = n } }
+func WithMaxReplyBytes(n int) Option { return func(h *Host) { h.maxReplyBytes = n } }
--- a/httpcall/quiet_other.go
+++ b/httpcall/reusable_other.go
@@ -5,4 +5,4 @@
 import "net"
 
 // quiet cannot look at a socket here; a late reply is found by its identifier.
-func quiet(net.Conn) bool { return true }
+func reusable(net.Conn) bool { return true }
--- a/httpcall/quiet_unix.go
+++ b/httpcall/reusable_unix.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// quiet reports whether a connection is open and has nothing to read. It
+// reusable reports whether a connection is open and has nothing to read. It
 // looks at the socket without waiting and without taking bytes.
-func quiet(c net.Conn) bool {
+func reusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
