--- a/httpcall/conn.go
+++ b/httpcall/conn.go
@@ -6,33 +6,34 @@
 	"sync"
 )
 
-// errStale means that a kept connection cannot carry another request. It is
-// returned before any byte is written.
+// errStale means that an idle connection cannot be reused, because the host closed
+// it or sent bytes after the last reply. It is returned before any byte is written.
 var errStale = errors.New("kept connection is closed or holds further bytes")
 
 // errClosedBeforeUse means that the host closed a new connection before its first
-// use, as a host above its connection limit does.
+// use. A host that has reached its connection limit does this.
 var errClosedBeforeUse = errors.New("new connection was closed by the host")
 
-// headerEnd ends the head of an HTTP reply.
+// headerEnd separates the status line and headers of an HTTP reply from its body.
 const headerEnd = "\r\n\r\n"
 
-// conn counts what one exchange wrote and read. fasthttp shows the connection
-// of a reply only through its remote address, so conn is its own address.
+// conn is a connection that tracks the bytes written and read in the current
+// exchange of request and reply. fasthttp exposes the connection of a reply only
+// through its remote address, so RemoteAddr returns an address that holds the conn.
 type conn struct {
 	net.Conn
 	host      *Host
 	closeOnce sync.Once
 
-	firstWrite    bool // no byte of the current exchange was written yet
-	usedBefore    bool // an exchange ended on this connection
-	sent          bool // a byte of the current exchange may have left
+	firstWrite    bool // the next write is the first of an exchange
+	usedBefore    bool // at least one exchange has completed
+	sent          bool // a byte of the current exchange may have been sent
 	receivedBytes int  // bytes read in the current exchange
-	matchedBytes  int  // bytes of headEnd that the last read bytes match
-	headerLen     int  // length of the reply's head, 0 until it is complete
+	matchedBytes  int  // length of the prefix of headerEnd that the last bytes match
+	headerLen     int  // length of the reply up to its body, 0 until headerEnd is read
 }
 
-// RemoteAddr returns the connection itself as an address.
+// RemoteAddr returns the remote address together with the connection itself.
 func (c *conn) RemoteAddr() net.Addr { return connAddr{Addr: c.Conn.RemoteAddr(), conn: c} }
 
 type connAddr struct {
@@ -40,8 +41,8 @@
 	conn *conn
 }
 
-// Write sends p. The first write of an exchange checks the connection, so that
-// one that is closed already proves that nothing was sent.
+// Write sends p. Before the first write of an exchange it checks the connection, so
+// that on a connection that is already closed the call fails before anything is sent.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.firstWrite {
 		if err := c.checkReusable(); err != nil {
@@ -64,7 +65,7 @@
 	return errStale
 }
 
-// Read receives bytes and finds the end of the reply's head.
+// Read receives bytes and searches them for the end of the reply's headers.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	for i := 0; i < n && c.headerLen == 0; i++ {
@@ -88,16 +89,16 @@
 	}
 }
 
-// hasTrailingData reports whether bytes arrived after a reply with a body of n bytes.
+// hasTrailingData reports whether bytes were read after a reply with a body of n bytes.
 func (c *conn) hasTrailingData(n int) bool { return c.receivedBytes > c.headerLen+n }
 
-// endExchange ends an exchange, so that the connection can carry the next one.
+// endExchange resets the state of the exchange, so that the connection can be reused.
 func (c *conn) endExchange() {
 	c.firstWrite, c.usedBefore, c.sent = true, true, false
 	c.receivedBytes, c.matchedBytes, c.headerLen = 0, 0, 0
 }
 
-// Close closes the connection and counts it once.
+// Close closes the connection. The first call removes it from its host.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
 	c.closeOnce.Do(func() { c.host.removeConn(c) })
--- a/httpcall/do.go
+++ b/httpcall/do.go
@@ -10,25 +10,25 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Call is one request.
+// Call is a request and its timeout.
 type Call struct {
 	Method  string
-	Path    string // with its query string
-	Body    []byte // JSON, may be empty
+	Path    string // including the query string
+	Body    []byte // JSON; may be empty
 	Timeout time.Duration
 }
 
-// Reply is a whole reply.
+// Reply is a complete reply.
 type Reply struct {
 	Status int
 	Body   []byte // a copy that the caller owns
 }
 
-// CheckReply decides whether a reply answers the call. A Reply whose Check fails is
+// CheckReply returns an error if a reply does not match the call. Such a reply is
 // not returned, and its connection is closed.
 type CheckReply func(Reply) error
 
-// Do makes one call. Its errors are of type *Error. check may be nil.
+// Do sends a request and returns the reply. Its errors are of type *Error. check may be nil.
 func (h *Host) Do(ctx context.Context, call Call, check CheckReply) (Reply, error) {
 	op := call.Method + " " + call.Path
 	timeout := call.Timeout
@@ -64,7 +64,7 @@
 	if h.closed {
 		return errClosed
 	}
-	if h.maxConns < 1 { // fasthttp takes 0 for its own default
+	if h.maxConns < 1 { // fasthttp would replace 0 by its own default
 		return fasthttp.ErrNoFreeConns
 	}
 	return nil
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// classify classifies an error that came before the head of a reply.
+// classify returns the kind of an error that occurred before the headers of a reply
+// were read.
 func classify(err error, c *conn) Kind {
 	switch {
 	case errors.As(err, new(dialError)):
@@ -95,7 +96,7 @@
 	case errors.Is(err, errStale):
 		return KindStale
 	case c == nil || !c.sent:
-		return KindNotSent // also when the client closed or no place became free
+		return KindNotSent // also if the host is closed or no connection became free
 	case isTimeout(err):
 		return KindTimeout
 	case c.receivedBytes > 0:
@@ -119,12 +120,13 @@
 	errTrailingData = errors.New("bytes follow the reply")
 )
 
-// readReply reads and checks the body while the connection is still held, then
-// returns the connection to the pool or closes it.
+// readReply reads and checks the body while the connection still belongs to the
+// call, then returns the connection to the pool or closes it.
 func (h *Host) readReply(resp *fasthttp.Response, check CheckReply) (Reply, Kind, error) {
 	c := connOf(resp)
 	if resp.BodyStream() == nil || c == nil {
-		// fasthttp gave the connection back already, as it does for status 204 and 304.
+		// fasthttp has already returned the connection to its pool, as it does for
+		// status 204 and 304.
 		if c != nil {
 			_ = c.Close()
 		}
@@ -136,7 +138,7 @@
 			kind = KindRejected
 		}
 	}
-	closeErr := err // an error closes the connection
+	closeErr := err // a non-nil error makes fasthttp close the connection
 	if err == nil {
 		c.endExchange()
 		if h.overLimit() {
--- a/httpcall/doc.go
+++ b/httpcall/doc.go
@@ -1,16 +1,16 @@
-// Package httpcall makes one HTTP call to one host over fasthttp and tells
-// whether the request may have left.
+// Package httpcall sends HTTP calls to one host with fasthttp and classifies
+// failures by whether the request may have been sent.
 //
-// The adapters for upstreams, the store and the VM list build on it. A call
-// is never repeated after a byte of it was written. A kept connection is
-// checked before its next use: a connection that the host closed, or on which
-// bytes arrived after the last reply, is replaced before anything is written.
-// A new connection that the host closed before its first use counts as not opened.
-// A reply counts only if it is whole; a reply that is cut, too large, or
-// followed by further bytes is refused and its connection is closed.
+// The adapters for upstreams, the store and the VM list use it. A call is never
+// repeated after a byte of it was written. An idle connection is checked before it
+// is reused: if the host closed it, or bytes arrived after the last reply, it is
+// replaced before anything is written. A new connection that the host closes before
+// its first use is reported like a failed dial. Only complete replies are returned:
+// a reply that is truncated, too large or followed by further bytes is rejected and
+// its connection is closed.
 //
 // A call runs on the goroutine of its caller and sets its deadline on the
-// connection, so no buffer of fasthttp is in use when Do returns. Replies are
-// copied. Cancelling the context of a running call does not interrupt it; the
-// context's deadline does, and so does Close.
+// connection, so that no buffer of fasthttp is in use after Do returns. Replies are
+// copied. A running call is interrupted by the deadline of its context and by
+// Close, but not by cancelling the context.
 package httpcall
--- a/httpcall/error.go
+++ b/httpcall/error.go
@@ -5,17 +5,17 @@
 // Kind classifies a failed call.
 type Kind uint8
 
-// The first three kinds prove that nothing was sent.
+// The kinds of failures. With the first three, nothing was sent.
 const (
-	KindNotSent      Kind = iota // no time or no connection was left
-	KindDial                     // the connection was not opened, or closed before its first use
-	KindStale                    // kept connections were closed or held further bytes
-	KindTimeout                  // the deadline passed after the request may have left
-	KindBroken                   // the connection broke after the request may have left
-	KindTruncated                // the reply ended early, or its length was not given
-	KindTooLarge                 // the reply exceeds the limit
+	KindNotSent      Kind = iota // no time was left, no connection was free, or the host is closed
+	KindDial                     // the connection could not be opened, or the host closed it before its first use
+	KindStale                    // idle connections were closed by the host or had unread bytes
+	KindTimeout                  // the deadline passed after the request may have been sent
+	KindBroken                   // the connection failed after the request may have been sent
+	KindTruncated                // the reply ended early, or has no body or no content length
+	KindTooLarge                 // the body of the reply exceeds the limit
 	KindTrailingData             // further bytes followed the reply
-	KindRejected                 // the caller's check refused the reply
+	KindRejected                 // the caller's check rejected the reply
 )
 
 var kindNames = [...]string{
@@ -30,7 +30,7 @@
 	return "invalid"
 }
 
-// Sent reports whether a byte of the request may have left.
+// Sent reports whether a byte of the request may have been sent.
 func (k Kind) Sent() bool { return k > KindStale }
 
 // Error reports a failed call.
--- a/httpcall/host.go
+++ b/httpcall/host.go
@@ -21,12 +21,13 @@
 	defaultMaxReplyBytes  = 8 << 20
 )
 
-// maxStaleAttempts bounds how many kept connections one call may find stale.
+// maxStaleAttempts bounds the number of stale connections that one call may try.
 const maxStaleAttempts = 64
 
 var errClosed = errors.New("client is closed")
 
-// Host holds the connections to one host. It is safe for concurrent use.
+// Host is a client for one host with a pool of connections. It is safe for
+// concurrent use.
 type Host struct {
 	address        string
 	maxConns       int
@@ -43,7 +44,7 @@
 	conns     map[*conn]struct{}
 	dialing   int
 	peakConns int
-	slotFreed chan struct{} // closed and replaced when a place becomes free
+	slotFreed chan struct{} // closed and replaced when a connection slot may be free
 	closed    bool
 }
 
@@ -70,7 +71,7 @@
 		MaxConnWaitTimeout:        h.waitTimeout,
 		MaxIdemponentCallAttempts: maxStaleAttempts,
 		RetryIfErr:                retryStale,
-		StreamResponseBody:        true, // keeps the connection until its reply is checked
+		StreamResponseBody:        true, // keeps the connection out of the pool until its reply is checked
 		DisablePathNormalizing:    true,
 		// The most recently used connection is the least likely to be closed by the host.
 		ConnPoolStrategy: fasthttp.LIFO,
@@ -78,7 +79,7 @@
 	return h
 }
 
-// retryStale lets fasthttp take another connection only if nothing was written.
+// retryStale lets fasthttp retry on another connection only if nothing was written.
 func retryStale(_ *fasthttp.Request, _ int, err error) (resetTimeout, retry bool) {
 	return false, errors.Is(err, errStale)
 }
@@ -115,9 +116,9 @@
 	return c, nil
 }
 
-// reserveSlot waits for a place below the bound. fasthttp frees the place of a
-// broken connection just before it closes it, so without this wait one
-// connection too many could be open for a moment.
+// reserveSlot waits until the number of connections is below the limit. fasthttp
+// releases the slot of a broken connection just before it closes it, so without
+// this wait one connection above the limit could be open for a moment.
 func (h *Host) reserveSlot(ctx context.Context) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// notifySlotFreed wakes the calls that wait for a place. The caller holds h.mu.
+// notifySlotFreed wakes the calls that wait in reserveSlot. The caller holds h.mu.
 func (h *Host) notifySlotFreed() {
 	close(h.slotFreed)
 	h.slotFreed = make(chan struct{})
@@ -154,17 +155,17 @@
 	h.notifySlotFreed()
 }
 
-// overLimit reports whether more connections are open than allowed, which
-// happens when the bound shrinks while they are busy.
+// overLimit reports whether more connections are open than allowed. This happens
+// when the limit is lowered while they are busy.
 func (h *Host) overLimit() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.conns) > h.maxConns
 }
 
-// SetConnectionLimit changes the bound of open connections. Idle connections are
-// closed when the bound shrinks; busy ones finish their exchange first. With 0
-// no call is sent.
+// SetConnectionLimit sets the limit of open connections. If the limit is lowered,
+// idle connections are closed at once and busy ones above the limit after their
+// exchange. With a limit of 0, no call is sent.
 func (h *Host) SetConnectionLimit(n int) {
 	h.mu.Lock()
 	lowered := n < h.maxConns
@@ -179,9 +180,9 @@
 	}
 }
 
-// Close closes all connections; running calls fail and later ones are refused.
-// A goroutine of fasthttp that cleans up idle connections ends by itself
-// within one idle timeout.
+// Close closes all connections. Running calls fail, and later calls fail without
+// being sent. A goroutine of fasthttp that closes idle connections ends within one
+// idle timeout.
 func (h *Host) Close() {
 	h.mu.Lock()
 	h.closed = true
--- a/httpcall/httpcall_test.go
+++ b/httpcall/httpcall_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	longTimeout   = 10 * time.Second // never reached unless a test hangs
+	longTimeout   = 10 * time.Second // only reached if a test hangs
 	completeReply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 )
 
-// startServer answers each request with answer(n), n counted over all connections.
-// It closes the connection after an answer for which last returns true.
+// startServer starts a server that answers request n, counted over all connections,
+// with replyFor(n). It closes the connection after request n if closeAfter(n) is true.
 func startServer(t *testing.T, replyFor func(n int64) string, closeAfter func(n int64) bool) (address string, requests *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,7 +73,7 @@
 }
 
 // TestNoRepeatAfterWrite guards against a call that is sent again after a byte of it
-// was written, on connections that the host closes after each answer.
+// was written. The host closes the connection after each reply.
 func TestNoRepeatAfterWrite(t *testing.T) {
 	address, requests := startServer(t, always(completeReply), func(int64) bool { return true })
 	h := newHost(t, address)
@@ -92,7 +92,8 @@
 	}
 }
 
-// TestConnectionLimit guards against a connection too many while others break or the bound shrinks.
+// TestConnectionLimit guards against connections above the limit while others fail
+// or after the limit is lowered.
 func TestConnectionLimit(t *testing.T) {
 	const limit = 4
 	address, _ := startServer(t, always(completeReply), func(n int64) bool { return n%3 == 0 })
@@ -128,7 +129,8 @@
 	}
 }
 
-// TestLimitLoweredWhileBusy guards against a busy connection that is kept above a new bound.
+// TestLimitLoweredWhileBusy guards against a connection that stays open above a
+// limit that was lowered while it was busy.
 func TestLimitLoweredWhileBusy(t *testing.T) {
 	address, _ := startServer(t, always(completeReply), never)
 	h := newHost(t, address, httpcall.WithMaxConns(2))
@@ -145,7 +147,7 @@
 	}
 }
 
-// TestClose guards against a call that survives Close or is sent after it.
+// TestClose guards against a call that is not interrupted by Close, or is sent after it.
 func TestClose(t *testing.T) {
 	address, requests := startServer(t, always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"), never)
 	h := newHost(t, address)
@@ -164,8 +166,10 @@
 	}
 }
 
-// TestConnClosedBeforeUse guards against a new connection that the host closed at
-// once and that is reported as if the request might have been run.
+// TestConnClosedBeforeUse guards against a wrong kind of error, and a connection
+// that is still counted as open, when the host closes new connections immediately.
+// A request on such a connection must not be reported as possibly executed, unless
+// a byte of it was written before the close arrived.
 func TestConnClosedBeforeUse(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/httpcall/reusable.go
+++ b/httpcall/reusable.go
@@ -2,6 +2,6 @@
 
 import "net"
 
-// Reusable reports whether a connection is open and has nothing to read. It takes
-// no bytes and does not wait.
+// Reusable reports whether a connection is open and has no unread bytes. It does
+// not block and consumes no bytes.
 func Reusable(c net.Conn) bool { return reusable(c) }
--- a/httpcall/reusable_other.go
+++ b/httpcall/reusable_other.go
@@ -4,5 +4,6 @@
 
 import "net"
 
-// quiet cannot look at a socket here; a late reply is found by its identifier.
+// reusable always returns true, because this platform offers no way to peek at the
+// socket. A late reply is detected by its identifier instead.
 func reusable(net.Conn) bool { return true }
--- a/httpcall/reusable_unix.go
+++ b/httpcall/reusable_unix.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// reusable reports whether a connection is open and has nothing to read. It
-// looks at the socket without waiting and without taking bytes.
+// reusable reports whether a connection is open and has no unread bytes. It peeks
+// at the socket without blocking or consuming bytes.
 func reusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
