--- a/httpcall/conn.go
+++ b/httpcall/conn.go
@@ -8,11 +8,11 @@
 
 // errStale means that an idle connection cannot be reused, because the host closed
 // it or sent bytes after the last reply. It is returned before any byte is written.
-var errStale = errors.New("kept connection is closed or holds further bytes")
+var errStale = errors.New("idle connection is closed or has unread bytes")
 
 // errClosedBeforeUse means that the host closed a new connection before its first
 // use. A host that has reached its connection limit does this.
-var errClosedBeforeUse = errors.New("new connection was closed by the host")
+var errClosedBeforeUse = errors.New("new connection was closed by the host before its first use")
 
 // headerEnd separates the status line and headers of an HTTP reply from its body.
 const headerEnd = "\r\n\r\n"
--- a/httpcall/do.go
+++ b/httpcall/do.go
@@ -112,12 +112,12 @@
 }
 
 var (
-	errNoLength     = errors.New("reply without content length")
-	errNoBody       = errors.New("reply without a body")
+	errNoLength     = errors.New("reply has no content length")
+	errNoBody       = errors.New("reply has no body")
 	errTruncated    = errors.New("reply ended early")
-	errTooLarge     = errors.New("reply exceeds the limit")
-	errOverLimit    = errors.New("more connections than allowed")
-	errTrailingData = errors.New("bytes follow the reply")
+	errTooLarge     = errors.New("reply body exceeds the size limit")
+	errOverLimit    = errors.New("more connections are open than allowed")
+	errTrailingData = errors.New("reply is followed by unexpected bytes")
 )
 
 // readReply reads and checks the body while the connection still belongs to the
--- a/httpcall/httpcall_test.go
+++ b/httpcall/httpcall_test.go
@@ -81,14 +81,14 @@
 	for range calls {
 		var callErr *httpcall.Error
 		if err := doCall(t, h, nil); err != nil && (!errors.As(err, &callErr) || !callErr.Kind().Sent()) {
-			t.Errorf("Do = %v, want an answer or a kind that may have been sent", err)
+			t.Errorf("Do = %v, want a reply or a kind whose Sent is true", err)
 		}
 	}
 	if got := requests.Load(); got > calls {
-		t.Errorf("host saw %d requests, want at most %d", got, calls)
+		t.Errorf("host received %d requests, want at most %d", got, calls)
 	}
 	if h.StaleConns() == 0 {
-		t.Error("no closed connection was found before its next use")
+		t.Error("StaleConns = 0, want at least one closed connection detected before its reuse")
 	}
 }
 
@@ -98,7 +98,7 @@
 	const limit = 4
 	address, _ := startServer(t, always(completeReply), func(n int64) bool { return n%3 == 0 })
 	h := newHost(t, address, httpcall.WithMaxConns(limit), httpcall.WithWaitTimeout(longTimeout))
-	errRejected := errors.New("refused by the test")
+	errRejected := errors.New("rejected by the test")
 	var wg sync.WaitGroup
 	for range 8 * limit {
 		wg.Go(func() {
@@ -111,18 +111,18 @@
 				})
 				var callErr *httpcall.Error
 				if errors.As(err, &callErr) && callErr.Kind() == httpcall.KindDial {
-					t.Errorf("Do = %v", err)
+					t.Errorf("Do = %v, want no error of kind dial", err)
 				}
 			}
 		})
 	}
 	wg.Wait()
 	if got := h.PeakConns(); got > limit {
-		t.Errorf("got %d connections at once, want at most %d", got, limit)
+		t.Errorf("got a peak of %d connections, want at most %d", got, limit)
 	}
 	h.SetConnectionLimit(1)
 	if err := doCall(t, h, nil); err != nil {
-		t.Errorf("Do after the bound shrank = %v", err)
+		t.Errorf("Do after the limit was lowered = %v, want nil", err)
 	}
 	if got := h.OpenConns(); got > 1 {
 		t.Errorf("got %d open connections, want at most 1", got)
@@ -139,11 +139,11 @@
 		return nil
 	})
 	if err != nil || h.OpenConns() != 0 {
-		t.Errorf("Do = %v with %d open connections, want an answer and none", err, h.OpenConns())
+		t.Errorf("Do = %v with %d open connections, want a reply and 0", err, h.OpenConns())
 	}
 	var callErr *httpcall.Error
 	if err := doCall(t, h, nil); !errors.As(err, &callErr) || callErr.Kind() != httpcall.KindNotSent {
-		t.Errorf("Do without connections = %v, want kind not_sent", err)
+		t.Errorf("Do with a connection limit of 0 = %v, want kind not_sent", err)
 	}
 }
 
@@ -159,7 +159,7 @@
 	h.Close()
 	var callErr *httpcall.Error
 	if err := <-ended; !errors.As(err, &callErr) || !callErr.Kind().Sent() {
-		t.Errorf("running Do = %v, want a kind that may have been sent", err)
+		t.Errorf("running Do = %v, want a kind whose Sent is true", err)
 	}
 	if err := doCall(t, h, nil); !errors.As(err, &callErr) || callErr.Kind() != httpcall.KindNotSent {
 		t.Errorf("Do after Close = %v, want kind not_sent", err)
