--- a/standin/bench_test.go
+++ b/standin/bench_test.go
@@ -14,14 +14,14 @@
 
 // BenchmarkSend measures one attempt over loopback, client and stand-in together.
 func BenchmarkSend(b *testing.B) {
-	u, err := standin.StartUpstream(b.Context(), upstream.Upstream{ID: id},
+	u, err := standin.StartUpstream(b.Context(), upstream.Upstream{ID: upstreamID},
 		standin.WithServiceTime(0, 0), standin.WithRanges(1, coverage.Range{To: 1000}))
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer func() { _ = u.Close() }()
 	c := httpup.New(httpup.WithServices(upstream.Service{Groups: []upstream.Group{{Replicas: []upstream.Upstream{
-		{ID: id, Address: u.Address(), ConnectionLimit: 64}}}}}))
+		{ID: upstreamID, Address: u.Address(), ConnectionLimit: 64}}}}}))
 	defer c.Close()
 	var seq atomic.Uint64
 	b.ReportAllocs()
--- a/standin/bucket.go
+++ b/standin/bucket.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// bucketBurst is how much of a second's rate may be used at once. A tenth
+// burstSeconds is how much of a second's rate may be used at once. A tenth
 // lets bursts of a few milliseconds pass and refuses a sustained excess.
-const bucketBurst = 0.1
+const burstSeconds = 0.1
 
 // bucket is a token bucket. A rate of 0 means no limit.
 type bucket struct {
@@ -21,10 +21,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rate = rate
-	b.tokens = min(b.tokens, b.size())
+	b.tokens = min(b.tokens, b.capacity())
 }
 
-func (b *bucket) size() float64 { return max(1, b.rate*bucketBurst) }
+func (b *bucket) capacity() float64 { return max(1, b.rate*burstSeconds) }
 
 func (b *bucket) take(now time.Time) bool {
 	b.mu.Lock()
@@ -33,9 +33,9 @@
 		return true
 	}
 	if b.last.IsZero() {
-		b.tokens = b.size()
+		b.tokens = b.capacity()
 	} else {
-		b.tokens = min(b.size(), b.tokens+now.Sub(b.last).Seconds()*b.rate)
+		b.tokens = min(b.capacity(), b.tokens+now.Sub(b.last).Seconds()*b.rate)
 	}
 	b.last = now
 	if b.tokens < 1 {
--- a/standin/control.go
+++ b/standin/control.go
@@ -20,7 +20,7 @@
 func (d *Deployment) Upstream(id upstream.ID) *Upstream { return d.upstreams[id] }
 
 // Upstreams returns the identifiers of all upstreams in the order of the settings.
-func (d *Deployment) Upstreams() []upstream.ID { return slices.Clone(d.order) }
+func (d *Deployment) Upstreams() []upstream.ID { return slices.Clone(d.upstreamIDs) }
 
 // Settings returns the settings with the addresses in use.
 func (d *Deployment) Settings() *settings.Settings { return d.settings }
@@ -37,19 +37,19 @@
 
 // Ledger returns the sum of the order ledgers.
 func (d *Deployment) Ledger() Ledger {
-	total := make(map[string]int)
+	executions := make(map[string]int)
 	for _, u := range d.upstreams {
-		u.eachOrder(func(id string, runs int) { total[id] += runs })
+		u.eachOrder(func(id string, runs int) { executions[id] += runs })
 	}
-	sum := Ledger{Orders: len(total), Repeated: []string{}}
-	for id, runs := range total {
-		sum.Executions += runs
+	totals := Ledger{Orders: len(executions), Repeated: []string{}}
+	for id, runs := range executions {
+		totals.Executions += runs
 		if runs > 1 {
-			sum.Repeated = append(sum.Repeated, id)
+			totals.Repeated = append(totals.Repeated, id)
 		}
 	}
-	slices.Sort(sum.Repeated)
-	return sum
+	slices.Sort(totals.Repeated)
+	return totals
 }
 
 // Inject switches a fault of a target and returns how many stand-ins it reached.
@@ -71,21 +71,21 @@
 	if s := d.serviceFaults(target); slices.Contains(s.names(), name) {
 		return 1, s.inject(name, raw)
 	}
-	members, err := d.members(target)
+	upstreams, err := d.upstreamsAt(target)
 	if err != nil {
 		return 0, err
 	}
-	for i, u := range members {
+	for i, u := range upstreams {
 		if err := u.inject(name, raw); err != nil {
 			return i, err
 		}
 	}
-	return len(members), nil
+	return len(upstreams), nil
 }
 
 // serviceFaults are the faults that change all upstreams of a service together.
-func (d *Deployment) serviceFaults(service string) switches {
-	return switches{
+func (d *Deployment) serviceFaults(service string) faultSet {
+	return faultSet{
 		countFault("rollover", 1, maxVersion, func(n uint64) error { return d.RollOver(service, n) }),
 		countFault("repartition", 0, 1<<32-1, func(n uint64) error { return d.Repartition(service, uint32(n)) }),
 	}
@@ -107,40 +107,40 @@
 	case "POST /fault":
 		d.serveFault(ctx)
 	case "GET /faults":
-		answer(ctx, fasthttp.StatusOK, d.described())
+		writeReply(ctx, fasthttp.StatusOK, d.acceptedValues())
 	case "GET /ledger":
-		answer(ctx, fasthttp.StatusOK, d.Ledger())
+		writeReply(ctx, fasthttp.StatusOK, d.Ledger())
 	default:
-		answerError(ctx, fasthttp.StatusNotFound, "no %s %s, want POST /fault, GET /faults or GET /ledger", method, path)
+		writeError(ctx, fasthttp.StatusNotFound, "no %s %s, want POST /fault, GET /faults or GET /ledger", method, path)
 	}
 }
 
 func (d *Deployment) serveFault(ctx *fasthttp.RequestCtx) {
 	var doc faultDoc
 	if err := decodeStrict(ctx.PostBody(), &doc); err != nil {
-		answerError(ctx, fasthttp.StatusBadRequest, "body is refused, want target, fault and value: %v", err)
+		writeError(ctx, fasthttp.StatusBadRequest, "body is refused, want target, fault and value: %v", err)
 		return
 	}
 	if len(doc.Value) == 0 {
-		answerError(ctx, fasthttp.StatusBadRequest, "value is missing")
+		writeError(ctx, fasthttp.StatusBadRequest, "value is missing")
 		return
 	}
 	n, err := d.inject(doc.Target, doc.Fault, doc.Value)
 	if err != nil {
-		answerError(ctx, fasthttp.StatusBadRequest, "%v", err)
+		writeError(ctx, fasthttp.StatusBadRequest, "%v", err)
 		return
 	}
-	answer(ctx, fasthttp.StatusOK, appliedDoc{Applied: n})
+	writeReply(ctx, fasthttp.StatusOK, appliedDoc{Applied: n})
 }
 
-func (d *Deployment) described() map[string]map[string]string {
+func (d *Deployment) acceptedValues() map[string]map[string]string {
 	out := map[string]map[string]string{
-		"store":   d.store.described(),
-		"vm_list": d.vmList.described(),
-		"service": d.serviceFaults("").described(),
+		"store":   d.store.acceptedValues(),
+		"vm_list": d.vmList.acceptedValues(),
+		"service": d.serviceFaults("").acceptedValues(),
 	}
-	if len(d.order) > 0 {
-		out["upstream"] = d.upstreams[d.order[0]].described()
+	if len(d.upstreamIDs) > 0 {
+		out["upstream"] = d.upstreams[d.upstreamIDs[0]].acceptedValues()
 	}
 	return out
 }
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -16,8 +16,8 @@
 
 // Calls a second that the store of a deployment takes, as in section 1.4 of the design page.
 const (
-	storeWrites = 400
-	storeReads  = 2000
+	storeWritesPerSecond = 400
+	storeReadsPerSecond  = 2000
 )
 
 // Deployment is every stand-in of one settings document.
@@ -28,8 +28,8 @@
 	settings *settings.Settings
 	services []upstream.Service
 
-	upstreams map[upstream.ID]*Upstream
-	order     []upstream.ID // as in the settings
+	upstreams   map[upstream.ID]*Upstream
+	upstreamIDs []upstream.ID // as in the settings
 
 	controlAddress  string
 	freePorts       bool
@@ -37,8 +37,8 @@
 	storeOptions    []StoreOption
 	vmListOptions   []VMListOption
 
-	moving sync.Mutex // held while the shard map of a service changes
-	epochs map[string]uint64
+	repartitionMu sync.Mutex // held while the shard map of a service changes
+	repartitions  map[string]uint64
 }
 
 // StartDeployment serves the store, the VM list and all upstreams of cfg until
@@ -49,7 +49,7 @@
 		services:       cfg.Services(),
 		upstreams:      make(map[upstream.ID]*Upstream),
 		controlAddress: "127.0.0.1:0",
-		epochs:         make(map[string]uint64),
+		repartitions:   make(map[string]uint64),
 	}
 	for _, opt := range opts {
 		opt(d)
@@ -62,14 +62,14 @@
 
 func (d *Deployment) start(ctx context.Context) (err error) {
 	doc := d.settings.Document()
-	storeAddress, listAddress := doc.Store, doc.VMList
+	storeAddress, vmListAddress := doc.Store, doc.VMList
 	if d.freePorts {
-		storeAddress, listAddress = "127.0.0.1:0", "127.0.0.1:0"
+		storeAddress, vmListAddress = "127.0.0.1:0", "127.0.0.1:0"
 	}
-	if d.store, err = StartStore(ctx, append([]StoreOption{WithStoreAddress(storeAddress), WithRateLimits(storeWrites, storeReads)}, d.storeOptions...)...); err != nil {
+	if d.store, err = StartStore(ctx, append([]StoreOption{WithStoreAddress(storeAddress), WithRateLimits(storeWritesPerSecond, storeReadsPerSecond)}, d.storeOptions...)...); err != nil {
 		return err
 	}
-	if d.vmList, err = StartVMList(ctx, append([]VMListOption{WithVMListAddress(listAddress)}, d.vmListOptions...)...); err != nil {
+	if d.vmList, err = StartVMList(ctx, append([]VMListOption{WithVMListAddress(vmListAddress)}, d.vmListOptions...)...); err != nil {
 		return err
 	}
 	for _, svc := range d.services {
@@ -93,7 +93,7 @@
 		if d.freePorts {
 			r.Address = ""
 		}
-		opts := []UpstreamOption{WithSeed(uint64(len(d.order)) + 1)}
+		opts := []UpstreamOption{WithSeed(uint64(len(d.upstreamIDs)) + 1)}
 		if g.Range.Len() > 0 {
 			opts = append(opts, WithRanges(1, g.Range))
 		}
@@ -103,7 +103,7 @@
 		}
 		g.Replicas[i].Address = u.Address()
 		d.upstreams[r.ID] = u
-		d.order = append(d.order, r.ID)
+		d.upstreamIDs = append(d.upstreamIDs, r.ID)
 	}
 	return nil
 }
@@ -156,15 +156,15 @@
 
 // RollOver makes every upstream of a service hold version and drop all but the one before it.
 func (d *Deployment) RollOver(service string, version uint64) error {
-	members, err := d.members(service)
+	upstreams, err := d.upstreamsAt(service)
 	if err != nil {
 		return err
 	}
-	for _, u := range members {
+	for _, u := range upstreams {
 		u.AddVersion(version)
 		held := u.HeldVersions()
-		for _, old := range held[:max(0, len(held)-2)] {
-			u.RemoveVersion(old)
+		for _, oldVersion := range held[:max(0, len(held)-2)] {
+			u.RemoveVersion(oldVersion)
 		}
 	}
 	return nil
@@ -185,9 +185,9 @@
 			return &Error{op: "repartition", kind: KindInvalid, err: err}
 		}
 	}
-	d.moving.Lock()
-	defer d.moving.Unlock()
-	d.epochs[service]++ // the first shard map has epoch 1
+	d.repartitionMu.Lock()
+	defer d.repartitionMu.Unlock()
+	d.repartitions[service]++ // the first shard map has epoch 1
 	for n, g := range groups {
 		r := g.Range
 		if n > 0 {
@@ -197,16 +197,16 @@
 			r.To += shift
 		}
 		for _, u := range g.Replicas {
-			d.upstreams[u.ID].SetRanges(d.epochs[service]+1, coverage.Range{From: r.From, To: r.To})
+			d.upstreams[u.ID].SetRanges(d.repartitions[service]+1, coverage.Range{From: r.From, To: r.To})
 		}
 	}
 	return nil
 }
 
-// members returns the upstreams that a path names: one, a group's or a service's.
-func (d *Deployment) members(path string) ([]*Upstream, error) {
+// upstreamsAt returns the upstreams that a path names: one, a group's or a service's.
+func (d *Deployment) upstreamsAt(path string) ([]*Upstream, error) {
 	var out []*Upstream
-	for _, id := range d.order {
+	for _, id := range d.upstreamIDs {
 		if string(id) == path || strings.HasPrefix(string(id), path+"/") {
 			out = append(out, d.upstreams[id])
 		}
--- a/standin/deployment_test.go
+++ b/standin/deployment_test.go
@@ -32,8 +32,8 @@
 	return d
 }
 
-// TestDeploymentEnds guards against goroutines that outlive a full deployment.
-func TestDeploymentEnds(t *testing.T) {
+// TestDeploymentClose guards against goroutines that outlive a full deployment.
+func TestDeploymentClose(t *testing.T) {
 	for _, name := range settings.Deployments() {
 		before := runtime.NumGoroutine()
 		d := deploy(t, name)
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestMoves guards against a roll-over that drops the common version and a
+// TestRollOverAndRepartition guards against a roll-over that drops the common version and a
 // repartition that loses or repeats keys.
-func TestMoves(t *testing.T) {
+func TestRollOverAndRepartition(t *testing.T) {
 	d := deploy(t, "pondslip")
 	defer func() { _ = d.Close() }()
 	svc := d.Settings().Services()[0]
@@ -73,7 +73,7 @@
 				t.Fatal(err)
 			}
 		}
-		var union coverage.Set
+		var covered coverage.Set
 		for i, g := range svc.Groups {
 			req := query(uint64(i), longMs)
 			req.Upstream, req.Version = string(g.Replicas[0].ID), version-1
@@ -82,7 +82,7 @@
 				t.Fatalf("Send = %+v, want ok under epoch %d with two held versions", got, step+2)
 			}
 			for _, r := range got.Ranges {
-				if len(union.Add(r)) != 1 {
+				if len(covered.Add(r)) != 1 {
 					t.Errorf("range %v of %s was covered before", r, g.Name)
 				}
 			}
@@ -92,8 +92,8 @@
 				}
 			}
 		}
-		if union.Len() != svc.Keys {
-			t.Errorf("groups cover %d keys, want %d", union.Len(), svc.Keys)
+		if covered.Len() != svc.Keys {
+			t.Errorf("groups cover %d keys, want %d", covered.Len(), svc.Keys)
 		}
 	}
 }
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -19,11 +19,11 @@
 	set     func(json.RawMessage) error
 }
 
-// switches are the faults of one stand-in.
-type switches []fault
+// faultSet are the faults of one stand-in.
+type faultSet []fault
 
 // Inject switches a fault. The value is encoded as JSON and checked as over HTTP.
-func (s switches) Inject(name string, value any) error {
+func (s faultSet) Inject(name string, value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return &Error{op: "inject", kind: KindInvalid, err: err}
@@ -31,22 +31,22 @@
 	return s.inject(name, raw)
 }
 
-func (s switches) inject(name string, raw json.RawMessage) error {
+func (s faultSet) inject(name string, raw json.RawMessage) error {
 	i := slices.IndexFunc(s, func(f fault) bool { return f.name == name })
 	if i < 0 {
 		err := fmt.Errorf("fault %q is not one of %s", name, strings.Join(s.names(), ", "))
 		return &Error{op: "inject", kind: KindUnknownFault, err: err}
 	}
 	err := s[i].set(raw)
-	var own *Error
-	if err == nil || errors.As(err, &own) {
+	var faultErr *Error
+	if err == nil || errors.As(err, &faultErr) {
 		return err
 	}
 	err = fmt.Errorf("value of %s is %.100s, want %s: %w", name, raw, s[i].accepts, err)
 	return &Error{op: "inject", kind: KindInvalid, err: err}
 }
 
-func (s switches) names() []string {
+func (s faultSet) names() []string {
 	out := make([]string, len(s))
 	for i, f := range s {
 		out[i] = f.name
@@ -54,7 +54,7 @@
 	return out
 }
 
-func (s switches) described() map[string]string {
+func (s faultSet) acceptedValues() map[string]string {
 	out := make(map[string]string, len(s))
 	for _, f := range s {
 		out[f.name] = f.accepts
@@ -120,8 +120,8 @@
 	}}
 }
 
-// always adapts a setter that cannot fail.
-func always(set func(uint64)) func(uint64) error {
+// noError adapts a setter that cannot fail.
+func noError(set func(uint64)) func(uint64) error {
 	return func(n uint64) error {
 		set(n)
 		return nil
--- a/standin/http.go
+++ b/standin/http.go
@@ -13,7 +13,7 @@
 	Error string `json:"error"`
 }
 
-func answer(ctx *fasthttp.RequestCtx, status int, doc any) {
+func writeReply(ctx *fasthttp.RequestCtx, status int, doc any) {
 	body, err := json.Marshal(doc)
 	if err != nil {
 		status, body = fasthttp.StatusInternalServerError, []byte(`{"error":"encoding failed"}`)
@@ -23,28 +23,28 @@
 	ctx.SetBody(body)
 }
 
-func answerError(ctx *fasthttp.RequestCtx, status int, format string, args ...any) {
-	answer(ctx, status, errorDoc{Error: fmt.Sprintf(format, args...)})
+func writeError(ctx *fasthttp.RequestCtx, status int, format string, args ...any) {
+	writeReply(ctx, status, errorDoc{Error: fmt.Sprintf(format, args...)})
 }
 
-// dropAnswer closes the connection without an answer.
-func dropAnswer(ctx *fasthttp.RequestCtx) {
+// dropReply closes the connection without an answer.
+func dropReply(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
 }
 
 // writeRaw writes text in place of an answer. With keep the connection stays
 // open until the client closes it.
-func writeRaw(ctx *fasthttp.RequestCtx, text []byte, keep bool) {
+func writeRaw(ctx *fasthttp.RequestCtx, text []byte, keepOpen bool) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) {
-		if _, err := c.Write(text); err == nil && keep {
+		if _, err := c.Write(text); err == nil && keepOpen {
 			_, _ = io.Copy(io.Discard, c)
 		}
 	})
 }
 
-func rawAnswer(doc any) []byte {
+func rawReply(doc any) []byte {
 	body, err := json.Marshal(doc)
 	if err != nil {
 		return nil
@@ -52,12 +52,12 @@
 	return append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(body)), body...)
 }
 
-// number reads an unsigned query argument.
-func number(ctx *fasthttp.RequestCtx, name string) (uint64, bool) {
+// numberArg reads an unsigned query argument.
+func numberArg(ctx *fasthttp.RequestCtx, name string) (uint64, bool) {
 	var n uint64
 	text := string(ctx.QueryArgs().Peek(name))
 	if _, err := fmt.Sscanf(text, "%d", &n); err != nil || fmt.Sprint(n) != text {
-		answerError(ctx, fasthttp.StatusBadRequest, "%s is %q, want a whole number", name, text)
+		writeError(ctx, fasthttp.StatusBadRequest, "%s is %q, want a whole number", name, text)
 		return 0, false
 	}
 	return n, true
--- a/standin/listener.go
+++ b/standin/listener.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// gate accepts connections up to a limit and makes each one cost set-up time.
-type gate struct {
+// limitListener accepts connections up to a limit and makes each one cost set-up time.
+type limitListener struct {
 	net.Listener
 	srv *server
 }
@@ -15,20 +15,20 @@
 // conn is one accepted connection.
 type conn struct {
 	net.Conn
-	srv   *server
-	setUp sync.Once
-	end   sync.Once
+	srv       *server
+	setupOnce sync.Once
+	closeOnce sync.Once
 }
 
 // Accept returns the next connection within the limit. Others are reset, as
 // an upstream with a full connection table does.
-func (g *gate) Accept() (net.Conn, error) {
+func (g *limitListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := g.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if c := g.srv.admit(nc); c != nil {
+		if c := g.srv.acceptConn(nc); c != nil {
 			return c, nil
 		}
 		if tc, ok := nc.(*net.TCPConn); ok {
@@ -40,21 +40,21 @@
 
 // Read waits for the set-up time before the first byte.
 func (c *conn) Read(p []byte) (int, error) {
-	c.setUp.Do(func() { c.srv.sleep(c.srv.connectTime(), nil) })
+	c.setupOnce.Do(func() { c.srv.sleep(c.srv.currentSetupTime(), nil) })
 	return c.Conn.Read(p)
 }
 
 // Close closes the connection and frees its place.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
-	c.end.Do(func() { c.srv.release(c) })
+	c.closeOnce.Do(func() { c.srv.removeConn(c) })
 	return err
 }
 
-func (s *server) admit(nc net.Conn) *conn {
+func (s *server) acceptConn(nc net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down || s.closed || s.limit > 0 && len(s.conns) >= s.limit {
+	if s.down || s.closed || s.connLimit > 0 && len(s.conns) >= s.connLimit {
 		s.refused++
 		return nil
 	}
@@ -65,14 +65,14 @@
 	return c
 }
 
-func (s *server) release(c *conn) {
+func (s *server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-func (s *server) connectTime() time.Duration {
+func (s *server) currentSetupTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.connect
+	return s.setupTime
 }
--- a/standin/options.go
+++ b/standin/options.go
@@ -31,42 +31,44 @@
 
 // WithServiceTime sets the median and the spread of the log-normal service time.
 func WithServiceTime(medianMs, sigma float64) UpstreamOption {
-	return func(u *Upstream) { u.b.medianMs, u.b.sigma = medianMs, sigma }
+	return func(u *Upstream) { u.behaviour.medianMs, u.behaviour.sigma = medianMs, sigma }
 }
 
 // WithSlowShare makes a share of requests take factor times as long.
 func WithSlowShare(share, factor float64) UpstreamOption {
-	return func(u *Upstream) { u.b.slowShare, u.b.slowShareFactor = share, factor }
+	return func(u *Upstream) { u.behaviour.slowShare, u.behaviour.slowShareFactor = share, factor }
 }
 
 // WithSlowFactor multiplies every service time.
 func WithSlowFactor(factor float64) UpstreamOption {
-	return func(u *Upstream) { u.b.slowFactor = factor }
+	return func(u *Upstream) { u.behaviour.slowFactor = factor }
 }
 
 // WithColdStart multiplies service times by factor for the first ms.
 func WithColdStart(ms, factor float64) UpstreamOption {
-	return func(u *Upstream) { u.b.coldUntil, u.b.coldFactor = time.Now().Add(millis(ms)), factor }
+	return func(u *Upstream) { u.behaviour.coldUntil, u.behaviour.coldFactor = time.Now().Add(millis(ms)), factor }
 }
 
 // WithWorkers sets how many requests run at once and how many may wait before
 // the upstream sheds. 0 workers means no bound; shedAbove 0 means that it never sheds.
 func WithWorkers(workers, shedAbove int) UpstreamOption {
-	return func(u *Upstream) { u.b.workers, u.b.shedAbove = workers, shedAbove }
+	return func(u *Upstream) { u.behaviour.workers, u.behaviour.shedAbove = workers, shedAbove }
 }
 
 // WithHeldVersions sets the snapshot versions that the upstream holds.
 func WithHeldVersions(versions ...uint64) UpstreamOption {
-	return func(u *Upstream) { u.b.held = append([]uint64(nil), versions...) }
+	return func(u *Upstream) { u.behaviour.heldVersions = append([]uint64(nil), versions...) }
 }
 
 // WithRanges sets the shard map epoch and the ranges that the upstream answers for.
 func WithRanges(epoch uint64, ranges ...coverage.Range) UpstreamOption {
-	return func(u *Upstream) { u.b.epoch, u.b.ranges = epoch, append([]coverage.Range(nil), ranges...) }
+	return func(u *Upstream) {
+		u.behaviour.epoch, u.behaviour.ranges = epoch, append([]coverage.Range(nil), ranges...)
+	}
 }
 
 // WithRows sets how many rows a reply carries for each range.
-func WithRows(n int) UpstreamOption { return func(u *Upstream) { u.rows = uint32(max(n, 0)) } }
+func WithRows(n int) UpstreamOption { return func(u *Upstream) { u.rowsPerRange = uint32(max(n, 0)) } }
 
 // WithSeed seeds service times and reply faults.
 func WithSeed(seed uint64) UpstreamOption { return func(u *Upstream) { u.seed = seed } }
--- a/standin/queue.go
+++ b/standin/queue.go
@@ -15,46 +15,46 @@
 
 func newQueue(workers int) *queue { return &queue{workers: workers} }
 
-// enter takes a place, or returns a channel that is closed once there is one.
+// acquire takes a place, or returns a channel that is closed once there is one.
 // It reports false if more than shedAbove jobs would wait.
-func (q *queue) enter(shedAbove int) (turn chan struct{}, ok bool) {
+func (q *queue) acquire(shedAbove int) (ready chan struct{}, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	turn = make(chan struct{})
+	ready = make(chan struct{})
 	if q.workers == 0 || q.running < q.workers {
 		q.running++
-		close(turn)
-		return turn, true
+		close(ready)
+		return ready, true
 	}
 	if shedAbove > 0 && len(q.waiting) >= shedAbove {
 		return nil, false
 	}
-	q.waiting = append(q.waiting, turn)
-	return turn, true
+	q.waiting = append(q.waiting, ready)
+	return ready, true
 }
 
-// leave gives a place back, whether it was taken or still waited for.
-func (q *queue) leave(turn chan struct{}) {
+// release gives a place back, whether it was taken or still waited for.
+func (q *queue) release(ready chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, w := range q.waiting {
-		if w == turn {
+		if w == ready {
 			q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 			return
 		}
 	}
 	q.running--
-	q.admit()
+	q.startNext()
 }
 
 func (q *queue) setWorkers(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.workers = n
-	q.admit()
+	q.startNext()
 }
 
-func (q *queue) admit() {
+func (q *queue) startNext() {
 	for len(q.waiting) > 0 && (q.workers == 0 || q.running < q.workers) {
 		close(q.waiting[0])
 		q.waiting = q.waiting[1:]
@@ -68,17 +68,17 @@
 	return q.running, len(q.waiting)
 }
 
-// wait waits for a turn. It reports false if the time passed or stop closed first.
-func (s *server) wait(turn <-chan struct{}, d time.Duration, stop <-chan struct{}) bool {
+// waitReady waits for a turn. It reports false if the time passed or stop closed first.
+func (s *server) waitReady(ready <-chan struct{}, d time.Duration, stop <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
-	case <-turn:
+	case <-ready:
 		return true
 	default:
 	}
 	select {
-	case <-turn:
+	case <-ready:
 		return true
 	case <-timer.C:
 	case <-stop:
--- a/standin/reply.go
+++ b/standin/reply.go
@@ -14,59 +14,59 @@
 type replyFault uint8
 
 const (
-	replyWhole replyFault = iota
-	replyCrossed
-	replyCut
-	replyDoubled
+	replyIntact replyFault = iota
+	replyWrongAttempt
+	replyTruncated
+	replyDuplicated
 )
 
-// reply writes a reply, or what a reply fault makes of it.
-func (u *Upstream) reply(ctx *fasthttp.RequestCtx, doc httpup.ReplyDoc) {
-	broken, late, other := u.drawFault(doc)
-	u.sleep(late, nil)
-	switch broken {
-	case replyCrossed:
-		answer(ctx, fasthttp.StatusOK, other)
-	case replyCut:
-		text := rawAnswer(doc)
+// sendReply writes a reply, or what a reply fault makes of it.
+func (u *Upstream) sendReply(ctx *fasthttp.RequestCtx, doc httpup.ReplyDoc) {
+	kind, delay, other := u.chooseReplyFault(doc)
+	u.sleep(delay, nil)
+	switch kind {
+	case replyWrongAttempt:
+		writeReply(ctx, fasthttp.StatusOK, other)
+	case replyTruncated:
+		text := rawReply(doc)
 		writeRaw(ctx, text[:len(text)-len(text)/4], false)
-	case replyDoubled:
-		text := rawAnswer(doc)
+	case replyDuplicated:
+		text := rawReply(doc)
 		writeRaw(ctx, append(text, text...), true)
 	default:
-		answer(ctx, fasthttp.StatusOK, doc)
+		writeReply(ctx, fasthttp.StatusOK, doc)
 	}
 }
 
-func (u *Upstream) drawFault(doc httpup.ReplyDoc) (broken replyFault, late time.Duration, other httpup.ReplyDoc) {
-	u.data.Lock()
-	defer u.data.Unlock()
-	if u.rng.Float64() < u.b.lateShare {
-		late = u.b.late
+func (u *Upstream) chooseReplyFault(doc httpup.ReplyDoc) (kind replyFault, delay time.Duration, other httpup.ReplyDoc) {
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
+	if u.rng.Float64() < u.behaviour.delayedShare {
+		delay = u.behaviour.replyDelay
 	}
 	draw := u.rng.Float64()
 	switch {
-	case draw < u.b.crossedShare:
-		broken, other = replyCrossed, u.otherReply(doc)
-	case draw < u.b.crossedShare+u.b.cutShare:
-		broken = replyCut
-	case draw < u.b.crossedShare+u.b.cutShare+u.b.doubledShare:
-		broken = replyDoubled
+	case draw < u.behaviour.wrongAttemptShare:
+		kind, other = replyWrongAttempt, u.otherReply(doc)
+	case draw < u.behaviour.wrongAttemptShare+u.behaviour.truncatedShare:
+		kind = replyTruncated
+	case draw < u.behaviour.wrongAttemptShare+u.behaviour.truncatedShare+u.behaviour.duplicatedShare:
+		kind = replyDuplicated
 	}
-	u.prior = &doc
-	return broken, late, other
+	u.lastReply = &doc
+	return kind, delay, other
 }
 
 // otherReply returns the reply to another attempt. The caller holds u.data.
 func (u *Upstream) otherReply(doc httpup.ReplyDoc) httpup.ReplyDoc {
-	if u.prior != nil && u.prior.Attempt != doc.Attempt {
-		return *u.prior
+	if u.lastReply != nil && u.lastReply.Attempt != doc.Attempt {
+		return *u.lastReply
 	}
 	doc.Attempt.Seq++
 	return doc
 }
 
-func (j *job) stop() { j.once.Do(func() { close(j.cancel) }) }
+func (j *job) requestCancel() { j.once.Do(func() { close(j.cancel) }) }
 
 func (j *job) cancelled() bool {
 	select {
@@ -77,52 +77,52 @@
 	}
 }
 
-func (u *Upstream) register(id attempt.ID) *job {
-	u.data.Lock()
-	defer u.data.Unlock()
+func (u *Upstream) registerJob(id attempt.ID) *job {
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
 	j := &job{cancel: make(chan struct{})}
-	u.open[id] = j
+	u.jobs[id] = j
 	return j
 }
 
-func (u *Upstream) unregister(id attempt.ID, j *job) {
-	u.data.Lock()
-	defer u.data.Unlock()
-	if u.open[id] == j {
-		delete(u.open, id)
+func (u *Upstream) unregisterJob(id attempt.ID, j *job) {
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
+	if u.jobs[id] == j {
+		delete(u.jobs, id)
 	}
 }
 
 func (u *Upstream) serveCancel(ctx *fasthttp.RequestCtx) {
 	var doc httpup.CancelDoc
 	if err := decodeStrict(ctx.PostBody(), &doc); err != nil {
-		answerError(ctx, fasthttp.StatusBadRequest, "body is not a cancellation: %v", err)
+		writeError(ctx, fasthttp.StatusBadRequest, "body is not a cancellation: %v", err)
 		return
 	}
-	u.data.Lock()
-	j, found := u.open[doc.Attempt]
-	u.data.Unlock()
+	u.dataMu.Lock()
+	j, found := u.jobs[doc.Attempt]
+	u.dataMu.Unlock()
 	if found {
-		j.stop()
+		j.requestCancel()
 	}
-	answer(ctx, fasthttp.StatusOK, httpup.CancelledDoc{Attempt: doc.Attempt, Found: found})
+	writeReply(ctx, fasthttp.StatusOK, httpup.CancelledDoc{Attempt: doc.Attempt, Found: found})
 }
 
-// shownLoad returns what the load endpoint tells, which may lag or lie.
-func (u *Upstream) shownLoad(now time.Time) upstream.Load {
-	running, queued := u.slots.lengths()
+// reportLoad returns what the load endpoint tells, which may lag or lie.
+func (u *Upstream) reportLoad(now time.Time) upstream.Load {
+	running, queued := u.queue.lengths()
 	connections := u.Connections().Open
-	u.data.Lock()
-	defer u.data.Unlock()
-	if u.b.loadLies {
-		return upstream.Load{Healthy: true, HeldVersions: u.b.held}
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
+	if u.behaviour.alwaysHealthy {
+		return upstream.Load{Healthy: true, HeldVersions: u.behaviour.heldVersions}
 	}
-	if u.shownAt.IsZero() || now.Sub(u.shownAt) >= u.b.loadLag {
-		u.shownAt = now
-		u.load = upstream.Load{
-			Healthy: !u.b.leaving, Leaving: u.b.leaving, Cold: now.Before(u.b.coldUntil),
-			Running: running, Queued: queued, Connections: connections, HeldVersions: u.b.held,
+	if u.loadReportedAt.IsZero() || now.Sub(u.loadReportedAt) >= u.behaviour.loadLag {
+		u.loadReportedAt = now
+		u.reportedLoad = upstream.Load{
+			Healthy: !u.behaviour.leaving, Leaving: u.behaviour.leaving, Cold: now.Before(u.behaviour.coldUntil),
+			Running: running, Queued: queued, Connections: connections, HeldVersions: u.behaviour.heldVersions,
 		}
 	}
-	return u.load
+	return u.reportedLoad
 }
--- a/standin/server.go
+++ b/standin/server.go
@@ -10,48 +10,48 @@
 	"github.com/valyala/fasthttp"
 )
 
-// relistenTime bounds how long a stand-in that comes back waits for its port.
-const relistenTime = 2 * time.Second
+// relistenTimeout bounds how long a stand-in that comes back waits for its port.
+const relistenTimeout = 2 * time.Second
 
 // maxRequestBytes leaves room for a value of MaxValueBytes in base64.
 const maxRequestBytes = 8 << 20
 
-// idleWorkerTime bounds how long fasthttp's idle workers outlive Close.
-const idleWorkerTime = time.Second
+// idleWorkerTimeout bounds how long fasthttp's idle workers outlive Close.
+const idleWorkerTimeout = time.Second
 
 // server is the part that all stand-ins share: one address, its connections,
 // and the faults of the connection itself.
 type server struct {
-	parent  context.Context
-	ctx     context.Context // ends with parent or Close
-	cancel  context.CancelFunc
-	detach  func() bool // stops following parent
-	handler fasthttp.RequestHandler
-	address string
-	work    sync.WaitGroup // running handlers
-
-	switching sync.Mutex // held while the server goes down, comes back or closes
-	ended     chan error // result of the serving goroutine; nil while down
-	listener  net.Listener
-
-	mu      sync.Mutex
-	limit   int // open connections, 0 for no limit
-	connect time.Duration
-	slow    time.Duration // added to every call
-	down    bool
-	closed  bool
-	conns   map[*conn]struct{}
-	opened  int
-	peak    int
-	refused int
+	parent        context.Context
+	ctx           context.Context // ends with parent or Close
+	cancel        context.CancelFunc
+	stopAfterFunc func() bool // stops following parent
+	handler       fasthttp.RequestHandler
+	address       string
+	handlers      sync.WaitGroup // running handlers
+
+	stateMu  sync.Mutex // held while the server goes down, comes back or closes
+	serveErr chan error // result of the serving goroutine; nil while down
+	listener net.Listener
+
+	mu        sync.Mutex
+	connLimit int // open connections, 0 for no limit
+	setupTime time.Duration
+	callDelay time.Duration // added to every call
+	down      bool
+	closed    bool
+	conns     map[*conn]struct{}
+	opened    int
+	peak      int
+	refused   int
 }
 
-type quietLogger struct{}
+type discardLogger struct{}
 
-func (quietLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func newServer(ctx context.Context, address string) *server {
-	s := &server{parent: ctx, address: address, conns: make(map[*conn]struct{}), detach: func() bool { return true }}
+	s := &server{parent: ctx, address: address, conns: make(map[*conn]struct{}), stopAfterFunc: func() bool { return true }}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	return s
 }
@@ -66,31 +66,31 @@
 	}
 	s.address = ln.Addr().String()
 	s.serve(ln)
-	s.detach = context.AfterFunc(s.parent, func() { _ = s.Close() })
+	s.stopAfterFunc = context.AfterFunc(s.parent, func() { _ = s.Close() })
 	return nil
 }
 
 func (s *server) serve(ln net.Listener) {
-	s.listener, s.ended = ln, make(chan error, 1)
+	s.listener, s.serveErr = ln, make(chan error, 1)
 	srv := &fasthttp.Server{
 		Handler:               s.handle,
-		Logger:                quietLogger{},
+		Logger:                discardLogger{},
 		NoDefaultServerHeader: true,
 		MaxRequestBodySize:    maxRequestBytes,
-		MaxIdleWorkerDuration: idleWorkerTime,
+		MaxIdleWorkerDuration: idleWorkerTimeout,
 	}
-	go func(ended chan<- error) { ended <- srv.Serve(&gate{Listener: ln, srv: s}) }(s.ended)
+	go func(serveErr chan<- error) { serveErr <- srv.Serve(&limitListener{Listener: ln, srv: s}) }(s.serveErr)
 }
 
 func (s *server) handle(ctx *fasthttp.RequestCtx) {
-	if !s.begin() {
+	if !s.beginHandler() {
 		ctx.SetConnectionClose()
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	defer s.work.Done()
+	defer s.handlers.Done()
 	s.mu.Lock()
-	slow := s.slow
+	slow := s.callDelay
 	s.mu.Unlock()
 	if slow > 0 {
 		s.sleep(slow, nil)
@@ -98,14 +98,14 @@
 	s.handler(ctx)
 }
 
-// begin counts a handler in, unless the server is closing.
-func (s *server) begin() bool {
+// beginHandler counts a handler in, unless the server is closing.
+func (s *server) beginHandler() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return false
 	}
-	s.work.Add(1)
+	s.handlers.Add(1)
 	return true
 }
 
@@ -128,35 +128,35 @@
 
 // setDown stops listening and breaks all connections, or listens again on the same address.
 func (s *server) setDown(down bool) error {
-	s.switching.Lock()
-	defer s.switching.Unlock()
+	s.stateMu.Lock()
+	defer s.stateMu.Unlock()
 	s.mu.Lock()
-	same := s.closed || s.down == down
+	unchanged := s.closed || s.down == down
 	s.mu.Unlock()
-	if same {
+	if unchanged {
 		return nil
 	}
 	if down {
-		s.mark(&s.down, true)
-		return s.stop()
+		s.setFlag(&s.down, true)
+		return s.stopServing()
 	}
 	ln, err := s.relisten()
 	if err != nil {
 		return &Error{op: "come back", kind: KindListen, err: err}
 	}
-	s.mark(&s.down, false)
+	s.setFlag(&s.down, false)
 	s.serve(ln)
 	return nil
 }
 
-func (s *server) mark(flag *bool, v bool) {
+func (s *server) setFlag(flag *bool, v bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*flag = v
 }
 
 func (s *server) relisten() (net.Listener, error) {
-	deadline := time.Now().Add(relistenTime)
+	deadline := time.Now().Add(relistenTimeout)
 	for {
 		ln, err := net.Listen("tcp", s.address)
 		if err == nil || time.Now().After(deadline) || !s.sleep(10*time.Millisecond, nil) {
@@ -165,23 +165,23 @@
 	}
 }
 
-// stop closes the listener and all connections and waits for the serving goroutine.
-func (s *server) stop() error {
-	if s.ended == nil {
+// stopServing closes the listener and all connections and waits for the serving goroutine.
+func (s *server) stopServing() error {
+	if s.serveErr == nil {
 		return nil
 	}
 	_ = s.listener.Close()
-	s.breakConnections()
-	err := <-s.ended
-	s.ended = nil
-	s.breakConnections() // those accepted before the listener closed
+	s.closeConns()
+	err := <-s.serveErr
+	s.serveErr = nil
+	s.closeConns() // those accepted before the listener closed
 	if errors.Is(err, net.ErrClosed) {
 		return nil
 	}
 	return err
 }
 
-func (s *server) breakConnections() {
+func (s *server) closeConns() {
 	s.mu.Lock()
 	conns := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
@@ -195,12 +195,12 @@
 
 // Close stops the stand-in and waits until its goroutines and handlers end.
 func (s *server) Close() error {
-	s.detach()
+	s.stopAfterFunc()
 	s.cancel()
-	s.switching.Lock()
-	defer s.switching.Unlock()
-	s.mark(&s.closed, true)
-	err := s.stop()
-	s.work.Wait()
+	s.stateMu.Lock()
+	defer s.stateMu.Unlock()
+	s.setFlag(&s.closed, true)
+	err := s.stopServing()
+	s.handlers.Wait()
 	return err
 }
--- a/standin/store_test.go
+++ b/standin/store_test.go
@@ -96,9 +96,9 @@
 	}
 
 	inject(t, s, "slow_ms", 60_000)
-	hurried := httpstore.New(s.Address(), httpstore.WithTimeout(shortMs))
-	defer hurried.Close()
-	_, err = hurried.Swap(ctx, "k", []byte("4"), first.Revision+1)
+	shortTimeout := httpstore.New(s.Address(), httpstore.WithTimeout(shortMs))
+	defer shortTimeout.Close()
+	_, err = shortTimeout.Swap(ctx, "k", []byte("4"), first.Revision+1)
 	wantKind(t, "Swap while slow", err, store.KindUnknown)
 	inject(t, s, "slow_ms", 0)
 
@@ -120,9 +120,9 @@
 	wantKind(t, "KeepAlive", c.KeepAlive(ctx, id), store.KindOK)
 	inject(t, s, "lapse_leases", true)
 	wantKind(t, "KeepAlive after a lapse", c.KeepAlive(ctx, id), store.KindConflict)
-	brief, err := c.Grant(ctx, 1)
+	shortLease, err := c.Grant(ctx, 1)
 	wantKind(t, "Grant", err, store.KindOK)
-	for c.KeepAlive(ctx, brief) == nil && ctx.Err() == nil { // each call extends by 1 ms only
+	for c.KeepAlive(ctx, shortLease) == nil && ctx.Err() == nil { // each call extends by 1 ms only
 		continue
 	}
 	if id, err = c.Grant(ctx, longMs); err == nil {
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -13,47 +13,47 @@
 	"lentillink.example/lentillink/upstream/httpup"
 )
 
-// maxHeld bounds the snapshot versions that an upstream keeps after a roll-over.
-const maxHeld = 8
+// maxHeldVersions bounds the snapshot versions that an upstream keeps after a roll-over.
+const maxHeldVersions = 8
 
 // Upstream stands in for one upstream.
 type Upstream struct {
 	*server
-	switches
-	id   upstream.ID
-	rows uint32 // for each range
-	seed uint64
-
-	data    sync.Mutex
-	rng     *rand.Rand
-	b       behaviour
-	slots   *queue
-	open    map[attempt.ID]*job
-	ledger  map[string]int // runs by order id
-	counts  AttemptCounts
-	prior   *httpup.ReplyDoc // last reply, which a crossed reply repeats
-	load    upstream.Load    // as last shown by the load endpoint
-	shownAt time.Time
+	faultSet
+	id           upstream.ID
+	rowsPerRange uint32 // for each range
+	seed         uint64
+
+	dataMu         sync.Mutex
+	rng            *rand.Rand
+	behaviour      behaviour
+	queue          *queue
+	jobs           map[attempt.ID]*job
+	executions     map[string]int // runs by order id
+	counts         AttemptCounts
+	lastReply      *httpup.ReplyDoc // last reply, which a crossed reply repeats
+	reportedLoad   upstream.Load    // as last shown by the load endpoint
+	loadReportedAt time.Time
 }
 
 // behaviour is what faults change.
 type behaviour struct {
-	medianMs, sigma            float64
-	slowFactor                 float64
-	slowShare, slowShareFactor float64
-	coldUntil                  time.Time
-	coldFactor                 float64
-	workers, shedAbove         int
-	leaving                    bool
-	held                       []uint64
-	epoch                      uint64
-	ranges                     []coverage.Range
-	loadLag                    time.Duration
-	loadLies                   bool
-	late                       time.Duration
-	lateShare                  float64
-	crossedShare               float64
-	cutShare, doubledShare     float64
+	medianMs, sigma                 float64
+	slowFactor                      float64
+	slowShare, slowShareFactor      float64
+	coldUntil                       time.Time
+	coldFactor                      float64
+	workers, shedAbove              int
+	leaving                         bool
+	heldVersions                    []uint64
+	epoch                           uint64
+	ranges                          []coverage.Range
+	loadLag                         time.Duration
+	alwaysHealthy                   bool
+	replyDelay                      time.Duration
+	delayedShare                    float64
+	wrongAttemptShare               float64
+	truncatedShare, duplicatedShare float64
 }
 
 // job is one attempt that waits or runs.
@@ -82,23 +82,23 @@
 		address = "127.0.0.1:0"
 	}
 	s := &Upstream{
-		server: newServer(ctx, address),
-		id:     u.ID,
-		rows:   4,
-		open:   make(map[attempt.ID]*job),
-		ledger: make(map[string]int),
-		b: behaviour{
+		server:       newServer(ctx, address),
+		id:           u.ID,
+		rowsPerRange: 4,
+		jobs:         make(map[attempt.ID]*job),
+		executions:   make(map[string]int),
+		behaviour: behaviour{
 			medianMs: 8, sigma: 0.35, slowFactor: 1, slowShareFactor: 10, coldFactor: 5,
-			held: []uint64{1}, epoch: 1,
+			heldVersions: []uint64{1}, epoch: 1,
 		},
 	}
-	s.limit, s.connect = u.ConnectionLimit, u.ConnectMs.Duration()
+	s.connLimit, s.setupTime = u.ConnectionLimit, u.ConnectMs.Duration()
 	for _, opt := range opts {
 		opt(s)
 	}
 	s.rng = rand.New(rand.NewPCG(s.seed, s.seed))
-	s.slots = newQueue(s.b.workers)
-	s.switches = s.faults()
+	s.queue = newQueue(s.behaviour.workers)
+	s.faultSet = s.faults()
 	return s, s.start(s.route)
 }
 
@@ -107,56 +107,56 @@
 
 // Executions returns how often the order with the given id was run.
 func (u *Upstream) Executions(order string) int {
-	u.data.Lock()
-	defer u.data.Unlock()
-	return u.ledger[order]
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
+	return u.executions[order]
 }
 
 // eachOrder calls f for every order in the ledger.
 func (u *Upstream) eachOrder(f func(id string, runs int)) {
-	u.data.Lock()
-	defer u.data.Unlock()
-	for id, runs := range u.ledger {
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
+	for id, runs := range u.executions {
 		f(id, runs)
 	}
 }
 
 // AttemptCounts returns what the upstream did with attempts.
 func (u *Upstream) AttemptCounts() AttemptCounts {
-	u.data.Lock()
-	defer u.data.Unlock()
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
 	return u.counts
 }
 
 // HeldVersions returns the snapshot versions that the upstream holds.
 func (u *Upstream) HeldVersions() []uint64 {
-	u.data.Lock()
-	defer u.data.Unlock()
-	return slices.Clone(u.b.held)
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
+	return slices.Clone(u.behaviour.heldVersions)
 }
 
 // AddVersion adds a snapshot version. The oldest one goes when too many are held.
 func (u *Upstream) AddVersion(version uint64) {
-	u.data.Lock()
-	defer u.data.Unlock()
-	if slices.Contains(u.b.held, version) {
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
+	if slices.Contains(u.behaviour.heldVersions, version) {
 		return
 	}
-	held := append(slices.Clone(u.b.held), version)
+	held := append(slices.Clone(u.behaviour.heldVersions), version)
 	slices.Sort(held)
-	u.b.held = held[max(0, len(held)-maxHeld):]
+	u.behaviour.heldVersions = held[max(0, len(held)-maxHeldVersions):]
 }
 
 // RemoveVersion removes a snapshot version.
 func (u *Upstream) RemoveVersion(version uint64) {
-	u.data.Lock()
-	defer u.data.Unlock()
-	u.b.held = slices.DeleteFunc(slices.Clone(u.b.held), func(v uint64) bool { return v == version })
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
+	u.behaviour.heldVersions = slices.DeleteFunc(slices.Clone(u.behaviour.heldVersions), func(v uint64) bool { return v == version })
 }
 
 // SetRanges moves the upstream to another shard map.
 func (u *Upstream) SetRanges(epoch uint64, ranges ...coverage.Range) {
-	u.data.Lock()
-	defer u.data.Unlock()
-	u.b.epoch, u.b.ranges = epoch, slices.Clone(ranges)
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
+	u.behaviour.epoch, u.behaviour.ranges = epoch, slices.Clone(ranges)
 }
--- a/standin/upstream_test.go
+++ b/standin/upstream_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	id     = upstream.ID("search/g1/a")
-	longMs = 30 * clock.Second // never reached unless a test hangs
+	upstreamID = upstream.ID("search/g1/a")
+	longMs     = 30 * clock.Second // never reached unless a test hangs
 	// shortMs is always reached; it is long enough to connect and write on a busy machine.
 	shortMs = clock.Second
 )
@@ -26,12 +26,12 @@
 func start(t *testing.T, limit, connections int, opts ...standin.UpstreamOption) (*standin.Upstream, *httpup.Client) {
 	t.Helper()
 	opts = append([]standin.UpstreamOption{standin.WithServiceTime(0, 0), standin.WithRanges(1, coverage.Range{To: 10})}, opts...)
-	u, err := standin.StartUpstream(t.Context(), upstream.Upstream{ID: id, ConnectionLimit: limit}, opts...)
+	u, err := standin.StartUpstream(t.Context(), upstream.Upstream{ID: upstreamID, ConnectionLimit: limit}, opts...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := httpup.New(httpup.WithServices(upstream.Service{Groups: []upstream.Group{{Replicas: []upstream.Upstream{
-		{ID: id, Address: u.Address(), ConnectionLimit: connections}}}}}))
+		{ID: upstreamID, Address: u.Address(), ConnectionLimit: connections}}}}}))
 	t.Cleanup(func() {
 		c.Close()
 		if err := u.Close(); err != nil {
@@ -41,9 +41,9 @@
 	return u, c
 }
 
-func query(seq uint64, budget clock.Millis) attempt.Request {
-	return attempt.Request{ID: attempt.ID{VM: "vm-1", Incarnation: 1, Seq: seq}, Upstream: string(id), Version: 1,
-		Deadline: clock.System{}.Now() + budget}
+func query(seq uint64, timeout clock.Millis) attempt.Request {
+	return attempt.Request{ID: attempt.ID{VM: "vm-1", Incarnation: 1, Seq: seq}, Upstream: string(upstreamID), Version: 1,
+		Deadline: clock.System{}.Now() + timeout}
 }
 
 func order(seq uint64, name string) attempt.Request {
@@ -55,11 +55,11 @@
 // TestUpstreamFaults guards against a fault that has no effect, or whose end has none.
 func TestUpstreamFaults(t *testing.T) {
 	tests := []struct {
-		fault   string
-		on, off any
-		budget  clock.Millis
-		status  attempt.Status
-		ran     attempt.Execution
+		fault     string
+		on, off   any
+		timeout   clock.Millis
+		status    attempt.Status
+		execution attempt.Execution
 	}{
 		{"down", true, false, longMs, attempt.ConnRefused, attempt.NotExecuted},
 		{"leaving", true, false, longMs, attempt.Leaving, attempt.NotExecuted},
@@ -79,9 +79,9 @@
 				t.Fatalf("Send before the fault = %v", got.Status)
 			}
 			inject(t, u, tt.fault, tt.on)
-			got := c.Send(t.Context(), query(2, tt.budget))
-			if got.Status != tt.status || got.Execution != tt.ran || len(got.Rows) > 0 {
-				t.Errorf("Send = %v %v with %d rows, want %v %v", got.Status, got.Execution, len(got.Rows), tt.status, tt.ran)
+			got := c.Send(t.Context(), query(2, tt.timeout))
+			if got.Status != tt.status || got.Execution != tt.execution || len(got.Rows) > 0 {
+				t.Errorf("Send = %v %v with %d rows, want %v %v", got.Status, got.Execution, len(got.Rows), tt.status, tt.execution)
 			}
 			if tt.off == nil {
 				inject(t, u, "hold", 1)
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestBrokenReplies guards against a reply to one attempt that reaches another.
-func TestBrokenReplies(t *testing.T) {
+// TestReplyFaults guards against a reply to one attempt that reaches another.
+func TestReplyFaults(t *testing.T) {
 	u, c := start(t, 0, 8)
 	for _, name := range []string{"crossed_share", "cut_share", "doubled_share"} {
 		inject(t, u, name, 0.2)
@@ -131,7 +131,7 @@
 		})
 	}
 	wg.Wait()
-	if s := c.Stats(id); s.WrongAttempt == 0 || s.Malformed == 0 || s.TrailingData+s.StaleConns == 0 {
+	if s := c.Stats(upstreamID); s.WrongAttempt == 0 || s.Malformed == 0 || s.TrailingData+s.StaleConns == 0 {
 		t.Errorf("Stats = %+v, want each kind of dropped reply", s)
 	}
 }
@@ -169,7 +169,7 @@
 		t.Errorf("Send above the queue = %+v, want shed, not run, with a retry-after time", got)
 	}
 	for _, seq := range []uint64{2, 1} {
-		if err := c.Cancel(t.Context(), id, query(seq, 0).ID); err != nil {
+		if err := c.Cancel(t.Context(), upstreamID, query(seq, 0).ID); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -182,7 +182,7 @@
 	if u.Executions("queued")+u.Executions("shed") != 0 || u.AttemptCounts().Started != 1 {
 		t.Errorf("Counts = %+v, want one started", u.AttemptCounts())
 	}
-	if err := c.Cancel(t.Context(), id, query(9, 0).ID); err != nil {
+	if err := c.Cancel(t.Context(), upstreamID, query(9, 0).ID); err != nil {
 		t.Errorf("Cancel of an unknown attempt = %v", err)
 	}
 }
@@ -190,7 +190,7 @@
 func waitLoad(t *testing.T, c *httpup.Client, ok func(upstream.Load) bool) {
 	t.Helper()
 	for t.Context().Err() == nil {
-		load, err := c.Load(t.Context(), id)
+		load, err := c.Load(t.Context(), upstreamID)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -200,30 +200,30 @@
 	}
 }
 
-// TestLoadMisleads guards against a load endpoint that is always right, which would hide reliance on it.
-func TestLoadMisleads(t *testing.T) {
+// TestLoadFaults guards against a load endpoint that is always right, which would hide reliance on it.
+func TestLoadFaults(t *testing.T) {
 	u, c := start(t, 0, 4)
 	inject(t, u, "load_lag_ms", 600_000)
 	for _, leaving := range []bool{false, true} {
 		inject(t, u, "leaving", leaving)
-		if load, err := c.Load(t.Context(), id); err != nil || load.Leaving {
+		if load, err := c.Load(t.Context(), upstreamID); err != nil || load.Leaving {
 			t.Errorf("Load = %+v, %v, want the lagging value", load, err)
 		}
 	}
 	inject(t, u, "load_lag_ms", 0)
-	if load, err := c.Load(t.Context(), id); err != nil || !load.Leaving || load.Healthy {
+	if load, err := c.Load(t.Context(), upstreamID); err != nil || !load.Leaving || load.Healthy {
 		t.Errorf("Load = %+v, %v, want leaving", load, err)
 	}
 	inject(t, u, "load_lies", true)
-	if load, err := c.Load(t.Context(), id); err != nil || load.Leaving || !load.Healthy {
+	if load, err := c.Load(t.Context(), upstreamID); err != nil || load.Leaving || !load.Healthy {
 		t.Errorf("Load = %+v, %v, want a healthy claim", load, err)
 	}
 }
 
-// TestEndWithContext guards against a stand-in that outlives its context.
-func TestEndWithContext(t *testing.T) {
+// TestCloseOnContextEnd guards against a stand-in that outlives its context.
+func TestCloseOnContextEnd(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	u, err := standin.StartUpstream(ctx, upstream.Upstream{ID: id})
+	u, err := standin.StartUpstream(ctx, upstream.Upstream{ID: upstreamID})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -231,7 +231,7 @@
 	if err := u.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, err := standin.StartUpstream(t.Context(), upstream.Upstream{ID: id, Address: "127.0.0.1:none"}); err == nil || !strings.Contains(err.Error(), "listen") {
+	if _, err := standin.StartUpstream(t.Context(), upstream.Upstream{ID: upstreamID, Address: "127.0.0.1:none"}); err == nil || !strings.Contains(err.Error(), "listen") {
 		t.Errorf("StartUpstream on an unusable address = %v, want kind listen", err)
 	}
 }
--- a/standin/upstreamfaults.go
+++ b/standin/upstreamfaults.go
@@ -15,54 +15,54 @@
 	maxVersion = 1 << 53 // exact in JSON numbers
 )
 
-func (u *Upstream) faults() switches {
-	b := &u.b
-	return switches{
+func (u *Upstream) faults() faultSet {
+	b := &u.behaviour
+	return faultSet{
 		boolFault("down", u.setDown),
-		countFault("limit", 0, maxWorkers, always(u.setLimit)),
-		u.delayFault("connect_ms", &u.connect),
+		countFault("limit", 0, maxWorkers, noError(u.setLimit)),
+		u.delayFault("connect_ms", &u.setupTime),
 		u.floatFault("median_ms", maxDelayMs, &b.medianMs),
 		u.floatFault("sigma", 5, &b.sigma),
 		u.floatFault("slow_factor", maxFactor, &b.slowFactor),
 		u.floatFault("slow_share", 1, &b.slowShare),
 		u.floatFault("slow_share_factor", maxFactor, &b.slowShareFactor),
 		numberFault("cold_ms", 0, maxDelayMs, func(ms float64) {
-			u.locked(func() { b.coldUntil = time.Now().Add(millis(ms)) })
+			u.withLock(func() { b.coldUntil = time.Now().Add(millis(ms)) })
 		}),
 		u.floatFault("cold_factor", maxFactor, &b.coldFactor),
-		countFault("workers", 0, maxWorkers, always(func(n uint64) { u.slots.setWorkers(int(n)) })),
-		countFault("shed_above", 0, maxWorkers, always(func(n uint64) { u.locked(func() { b.shedAbove = int(n) }) })),
+		countFault("workers", 0, maxWorkers, noError(func(n uint64) { u.queue.setWorkers(int(n)) })),
+		countFault("shed_above", 0, maxWorkers, noError(func(n uint64) { u.withLock(func() { b.shedAbove = int(n) }) })),
 		u.flagFault("leaving", &b.leaving),
-		countFault("hold", 1, maxVersion, always(u.AddVersion)),
-		countFault("drop", 1, maxVersion, always(u.RemoveVersion)),
+		countFault("hold", 1, maxVersion, noError(u.AddVersion)),
+		countFault("drop", 1, maxVersion, noError(u.RemoveVersion)),
 		{name: "ranges", accepts: `{"epoch": 2, "ranges": [{"from": 0, "to": 10}]}`, set: u.setRanges},
 		u.timeFault("load_lag_ms", &b.loadLag),
-		u.flagFault("load_lies", &b.loadLies),
-		u.timeFault("late_ms", &b.late),
-		u.floatFault("late_share", 1, &b.lateShare),
-		u.floatFault("crossed_share", 1, &b.crossedShare),
-		u.floatFault("cut_share", 1, &b.cutShare),
-		u.floatFault("doubled_share", 1, &b.doubledShare),
+		u.flagFault("load_lies", &b.alwaysHealthy),
+		u.timeFault("late_ms", &b.replyDelay),
+		u.floatFault("late_share", 1, &b.delayedShare),
+		u.floatFault("crossed_share", 1, &b.wrongAttemptShare),
+		u.floatFault("cut_share", 1, &b.truncatedShare),
+		u.floatFault("doubled_share", 1, &b.duplicatedShare),
 	}
 }
 
-func (u *Upstream) locked(f func()) {
-	u.data.Lock()
-	defer u.data.Unlock()
+func (u *Upstream) withLock(f func()) {
+	u.dataMu.Lock()
+	defer u.dataMu.Unlock()
 	f()
 }
 
 func (u *Upstream) floatFault(name string, high float64, field *float64) fault {
-	return numberFault(name, 0, high, func(v float64) { u.locked(func() { *field = v }) })
+	return numberFault(name, 0, high, func(v float64) { u.withLock(func() { *field = v }) })
 }
 
 func (u *Upstream) timeFault(name string, field *time.Duration) fault {
-	return numberFault(name, 0, maxDelayMs, func(ms float64) { u.locked(func() { *field = millis(ms) }) })
+	return numberFault(name, 0, maxDelayMs, func(ms float64) { u.withLock(func() { *field = millis(ms) }) })
 }
 
 func (u *Upstream) flagFault(name string, field *bool) fault {
 	return boolFault(name, func(v bool) error {
-		u.locked(func() { *field = v })
+		u.withLock(func() { *field = v })
 		return nil
 	})
 }
@@ -70,7 +70,7 @@
 func (u *Upstream) setLimit(n uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.limit = int(n)
+	u.connLimit = int(n)
 }
 
 type rangesDoc struct {
--- a/standin/vmlist.go
+++ b/standin/vmlist.go
@@ -17,30 +17,30 @@
 // VMList stands in for the platform's list of VMs.
 type VMList struct {
 	*server
-	switches
+	faultSet
 
-	data    sync.Mutex
+	dataMu  sync.Mutex
 	lag     time.Duration
-	history []listing // ascending in time; the last one is the truth
+	history []snapshot // ascending in time; the last one is the truth
 }
 
-type listing struct {
+type snapshot struct {
 	at  time.Time
 	vms []roster.VM
 }
 
 // StartVMList serves an empty list until ctx ends or Close.
 func StartVMList(ctx context.Context, opts ...VMListOption) (*VMList, error) {
-	l := &VMList{server: newServer(ctx, "127.0.0.1:0"), history: []listing{{}}}
+	l := &VMList{server: newServer(ctx, "127.0.0.1:0"), history: []snapshot{{}}}
 	for _, opt := range opts {
 		opt(l)
 	}
-	l.switches = switches{
+	l.faultSet = faultSet{
 		boolFault("down", l.setDown),
-		l.delayFault("slow_ms", &l.slow),
+		l.delayFault("slow_ms", &l.callDelay),
 		numberFault("lag_ms", 0, maxDelayMs, func(ms float64) {
-			l.data.Lock()
-			defer l.data.Unlock()
+			l.dataMu.Lock()
+			defer l.dataMu.Unlock()
 			l.lag = millis(ms)
 		}),
 	}
@@ -56,46 +56,46 @@
 		err = fmt.Errorf("address is %q, want an IP address and a port", vm.Address)
 		return &Error{op: "register", kind: KindInvalid, err: err}
 	}
-	l.change(vm.ID, &vm)
+	l.update(vm.ID, &vm)
 	return nil
 }
 
 // Remove takes a VM off the list.
-func (l *VMList) Remove(id string) { l.change(id, nil) }
+func (l *VMList) Remove(id string) { l.update(id, nil) }
 
-func (l *VMList) change(id string, vm *roster.VM) {
-	l.data.Lock()
-	defer l.data.Unlock()
-	vms := slices.DeleteFunc(slices.Clone(l.last()), func(v roster.VM) bool { return v.ID == id })
+func (l *VMList) update(id string, vm *roster.VM) {
+	l.dataMu.Lock()
+	defer l.dataMu.Unlock()
+	vms := slices.DeleteFunc(slices.Clone(l.latest()), func(v roster.VM) bool { return v.ID == id })
 	if vm != nil {
 		vms = append(vms, *vm)
 	}
 	now := time.Now()
-	l.history = append(l.history, listing{at: now, vms: vms})
-	l.forget(now)
+	l.history = append(l.history, snapshot{at: now, vms: vms})
+	l.pruneHistory(now)
 }
 
-// forget drops listings that no lag can show again. The caller holds l.data.
-func (l *VMList) forget(now time.Time) {
+// pruneHistory drops listings that no lag can show again. The caller holds l.data.
+func (l *VMList) pruneHistory(now time.Time) {
 	oldest := now.Add(-maxDelayMs * time.Millisecond)
 	for len(l.history) > 1 && l.history[1].at.Before(oldest) {
 		l.history = l.history[1:]
 	}
 }
 
-func (l *VMList) last() []roster.VM { return l.history[len(l.history)-1].vms }
+func (l *VMList) latest() []roster.VM { return l.history[len(l.history)-1].vms }
 
 // VMs returns the list as it is now, without lag.
 func (l *VMList) VMs() []roster.VM {
-	l.data.Lock()
-	defer l.data.Unlock()
-	return slices.Clone(l.last())
+	l.dataMu.Lock()
+	defer l.dataMu.Unlock()
+	return slices.Clone(l.latest())
 }
 
-// shown returns the list as it was before the lag.
-func (l *VMList) shown(now time.Time) []roster.VM {
-	l.data.Lock()
-	defer l.data.Unlock()
+// visibleVMs returns the list as it was before the lag.
+func (l *VMList) visibleVMs(now time.Time) []roster.VM {
+	l.dataMu.Lock()
+	defer l.dataMu.Unlock()
 	for _, h := range slices.Backward(l.history) {
 		if !h.at.After(now.Add(-l.lag)) {
 			return h.vms
@@ -108,14 +108,14 @@
 	method, path := string(ctx.Method()), string(ctx.Path())
 	switch method + " " + path {
 	case "GET /vms":
-		answer(ctx, fasthttp.StatusOK, httproster.VMsDoc{VMs: append([]roster.VM{}, l.shown(time.Now())...)})
+		writeReply(ctx, fasthttp.StatusOK, httproster.VMsDoc{VMs: append([]roster.VM{}, l.visibleVMs(time.Now())...)})
 	case "POST /vms":
 		l.serveRegister(ctx)
 	case "DELETE /vms":
 		l.Remove(string(ctx.QueryArgs().Peek("id")))
-		answer(ctx, fasthttp.StatusOK, struct{}{})
+		writeReply(ctx, fasthttp.StatusOK, struct{}{})
 	default:
-		answerError(ctx, fasthttp.StatusNotFound, "no %s %s", method, path)
+		writeError(ctx, fasthttp.StatusNotFound, "no %s %s", method, path)
 	}
 }
 
@@ -126,8 +126,8 @@
 		err = l.Register(vm)
 	}
 	if err != nil {
-		answerError(ctx, fasthttp.StatusBadRequest, "%v", err)
+		writeError(ctx, fasthttp.StatusBadRequest, "%v", err)
 		return
 	}
-	answer(ctx, fasthttp.StatusOK, vm)
+	writeReply(ctx, fasthttp.StatusOK, vm)
 }
