--- a/standin/bench_test.go
+++ b/standin/bench_test.go
@@ -12,7 +12,7 @@
 	"lentillink.example/lentillink/upstream/httpup"
 )
 
-// BenchmarkSend measures one attempt over loopback, client and stand-in together.
+// BenchmarkSend measures one attempt over loopback, client and fake upstream together.
 func BenchmarkSend(b *testing.B) {
 	u, err := standin.StartUpstream(b.Context(), upstream.Upstream{ID: upstreamID},
 		standin.WithServiceTime(0, 0), standin.WithRanges(1, coverage.Range{To: 1000}))
--- a/standin/bucket.go
+++ b/standin/bucket.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// burstSeconds is how much of a second's rate may be used at once. A tenth
-// lets bursts of a few milliseconds pass and refuses a sustained excess.
+// burstSeconds is the capacity of a bucket, in seconds of its rate. A tenth of
+// a second allows bursts of a few milliseconds and rejects a sustained excess.
 const burstSeconds = 0.1
 
 // bucket is a token bucket. A rate of 0 means no limit.
 type bucket struct {
 	mu     sync.Mutex
-	rate   float64 // tokens a second
+	rate   float64 // tokens per second
 	tokens float64
 	last   time.Time
 }
--- a/standin/control.go
+++ b/standin/control.go
@@ -25,17 +25,17 @@
 // Settings returns the settings with the addresses in use.
 func (d *Deployment) Settings() *settings.Settings { return d.settings }
 
-// ControlAddress returns the address for faults.
+// ControlAddress returns the address of the HTTP interface that injects faults.
 func (d *Deployment) ControlAddress() string { return d.control.Address() }
 
-// Ledger sums up the order ledgers of all upstreams.
+// Ledger sums up the orders that all upstreams executed.
 type Ledger struct {
 	Orders     int      `json:"orders"`
 	Executions int      `json:"runs"`
-	Repeated   []string `json:"repeated"` // ids that were run more than once, sorted
+	Repeated   []string `json:"repeated"` // IDs that were executed more than once, sorted
 }
 
-// Ledger returns the sum of the order ledgers.
+// Ledger returns the sum of the orders that all upstreams executed.
 func (d *Deployment) Ledger() Ledger {
 	executions := make(map[string]int)
 	for _, u := range d.upstreams {
@@ -52,7 +52,7 @@
 	return totals
 }
 
-// Inject switches a fault of a target and returns how many stand-ins it reached.
+// Inject sets a fault of a target and returns on how many services it was set.
 func (d *Deployment) Inject(target, name string, value any) (int, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return len(upstreams), nil
 }
 
-// serviceFaults are the faults that change all upstreams of a service together.
+// serviceFaults returns the faults that change all upstreams of a service together.
 func (d *Deployment) serviceFaults(service string) faultSet {
 	return faultSet{
 		countFault("rollover", 1, maxVersion, func(n uint64) error { return d.RollOver(service, n) }),
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -14,13 +14,14 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// Calls a second that the store of a deployment takes, as in section 1.4 of the design page.
+// Calls per second that the store of a deployment accepts, as in section 1.4 of
+// the design page.
 const (
 	storeWritesPerSecond = 400
 	storeReadsPerSecond  = 2000
 )
 
-// Deployment is every stand-in of one settings document.
+// Deployment runs the fake services of one settings document.
 type Deployment struct {
 	store    *Store
 	vmList   *VMList
@@ -29,7 +30,7 @@
 	services []upstream.Service
 
 	upstreams   map[upstream.ID]*Upstream
-	upstreamIDs []upstream.ID // as in the settings
+	upstreamIDs []upstream.ID // in the order of the settings
 
 	controlAddress  string
 	freePorts       bool
@@ -37,12 +38,12 @@
 	storeOptions    []StoreOption
 	vmListOptions   []VMListOption
 
-	repartitionMu sync.Mutex // held while the shard map of a service changes
+	repartitionMu sync.Mutex // held while a shard map changes; guards repartitions
 	repartitions  map[string]uint64
 }
 
 // StartDeployment serves the store, the VM list and all upstreams of cfg until
-// ctx ends or Close.
+// ctx is cancelled or Close is called.
 func StartDeployment(ctx context.Context, cfg *settings.Settings, opts ...DeploymentOption) (*Deployment, error) {
 	d := &Deployment{
 		settings:       cfg,
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// updateSettings puts the addresses in use into the settings.
+// updateSettings replaces the configured addresses by those in use.
 func (d *Deployment) updateSettings() (err error) {
 	doc := d.settings.Document()
 	doc.Store, doc.VMList = d.store.Address(), d.vmList.Address()
@@ -128,7 +129,7 @@
 	return err
 }
 
-// Close stops all stand-ins at once and waits for them.
+// Close stops all fake services concurrently and waits until they have stopped.
 func (d *Deployment) Close() error {
 	var closers []interface{ Close() error }
 	if d.control != nil {
@@ -154,7 +155,8 @@
 	return err
 }
 
-// RollOver makes every upstream of a service hold version and drop all but the one before it.
+// RollOver adds version to every upstream of a service and removes all versions
+// but the two newest.
 func (d *Deployment) RollOver(service string, version uint64) error {
 	upstreams, err := d.upstreamsAt(service)
 	if err != nil {
@@ -171,7 +173,7 @@
 }
 
 // Repartition moves every boundary between neighbouring groups of a service to
-// shift keys above its configured place, under the next epoch.
+// shift keys above its configured key, and increments the epoch.
 func (d *Deployment) Repartition(service string, shift uint32) error {
 	i := slices.IndexFunc(d.services, func(s upstream.Service) bool { return s.Name == service && s.Keys > 0 })
 	if i < 0 {
@@ -203,7 +205,8 @@
 	return nil
 }
 
-// upstreamsAt returns the upstreams that a path names: one, a group's or a service's.
+// upstreamsAt returns the upstreams that a path selects: a single one, or those
+// of a group or of a service.
 func (d *Deployment) upstreamsAt(path string) ([]*Upstream, error) {
 	var out []*Upstream
 	for _, id := range d.upstreamIDs {
--- a/standin/deployment_test.go
+++ b/standin/deployment_test.go
@@ -32,12 +32,13 @@
 	return d
 }
 
-// TestDeploymentClose guards against goroutines that outlive a full deployment.
+// TestDeploymentClose guards against goroutines that still run after Close of a
+// whole deployment.
 func TestDeploymentClose(t *testing.T) {
 	for _, name := range settings.Deployments() {
 		before := runtime.NumGoroutine()
 		d := deploy(t, name)
-		// The idle timeout bounds how long fasthttp's cleaner of each client lives on.
+		// The idle timeout bounds how long the cleaner goroutine of each fasthttp client runs after Close.
 		c := httpup.New(httpup.WithIdleTimeout(200), httpup.WithServices(d.Settings().Services()...))
 		for i, id := range d.Upstreams() {
 			req := query(uint64(i), longMs)
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestRollOverAndRepartition guards against a roll-over that drops the common version and a
-// repartition that loses or repeats keys.
+// TestRollOverAndRepartition guards against a roll-over that removes the common
+// version and a repartition that loses or duplicates keys.
 func TestRollOverAndRepartition(t *testing.T) {
 	d := deploy(t, "pondslip")
 	defer func() { _ = d.Close() }()
@@ -98,7 +99,7 @@
 	}
 }
 
-// TestControl guards against a mistyped fault that is accepted without effect.
+// TestControl guards against an invalid fault that is accepted without effect.
 func TestControl(t *testing.T) {
 	d := deploy(t, "hautakukka")
 	defer func() { _ = d.Close() }()
@@ -145,7 +146,7 @@
 	}
 }
 
-// TestLedger guards against an order that runs twice unnoticed.
+// TestLedger guards against an order that is executed twice without being reported.
 func TestLedger(t *testing.T) {
 	d := deploy(t, "pondslip")
 	defer func() { _ = d.Close() }()
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,17 +1,17 @@
-// Package standin serves stand-ins for the platform on loopback: the
+// Package standin serves fakes of the platform's services on loopback: the
 // configuration store, the VM list and the upstreams.
 //
-// They speak the protocols of store/httpstore, roster/httproster and
-// upstream/httpup. Each has faults that can be switched while it runs, by
-// Inject or over HTTP on the control address of a Deployment:
+// They implement the protocols of store/httpstore, roster/httproster and
+// upstream/httpup. Faults can be set while they run, by Inject or over HTTP on
+// the control address of a Deployment:
 //
 //	POST /fault   {"target": "search/planner-01/a", "fault": "slow_factor", "value": 10}
 //	              200 {"applied": 1}; 400 {"error": "..."} names the field and the accepted values
 //	GET /faults   200, the faults of each kind of target with their accepted values
 //	GET /ledger   200 {"orders": 10, "runs": 10, "repeated": []}
 //
-// A target is "store", "vm_list", or an upstream, group or service by its path;
-// a group or service means all of its upstreams.
+// A target is "store", "vm_list", or the path of an upstream, group or service;
+// a group or service stands for all of its upstreams.
 //
 //	store              down, slow_ms, lose_answers, lapse_leases, writes_per_second, reads_per_second
 //	vm_list            down, slow_ms, lag_ms
@@ -21,6 +21,6 @@
 //	                   crossed_share, cut_share, doubled_share
 //	service            rollover, repartition
 //
-// The VM list also takes POST /vms with one VM and DELETE /vms?id=ID, so that
-// daemons of a demo can be registered; VMs do not call these.
+// The VM list also accepts POST /vms with one VM and DELETE /vms?id=ID, by which
+// a demo registers its daemons; VMs do not call these.
 package standin
--- a/standin/error.go
+++ b/standin/error.go
@@ -5,8 +5,9 @@
 // Kind classifies an Error.
 type Kind uint8
 
-// KindListen means that an address cannot be used, KindUnknownTarget and
-// KindUnknownFault that there is no such target or fault, KindInvalid that a value is refused.
+// KindListen means that a server cannot listen on an address, KindUnknownTarget
+// and KindUnknownFault that there is no such target or fault, and KindInvalid
+// that a value is not accepted.
 const (
 	KindListen Kind = iota
 	KindUnknownTarget
@@ -24,7 +25,7 @@
 	return "invalid_kind"
 }
 
-// Error reports a stand-in that cannot start or a fault that cannot be switched.
+// Error reports a service that cannot start or a fault that cannot be set.
 type Error struct {
 	op   string
 	kind Kind
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// fault is one switch of a stand-in.
+// fault is one fault that can be set on a service, with a function that applies a value.
 type fault struct {
 	name    string
-	accepts string // the accepted values, for messages
+	accepts string // the accepted values, as error messages and GET /faults give them
 	set     func(json.RawMessage) error
 }
 
-// faultSet are the faults of one stand-in.
+// faultSet holds the faults of one service.
 type faultSet []fault
 
-// Inject switches a fault. The value is encoded as JSON and checked as over HTTP.
+// Inject sets a fault. The value is encoded as JSON and validated as over HTTP.
 func (s faultSet) Inject(name string, value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -67,7 +67,7 @@
 	errTrailing = errors.New("data after the value")
 )
 
-// decodeStrict refuses unknown fields, null and data after the value.
+// decodeStrict decodes JSON and rejects unknown fields, null and data after the value.
 func decodeStrict(data []byte, out any) error {
 	if bytes.Equal(bytes.TrimSpace(data), []byte("null")) {
 		return errors.New("null is no value")
--- a/standin/http.go
+++ b/standin/http.go
@@ -27,13 +27,13 @@
 	writeReply(ctx, status, errorDoc{Error: fmt.Sprintf(format, args...)})
 }
 
-// dropReply closes the connection without an answer.
+// dropReply closes the connection without a reply.
 func dropReply(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
 }
 
-// writeRaw writes text in place of an answer. With keep the connection stays
+// writeRaw writes text in place of a reply. With keepOpen the connection stays
 // open until the client closes it.
 func writeRaw(ctx *fasthttp.RequestCtx, text []byte, keepOpen bool) {
 	ctx.HijackSetNoResponse(true)
@@ -52,7 +52,7 @@
 	return append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(body)), body...)
 }
 
-// numberArg reads an unsigned query argument.
+// numberArg parses an unsigned query argument, or replies with status 400.
 func numberArg(ctx *fasthttp.RequestCtx, name string) (uint64, bool) {
 	var n uint64
 	text := string(ctx.QueryArgs().Peek(name))
--- a/standin/listener.go
+++ b/standin/listener.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// limitListener accepts connections up to a limit and makes each one cost set-up time.
+// limitListener accepts connections up to a limit and delays the first read of
+// each one by the set-up time.
 type limitListener struct {
 	net.Listener
 	srv *server
@@ -20,7 +21,7 @@
 	closeOnce sync.Once
 }
 
-// Accept returns the next connection within the limit. Others are reset, as
+// Accept returns the next connection within the limit. It resets the others, as
 // an upstream with a full connection table does.
 func (g *limitListener) Accept() (net.Conn, error) {
 	for {
@@ -38,13 +39,13 @@
 	}
 }
 
-// Read waits for the set-up time before the first byte.
+// Read sleeps for the set-up time before the first read.
 func (c *conn) Read(p []byte) (int, error) {
 	c.setupOnce.Do(func() { c.srv.sleep(c.srv.currentSetupTime(), nil) })
 	return c.Conn.Read(p)
 }
 
-// Close closes the connection and frees its place.
+// Close closes the connection and removes it from the open connections of the server.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
 	c.closeOnce.Do(func() { c.srv.removeConn(c) })
--- a/standin/options.go
+++ b/standin/options.go
@@ -12,7 +12,7 @@
 // WithStoreAddress sets the address; the default is a free port on loopback.
 func WithStoreAddress(address string) StoreOption { return func(s *Store) { s.address = address } }
 
-// WithRateLimits sets the accepted writes and reads a second; 0 means no limit.
+// WithRateLimits sets the accepted writes and reads per second; 0 means no limit.
 func WithRateLimits(writes, reads int) StoreOption {
 	return func(s *Store) { s.writes.rate, s.reads.rate = float64(writes), float64(reads) }
 }
@@ -23,18 +23,19 @@
 // WithVMListAddress sets the address; the default is a free port on loopback.
 func WithVMListAddress(address string) VMListOption { return func(l *VMList) { l.address = address } }
 
-// WithLag delays every change of the list by ms.
+// WithLag sets the milliseconds after which a change of the list becomes visible.
 func WithLag(ms float64) VMListOption { return func(l *VMList) { l.lag = millis(ms) } }
 
 // UpstreamOption configures an Upstream.
 type UpstreamOption func(*Upstream)
 
-// WithServiceTime sets the median and the spread of the log-normal service time.
+// WithServiceTime sets the median in milliseconds and the shape parameter sigma
+// of the log-normal service time.
 func WithServiceTime(medianMs, sigma float64) UpstreamOption {
 	return func(u *Upstream) { u.behaviour.medianMs, u.behaviour.sigma = medianMs, sigma }
 }
 
-// WithSlowShare makes a share of requests take factor times as long.
+// WithSlowShare multiplies the service times of a share of requests, from 0 to 1, by factor.
 func WithSlowShare(share, factor float64) UpstreamOption {
 	return func(u *Upstream) { u.behaviour.slowShare, u.behaviour.slowShareFactor = share, factor }
 }
@@ -49,8 +50,9 @@
 	return func(u *Upstream) { u.behaviour.coldUntil, u.behaviour.coldFactor = time.Now().Add(millis(ms)), factor }
 }
 
-// WithWorkers sets how many requests run at once and how many may wait before
-// the upstream sheds. 0 workers means no bound; shedAbove 0 means that it never sheds.
+// WithWorkers sets how many requests run concurrently and how many may be
+// queued; the upstream sheds those above. 0 workers means no bound, and with
+// shedAbove 0 it never sheds.
 func WithWorkers(workers, shedAbove int) UpstreamOption {
 	return func(u *Upstream) { u.behaviour.workers, u.behaviour.shedAbove = workers, shedAbove }
 }
@@ -60,28 +62,29 @@
 	return func(u *Upstream) { u.behaviour.heldVersions = append([]uint64(nil), versions...) }
 }
 
-// WithRanges sets the shard map epoch and the ranges that the upstream answers for.
+// WithRanges sets the epoch of the shard map and the key ranges of the upstream.
 func WithRanges(epoch uint64, ranges ...coverage.Range) UpstreamOption {
 	return func(u *Upstream) {
 		u.behaviour.epoch, u.behaviour.ranges = epoch, append([]coverage.Range(nil), ranges...)
 	}
 }
 
-// WithRows sets how many rows a reply carries for each range.
+// WithRows sets how many rows a reply contains per range.
 func WithRows(n int) UpstreamOption { return func(u *Upstream) { u.rowsPerRange = uint32(max(n, 0)) } }
 
-// WithSeed seeds service times and reply faults.
+// WithSeed sets the seed of the random numbers for service times and reply faults.
 func WithSeed(seed uint64) UpstreamOption { return func(u *Upstream) { u.seed = seed } }
 
 // DeploymentOption configures a Deployment.
 type DeploymentOption func(*Deployment)
 
-// WithControlAddress sets the address for faults; the default is a free port on loopback.
+// WithControlAddress sets the address of the HTTP interface that injects faults;
+// the default is a free port on loopback.
 func WithControlAddress(address string) DeploymentOption {
 	return func(d *Deployment) { d.controlAddress = address }
 }
 
-// WithFreePorts serves everything on free ports; Settings then tells the real addresses.
+// WithFreePorts serves everything on free ports; Settings then returns the addresses in use.
 func WithFreePorts() DeploymentOption { return func(d *Deployment) { d.freePorts = true } }
 
 // WithUpstreamOptions applies opts to every upstream.
--- a/standin/queue.go
+++ b/standin/queue.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// queue lets a bounded number of jobs run; the others wait in order of arrival.
+// queue bounds the number of running jobs; the others are queued in first-in,
+// first-out order.
 type queue struct {
 	mu      sync.Mutex
 	workers int // 0 for no bound
@@ -15,8 +16,8 @@
 
 func newQueue(workers int) *queue { return &queue{workers: workers} }
 
-// acquire takes a place, or returns a channel that is closed once there is one.
-// It reports false if more than shedAbove jobs would wait.
+// acquire returns a channel that is closed once a worker is assigned to the job.
+// It returns false if more than shedAbove jobs would be queued.
 func (q *queue) acquire(shedAbove int) (ready chan struct{}, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -33,7 +34,7 @@
 	return ready, true
 }
 
-// release gives a place back, whether it was taken or still waited for.
+// release frees the worker of a job, or removes the job from the queue.
 func (q *queue) release(ready chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -68,7 +69,8 @@
 	return q.running, len(q.waiting)
 }
 
-// waitReady waits for a turn. It reports false if the time passed or stop closed first.
+// waitReady waits until ready is closed. It returns false if d passed, stop was
+// closed or the server ended first.
 func (s *server) waitReady(ready <-chan struct{}, d time.Duration, stop <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/standin/reply.go
+++ b/standin/reply.go
@@ -10,7 +10,7 @@
 	"lentillink.example/lentillink/upstream/httpup"
 )
 
-// replyFault is how one reply is broken.
+// replyFault is a fault of one reply.
 type replyFault uint8
 
 const (
@@ -20,7 +20,7 @@
 	replyDuplicated
 )
 
-// sendReply writes a reply, or what a reply fault makes of it.
+// sendReply writes a reply, with the faults that were chosen for it.
 func (u *Upstream) sendReply(ctx *fasthttp.RequestCtx, doc httpup.ReplyDoc) {
 	kind, delay, other := u.chooseReplyFault(doc)
 	u.sleep(delay, nil)
@@ -57,7 +57,8 @@
 	return kind, delay, other
 }
 
-// otherReply returns the reply to another attempt. The caller holds u.data.
+// otherReply returns a reply that names another attempt: the last one sent, or
+// doc with the next sequence number. The caller holds u.dataMu.
 func (u *Upstream) otherReply(doc httpup.ReplyDoc) httpup.ReplyDoc {
 	if u.lastReply != nil && u.lastReply.Attempt != doc.Attempt {
 		return *u.lastReply
@@ -108,7 +109,8 @@
 	writeReply(ctx, fasthttp.StatusOK, httpup.CancelledDoc{Attempt: doc.Attempt, Found: found})
 }
 
-// reportLoad returns what the load endpoint tells, which may lag or lie.
+// reportLoad returns the load that the load endpoint reports. The faults
+// load_lag_ms and load_lies make it stale or always healthy.
 func (u *Upstream) reportLoad(now time.Time) upstream.Load {
 	running, queued := u.queue.lengths()
 	connections := u.Connections().Open
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -13,7 +13,7 @@
 	"lentillink.example/lentillink/upstream/httpup"
 )
 
-// shedRetryAfterMs is the retry-after time of a shed attempt.
+// shedRetryAfterMs is the retry-after time in the reply to a shed attempt.
 const shedRetryAfterMs = 50
 
 func (u *Upstream) route(ctx *fasthttp.RequestCtx) {
@@ -45,7 +45,7 @@
 	u.sendReply(ctx, u.process(req, kind))
 }
 
-// process decides and runs one attempt.
+// process rejects, queues or executes one attempt and returns its reply.
 func (u *Upstream) process(req httpup.RequestDoc, kind attempt.Kind) httpup.ReplyDoc {
 	deadline := time.Now().Add(req.DeadlineMs.Duration())
 	if status, rejected := u.rejectStatus(req, kind); rejected {
@@ -61,7 +61,7 @@
 	if !u.waitReady(ready, time.Until(deadline), j.cancel) {
 		return u.reject(req, stopStatus(j))
 	}
-	// A cancellation or a deadline that came together with the turn still stops the attempt unrun.
+	// An attempt that was cancelled or whose deadline passed at the same time as a worker became free is not executed.
 	if j.cancelled() || !time.Now().Before(deadline) {
 		return u.reject(req, stopStatus(j))
 	}
@@ -90,7 +90,7 @@
 	return httpup.StatusExpired
 }
 
-// reject answers an attempt that did not start.
+// reject returns the reply to an attempt that was not executed.
 func (u *Upstream) reject(req httpup.RequestDoc, status string) httpup.ReplyDoc {
 	u.dataMu.Lock()
 	defer u.dataMu.Unlock()
@@ -117,8 +117,9 @@
 	}
 }
 
-// execute works on an attempt. A query stops at its deadline or cancellation; an
-// order that started runs to its end, so that the ledger is exact.
+// execute runs an attempt. A query stops at its deadline or cancellation; an
+// order that has started runs to completion, so that the count of its executions
+// is exact.
 func (u *Upstream) execute(req httpup.RequestDoc, kind attempt.Kind, deadline time.Time, j *job) httpup.ReplyDoc {
 	duration := u.startExecution(req, kind)
 	if kind == attempt.Order {
@@ -145,7 +146,7 @@
 	return u.serviceTime(time.Now())
 }
 
-// stopExecution answers a query that stopped while it ran.
+// stopExecution returns the reply to a query that was stopped while it ran.
 func (u *Upstream) stopExecution(req httpup.RequestDoc, status string) httpup.ReplyDoc {
 	u.dataMu.Lock()
 	defer u.dataMu.Unlock()
@@ -170,7 +171,7 @@
 	return doc
 }
 
-// sampleRows returns n evenly spaced rows of r whose values carry the version.
+// sampleRows returns n evenly spaced rows of r whose values contain the version.
 func sampleRows(r coverage.Range, n uint32, version uint64) []coverage.Row {
 	n = min(n, r.Len())
 	out := make([]coverage.Row, n)
@@ -184,7 +185,8 @@
 // RowValue returns the value of a key in a snapshot version.
 func RowValue(key uint32, version uint64) string { return fmt.Sprintf("v%d/%d", version, key) }
 
-// newReply fills the fields that every reply carries. The caller holds u.data.
+// newReply returns a reply with the fields common to all replies. The caller
+// holds u.dataMu.
 func (u *Upstream) newReply(req httpup.RequestDoc, status string, execution attempt.Execution) httpup.ReplyDoc {
 	return httpup.ReplyDoc{
 		Attempt:      req.Attempt,
@@ -196,7 +198,7 @@
 	}
 }
 
-// serviceTime draws a service time. The caller holds u.data.
+// serviceTime returns a random service time. The caller holds u.dataMu.
 func (u *Upstream) serviceTime(now time.Time) time.Duration {
 	ms := u.behaviour.medianMs * math.Exp(u.behaviour.sigma*u.rng.NormFloat64()) * u.behaviour.slowFactor
 	if u.rng.Float64() < u.behaviour.slowShare {
--- a/standin/server.go
+++ b/standin/server.go
@@ -10,32 +10,33 @@
 	"github.com/valyala/fasthttp"
 )
 
-// relistenTimeout bounds how long a stand-in that comes back waits for its port.
+// relistenTimeout bounds how long a server retries to listen on its port when the
+// down fault ends, as the port may still be in use.
 const relistenTimeout = 2 * time.Second
 
-// maxRequestBytes leaves room for a value of MaxValueBytes in base64.
+// maxRequestBytes bounds a request body. It fits a value of MaxValueBytes in base64.
 const maxRequestBytes = 8 << 20
 
-// idleWorkerTimeout bounds how long fasthttp's idle workers outlive Close.
+// idleWorkerTimeout bounds how long fasthttp's idle workers run after Close.
 const idleWorkerTimeout = time.Second
 
-// server is the part that all stand-ins share: one address, its connections,
-// and the faults of the connection itself.
+// server is common to all fake services: an address, its connections, and the
+// faults of connections and calls.
 type server struct {
 	parent        context.Context
-	ctx           context.Context // ends with parent or Close
+	ctx           context.Context // cancelled with parent or by Close
 	cancel        context.CancelFunc
-	stopAfterFunc func() bool // stops following parent
+	stopAfterFunc func() bool // unregisters the call of Close on the end of parent
 	handler       fasthttp.RequestHandler
 	address       string
-	handlers      sync.WaitGroup // running handlers
+	handlers      sync.WaitGroup // handlers that are running
 
-	stateMu  sync.Mutex // held while the server goes down, comes back or closes
-	serveErr chan error // result of the serving goroutine; nil while down
+	stateMu  sync.Mutex // held while the server stops or starts listening, or closes
+	serveErr chan error // receives the error of the serving goroutine; nil while down
 	listener net.Listener
 
 	mu        sync.Mutex
-	connLimit int // open connections, 0 for no limit
+	connLimit int // maximum of open connections; 0 for no limit
 	setupTime time.Duration
 	callDelay time.Duration // added to every call
 	down      bool
@@ -56,7 +57,7 @@
 	return s
 }
 
-// start listens and serves handler in a goroutine that reports its end.
+// start listens on the address and serves handler in a goroutine.
 func (s *server) start(handler fasthttp.RequestHandler) error {
 	s.handler = handler
 	ln, err := net.Listen("tcp", s.address)
@@ -98,7 +99,7 @@
 	s.handler(ctx)
 }
 
-// beginHandler counts a handler in, unless the server is closing.
+// beginHandler registers a running handler. It returns false if the server is closing.
 func (s *server) beginHandler() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 	return true
 }
 
-// sleep waits for d and reports false if stop or the server ended first.
+// sleep waits for d. It returns false if stop was closed or the server ended first.
 func (s *server) sleep(d time.Duration, stop <-chan struct{}) bool {
 	if d <= 0 {
 		return true
@@ -126,7 +127,8 @@
 	}
 }
 
-// setDown stops listening and breaks all connections, or listens again on the same address.
+// setDown stops listening and closes all connections, or listens again on the
+// same address.
 func (s *server) setDown(down bool) error {
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
@@ -165,7 +167,8 @@
 	}
 }
 
-// stopServing closes the listener and all connections and waits for the serving goroutine.
+// stopServing closes the listener and all connections and waits for the serving
+// goroutine.
 func (s *server) stopServing() error {
 	if s.serveErr == nil {
 		return nil
@@ -174,7 +177,7 @@
 	s.closeConns()
 	err := <-s.serveErr
 	s.serveErr = nil
-	s.closeConns() // those accepted before the listener closed
+	s.closeConns() // those accepted before the listener was closed
 	if errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -193,7 +196,7 @@
 	}
 }
 
-// Close stops the stand-in and waits until its goroutines and handlers end.
+// Close stops the server and waits until its goroutines and handlers end.
 func (s *server) Close() error {
 	s.stopAfterFunc()
 	s.cancel()
--- a/standin/store.go
+++ b/standin/store.go
@@ -12,7 +12,7 @@
 	"lentillink.example/lentillink/store"
 )
 
-// MaxValueBytes is the largest value that the store takes.
+// MaxValueBytes is the largest value that the store accepts.
 const MaxValueBytes = 1 << 20
 
 var (
@@ -20,7 +20,7 @@
 	errLeaseExpired = errors.New("lease has lapsed")
 )
 
-// Store stands in for the platform's configuration store.
+// Store is a fake of the platform's configuration store.
 type Store struct {
 	*server
 	faultSet
@@ -32,9 +32,9 @@
 	entries        map[string]store.Entry
 	leases         map[store.LeaseID]lease
 	lastLeaseID    store.LeaseID
-	changed        chan struct{} // closed and replaced at each write
+	changed        chan struct{} // closed and replaced on each write
 	calls          map[string]int
-	repliesToDrop  uint64 // effective writes whose answer is still to be lost
+	repliesToDrop  uint64 // applied writes whose replies are still to be dropped
 	droppedReplies int
 }
 
@@ -43,7 +43,7 @@
 	expiresAt time.Time
 }
 
-// StartStore serves an empty store until ctx ends or Close.
+// StartStore serves an empty store until ctx is cancelled or Close is called.
 func StartStore(ctx context.Context, opts ...StoreOption) (*Store, error) {
 	s := &Store{
 		server:  newServer(ctx, "127.0.0.1:0"),
@@ -107,7 +107,7 @@
 	s.calls[name]++
 }
 
-// dropsReply reports whether the answer to an effective write is to be lost.
+// dropsReply reports whether the reply to an applied write is to be dropped.
 func (s *Store) dropsReply() bool {
 	s.dataMu.Lock()
 	defer s.dataMu.Unlock()
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// notifyWatches ends the wait of all watches. The caller holds s.data.
+// notifyWatches wakes all pending watches. The caller holds s.dataMu.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -165,7 +165,7 @@
 	return s.lastLeaseID
 }
 
-// updateLease renews a lease, or ends it if ends is set.
+// updateLease renews a lease, or revokes it if revoke is set.
 func (s *Store) updateLease(id store.LeaseID, revoke bool) error {
 	s.dataMu.Lock()
 	defer s.dataMu.Unlock()
@@ -182,21 +182,21 @@
 	return nil
 }
 
-// Entry returns a key without counting a call.
+// Entry returns the entry of a key without counting a call.
 func (s *Store) Entry(key string) store.Entry {
 	e, _ := s.get(key)
 	return e
 }
 
 // Calls returns the number of calls by kind: get, swap, delete, watch, grant,
-// keep_alive, revoke, and rate_limited for those refused by a rate.
+// keep_alive, revoke, and rate_limited for those rejected by a rate limit.
 func (s *Store) Calls() map[string]int {
 	s.dataMu.Lock()
 	defer s.dataMu.Unlock()
 	return maps.Clone(s.calls)
 }
 
-// DroppedReplies returns how many effective writes were not answered.
+// DroppedReplies returns how many applied writes got no reply.
 func (s *Store) DroppedReplies() int {
 	s.dataMu.Lock()
 	defer s.dataMu.Unlock()
--- a/standin/store_test.go
+++ b/standin/store_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestSwapRace guards against two writers that both win one revision.
+// TestSwapRace guards against two concurrent writers that both succeed on one revision.
 func TestSwapRace(t *testing.T) {
 	s, c := startStore(t)
 	var wins, conflicts atomic.Int64
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestStoreFaults guards against a fault without effect, and against a lost
-// answer whose write did not take effect or a refused write that did.
+// TestStoreFaults guards against a fault without effect, against a dropped reply
+// whose write was not applied, and against a rejected write that was.
 func TestStoreFaults(t *testing.T) {
 	s, c := startStore(t)
 	ctx := t.Context()
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestLeases guards against a lapsed lease that can be extended.
+// TestLeases guards against an expired lease that can be renewed.
 func TestLeases(t *testing.T) {
 	s, c := startStore(t)
 	ctx := t.Context()
@@ -122,7 +122,7 @@
 	wantKind(t, "KeepAlive after a lapse", c.KeepAlive(ctx, id), store.KindConflict)
 	shortLease, err := c.Grant(ctx, 1)
 	wantKind(t, "Grant", err, store.KindOK)
-	for c.KeepAlive(ctx, shortLease) == nil && ctx.Err() == nil { // each call extends by 1 ms only
+	for c.KeepAlive(ctx, shortLease) == nil && ctx.Err() == nil { // each call renews for 1 ms only
 		continue
 	}
 	if id, err = c.Grant(ctx, longMs); err == nil {
@@ -132,7 +132,7 @@
 	wantKind(t, "Revoke again", c.Revoke(ctx, id), store.KindConflict)
 }
 
-// TestWatch guards against a watch that misses a write or returns an old one.
+// TestWatch guards against a watch that misses a write or returns a stale value.
 func TestWatch(t *testing.T) {
 	s, c := startStore(t)
 	got := make(chan store.Entry, 1)
@@ -152,7 +152,7 @@
 	}
 }
 
-// TestRates guards against a store that takes calls above its rates.
+// TestRates guards against a store that accepts calls above its rate limits.
 func TestRates(t *testing.T) {
 	s, c := startStore(t, standin.WithRateLimits(1, 1))
 	_, err := c.Swap(t.Context(), "k", nil, 0)
@@ -165,7 +165,7 @@
 	}
 }
 
-// TestVMList guards against a list that shows a change before its lag.
+// TestVMList guards against a list that shows a change before its lag has passed.
 func TestVMList(t *testing.T) {
 	l, err := standin.StartVMList(t.Context())
 	if err != nil {
--- a/standin/storeroutes.go
+++ b/standin/storeroutes.go
@@ -38,7 +38,8 @@
 	return httpstore.EntryDoc{Key: e.Key, Value: e.Value, Revision: e.Revision}
 }
 
-// replyToWrite answers a write: lost after it took effect, a conflict, or done.
+// replyToWrite replies to a write with its result. The lose_answers fault drops
+// the reply after the write was applied.
 func (s *Store) replyToWrite(ctx *fasthttp.RequestCtx, err error, doc any) {
 	switch {
 	case errors.Is(err, errConflict), errors.Is(err, errLeaseExpired):
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -13,15 +13,16 @@
 	"lentillink.example/lentillink/upstream/httpup"
 )
 
-// maxHeldVersions bounds the snapshot versions that an upstream keeps after a roll-over.
+// maxHeldVersions bounds the snapshot versions that an upstream holds. Older
+// ones are removed when a new one is added.
 const maxHeldVersions = 8
 
-// Upstream stands in for one upstream.
+// Upstream is a fake of one upstream.
 type Upstream struct {
 	*server
 	faultSet
 	id           upstream.ID
-	rowsPerRange uint32 // for each range
+	rowsPerRange uint32 // per range of a reply
 	seed         uint64
 
 	dataMu         sync.Mutex
@@ -29,14 +30,14 @@
 	behaviour      behaviour
 	queue          *queue
 	jobs           map[attempt.ID]*job
-	executions     map[string]int // runs by order id
+	executions     map[string]int // executions by order ID
 	counts         AttemptCounts
-	lastReply      *httpup.ReplyDoc // last reply, which a crossed reply repeats
-	reportedLoad   upstream.Load    // as last shown by the load endpoint
+	lastReply      *httpup.ReplyDoc // sent in place of the reply to another attempt by crossed_share
+	reportedLoad   upstream.Load    // as last reported by the load endpoint
 	loadReportedAt time.Time
 }
 
-// behaviour is what faults change.
+// behaviour holds the parameters that faults change.
 type behaviour struct {
 	medianMs, sigma                 float64
 	slowFactor                      float64
@@ -56,13 +57,13 @@
 	truncatedShare, duplicatedShare float64
 }
 
-// job is one attempt that waits or runs.
+// job is one attempt that is queued or running.
 type job struct {
 	cancel chan struct{}
 	once   sync.Once
 }
 
-// AttemptCounts counts what an upstream did with attempts.
+// AttemptCounts counts the attempts of an upstream by what happened to them.
 type AttemptCounts struct {
 	Received    int `json:"received"`
 	Started     int `json:"started"`
@@ -74,8 +75,9 @@
 	Leaving     int `json:"leaving"`
 }
 
-// StartUpstream serves an upstream until ctx ends or Close. It takes its
-// address, connection limit and set-up time from u; without an address it uses a free port.
+// StartUpstream serves an upstream until ctx is cancelled or Close is called.
+// It takes its address, connection limit and connection set-up time from u;
+// without an address it uses a free port.
 func StartUpstream(ctx context.Context, u upstream.Upstream, opts ...UpstreamOption) (*Upstream, error) {
 	address := u.Address
 	if address == "" {
@@ -105,7 +107,7 @@
 // ID returns the identifier of the upstream.
 func (u *Upstream) ID() upstream.ID { return u.id }
 
-// Executions returns how often the order with the given id was run.
+// Executions returns how often the order with the given ID was executed.
 func (u *Upstream) Executions(order string) int {
 	u.dataMu.Lock()
 	defer u.dataMu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// AttemptCounts returns what the upstream did with attempts.
+// AttemptCounts returns the counts of attempts.
 func (u *Upstream) AttemptCounts() AttemptCounts {
 	u.dataMu.Lock()
 	defer u.dataMu.Unlock()
@@ -135,7 +137,7 @@
 	return slices.Clone(u.behaviour.heldVersions)
 }
 
-// AddVersion adds a snapshot version. The oldest one goes when too many are held.
+// AddVersion adds a snapshot version and removes the oldest ones above maxHeldVersions.
 func (u *Upstream) AddVersion(version uint64) {
 	u.dataMu.Lock()
 	defer u.dataMu.Unlock()
@@ -154,7 +156,7 @@
 	u.behaviour.heldVersions = slices.DeleteFunc(slices.Clone(u.behaviour.heldVersions), func(v uint64) bool { return v == version })
 }
 
-// SetRanges moves the upstream to another shard map.
+// SetRanges sets the epoch of the shard map and the key ranges of the upstream.
 func (u *Upstream) SetRanges(epoch uint64, ranges ...coverage.Range) {
 	u.dataMu.Lock()
 	defer u.dataMu.Unlock()
--- a/standin/upstream_test.go
+++ b/standin/upstream_test.go
@@ -17,12 +17,13 @@
 
 const (
 	upstreamID = upstream.ID("search/g1/a")
-	longMs     = 30 * clock.Second // never reached unless a test hangs
-	// shortMs is always reached; it is long enough to connect and write on a busy machine.
+	longMs     = 30 * clock.Second // expires only if a test hangs
+	// shortMs is a timeout that always expires; it leaves time to connect and write on a busy machine.
 	shortMs = clock.Second
 )
 
-// start serves one upstream and returns a client that may open connections of its own.
+// start serves one upstream with a limit of connections and returns a client
+// that may open as many as connections.
 func start(t *testing.T, limit, connections int, opts ...standin.UpstreamOption) (*standin.Upstream, *httpup.Client) {
 	t.Helper()
 	opts = append([]standin.UpstreamOption{standin.WithServiceTime(0, 0), standin.WithRanges(1, coverage.Range{To: 10})}, opts...)
@@ -52,7 +53,8 @@
 	return req
 }
 
-// TestUpstreamFaults guards against a fault that has no effect, or whose end has none.
+// TestUpstreamFaults guards against a fault that has no effect, or that keeps its
+// effect after it was cleared.
 func TestUpstreamFaults(t *testing.T) {
 	tests := []struct {
 		fault     string
@@ -106,7 +108,7 @@
 	}
 }
 
-// TestReplyFaults guards against a reply to one attempt that reaches another.
+// TestReplyFaults guards against a reply to one attempt that is delivered to another.
 func TestReplyFaults(t *testing.T) {
 	u, c := start(t, 0, 8)
 	for _, name := range []string{"crossed_share", "cut_share", "doubled_share"} {
@@ -155,8 +157,9 @@
 	}
 }
 
-// TestQueue guards against work that is run although it was shed, cancelled or
-// late, and against a false claim that it was not run.
+// TestQueue guards against an attempt that is executed although it was shed,
+// cancelled or past its deadline, and against a reply that wrongly says that it
+// was not executed.
 func TestQueue(t *testing.T) {
 	u, c := start(t, 0, 8, standin.WithWorkers(1, 1), standin.WithServiceTime(60_000, 0))
 	first, queued := make(chan attempt.Reply, 1), make(chan attempt.Reply, 1)
@@ -200,7 +203,8 @@
 	}
 }
 
-// TestLoadFaults guards against a load endpoint that is always right, which would hide reliance on it.
+// TestLoadFaults guards against a load endpoint that is always correct, which would
+// hide code that relies on it.
 func TestLoadFaults(t *testing.T) {
 	u, c := start(t, 0, 4)
 	inject(t, u, "load_lag_ms", 600_000)
@@ -220,7 +224,8 @@
 	}
 }
 
-// TestCloseOnContextEnd guards against a stand-in that outlives its context.
+// TestCloseOnContextEnd guards against a server that still runs after its context
+// was cancelled.
 func TestCloseOnContextEnd(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	u, err := standin.StartUpstream(ctx, upstream.Upstream{ID: upstreamID})
--- a/standin/upstreamfaults.go
+++ b/standin/upstreamfaults.go
@@ -8,7 +8,7 @@
 	"lentillink.example/lentillink/coverage"
 )
 
-// Bounds of the values that faults take.
+// Upper bounds of the values that faults accept.
 const (
 	maxFactor  = 1000
 	maxWorkers = 1 << 20
--- a/standin/vmlist.go
+++ b/standin/vmlist.go
@@ -14,14 +14,14 @@
 	"lentillink.example/lentillink/roster/httproster"
 )
 
-// VMList stands in for the platform's list of VMs.
+// VMList is a fake of the platform's list of VMs.
 type VMList struct {
 	*server
 	faultSet
 
 	dataMu  sync.Mutex
 	lag     time.Duration
-	history []snapshot // ascending in time; the last one is the truth
+	history []snapshot // ascending in time; the last one is current
 }
 
 type snapshot struct {
@@ -29,7 +29,7 @@
 	vms []roster.VM
 }
 
-// StartVMList serves an empty list until ctx ends or Close.
+// StartVMList serves an empty list until ctx is cancelled or Close is called.
 func StartVMList(ctx context.Context, opts ...VMListOption) (*VMList, error) {
 	l := &VMList{server: newServer(ctx, "127.0.0.1:0"), history: []snapshot{{}}}
 	for _, opt := range opts {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Remove takes a VM off the list.
+// Remove removes a VM from the list.
 func (l *VMList) Remove(id string) { l.update(id, nil) }
 
 func (l *VMList) update(id string, vm *roster.VM) {
@@ -75,7 +75,8 @@
 	l.pruneHistory(now)
 }
 
-// pruneHistory drops listings that no lag can show again. The caller holds l.data.
+// pruneHistory drops snapshots that are older than the largest lag. The caller
+// holds l.dataMu.
 func (l *VMList) pruneHistory(now time.Time) {
 	oldest := now.Add(-maxDelayMs * time.Millisecond)
 	for len(l.history) > 1 && l.history[1].at.Before(oldest) {
@@ -85,14 +86,14 @@
 
 func (l *VMList) latest() []roster.VM { return l.history[len(l.history)-1].vms }
 
-// VMs returns the list as it is now, without lag.
+// VMs returns the current list, without lag.
 func (l *VMList) VMs() []roster.VM {
 	l.dataMu.Lock()
 	defer l.dataMu.Unlock()
 	return slices.Clone(l.latest())
 }
 
-// visibleVMs returns the list as it was before the lag.
+// visibleVMs returns the list that clients get: the one of a lag ago.
 func (l *VMList) visibleVMs(now time.Time) []roster.VM {
 	l.dataMu.Lock()
 	defer l.dataMu.Unlock()
