--- a/standin/control.go
+++ b/standin/control.go
@@ -118,7 +118,7 @@
 func (d *Deployment) serveFault(ctx *fasthttp.RequestCtx) {
 	var doc faultDoc
 	if err := decodeStrict(ctx.PostBody(), &doc); err != nil {
-		writeError(ctx, fasthttp.StatusBadRequest, "body is refused, want target, fault and value: %v", err)
+		writeError(ctx, fasthttp.StatusBadRequest, "body is not a fault, want target, fault and value: %v", err)
 		return
 	}
 	if len(doc.Value) == 0 {
--- a/standin/deployment_test.go
+++ b/standin/deployment_test.go
@@ -53,7 +53,7 @@
 		}
 		for deadline := time.Now().Add(30 * time.Second); runtime.NumGoroutine() > before+5; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s left %d goroutines, want about %d", name, runtime.NumGoroutine(), before)
+				t.Fatalf("%s: %d goroutines after Close, want about %d", name, runtime.NumGoroutine(), before)
 			}
 		}
 	}
@@ -84,12 +84,12 @@
 			}
 			for _, r := range got.Ranges {
 				if len(covered.Add(r)) != 1 {
-					t.Errorf("range %v of %s was covered before", r, g.Name)
+					t.Errorf("range %v of %s is covered twice", r, g.Name)
 				}
 			}
 			for _, row := range got.Rows {
 				if row.Value != standin.RowValue(row.Key, version-1) {
-					t.Errorf("row %v does not carry version %d", row, version-1)
+					t.Errorf("row %v is not of version %d", row, version-1)
 				}
 			}
 		}
@@ -160,6 +160,6 @@
 		}
 	}
 	if got := d.Ledger(); got.Orders != 2 || got.Executions != 3 || len(got.Repeated) != 1 || got.Repeated[0] != "one" {
-		t.Errorf("Ledger = %+v, want 2 orders, 3 runs, one repeated", got)
+		t.Errorf("Ledger = %+v, want 2 orders, 3 executions, one repeated", got)
 	}
 }
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -70,7 +70,7 @@
 // decodeStrict decodes JSON and rejects unknown fields, null and data after the value.
 func decodeStrict(data []byte, out any) error {
 	if bytes.Equal(bytes.TrimSpace(data), []byte("null")) {
-		return errors.New("null is no value")
+		return errors.New("value is null")
 	}
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -39,7 +39,7 @@
 		return
 	}
 	if (kind == attempt.Order) != (req.OrderID != "") {
-		writeError(ctx, fasthttp.StatusBadRequest, "order_id is %q, want one for an order and none for a query", req.OrderID)
+		writeError(ctx, fasthttp.StatusBadRequest, "order_id is %q, want a name for an order and none for a query", req.OrderID)
 		return
 	}
 	u.sendReply(ctx, u.process(req, kind))
--- a/standin/server.go
+++ b/standin/server.go
@@ -144,7 +144,7 @@
 	}
 	ln, err := s.relisten()
 	if err != nil {
-		return &Error{op: "come back", kind: KindListen, err: err}
+		return &Error{op: "listen again", kind: KindListen, err: err}
 	}
 	s.setFlag(&s.down, false)
 	s.serve(ln)
--- a/standin/store.go
+++ b/standin/store.go
@@ -16,8 +16,8 @@
 const MaxValueBytes = 1 << 20
 
 var (
-	errConflict     = errors.New("revision differs")
-	errLeaseExpired = errors.New("lease has lapsed")
+	errConflict     = errors.New("revision does not match")
+	errLeaseExpired = errors.New("lease has expired")
 )
 
 // Store is a fake of the platform's configuration store.
@@ -95,7 +95,7 @@
 	}
 	if !limit.take(time.Now()) {
 		s.count("rate_limited")
-		writeError(ctx, fasthttp.StatusTooManyRequests, "too many calls a second")
+		writeError(ctx, fasthttp.StatusTooManyRequests, "calls exceed the rate limit")
 		return
 	}
 	r.serve(s, ctx)
--- a/standin/store_test.go
+++ b/standin/store_test.go
@@ -61,7 +61,7 @@
 	}
 	wg.Wait()
 	if wins.Load() != 1 || conflicts.Load() != 31 {
-		t.Errorf("got %d wins and %d conflicts, want 1 and 31", wins.Load(), conflicts.Load())
+		t.Errorf("got %d successful writes and %d conflicts, want 1 and 31", wins.Load(), conflicts.Load())
 	}
 	if got := s.Calls()["swap"]; got != 32 {
 		t.Errorf("got %d swap calls, want 32", got)
@@ -80,9 +80,9 @@
 	_, err = c.Swap(ctx, "k", []byte("conflict"), first.Revision+100)
 	wantKind(t, "Swap of a wrong revision", err, store.KindConflict)
 	_, err = c.Swap(ctx, "k", []byte("2"), first.Revision)
-	wantKind(t, "Swap with a lost answer", err, store.KindUnknown)
+	wantKind(t, "Swap with a dropped reply", err, store.KindUnknown)
 	if e, err := c.Get(ctx, "k"); err != nil || !bytes.Equal(e.Value, []byte("2")) || s.DroppedReplies() != 1 {
-		t.Errorf("Get = %+v, %v with %d lost answers, want the lost write in effect", e, err, s.DroppedReplies())
+		t.Errorf("Get = %+v, %v with %d dropped replies, want the write without a reply applied", e, err, s.DroppedReplies())
 	}
 
 	inject(t, s, "down", true)
@@ -92,7 +92,7 @@
 	wantKind(t, "Get while down", err, store.KindUnavailable)
 	inject(t, s, "down", false)
 	if e, err := c.Get(ctx, "k"); err != nil || !bytes.Equal(e.Value, []byte("2")) {
-		t.Errorf("Get = %+v, %v, want the data of before the outage", e, err)
+		t.Errorf("Get = %+v, %v, want the value written before the outage", e, err)
 	}
 
 	inject(t, s, "slow_ms", 60_000)
@@ -119,7 +119,7 @@
 	wantKind(t, "Grant", err, store.KindOK)
 	wantKind(t, "KeepAlive", c.KeepAlive(ctx, id), store.KindOK)
 	inject(t, s, "lapse_leases", true)
-	wantKind(t, "KeepAlive after a lapse", c.KeepAlive(ctx, id), store.KindConflict)
+	wantKind(t, "KeepAlive after expiry", c.KeepAlive(ctx, id), store.KindConflict)
 	shortLease, err := c.Grant(ctx, 1)
 	wantKind(t, "Grant", err, store.KindOK)
 	for c.KeepAlive(ctx, shortLease) == nil && ctx.Err() == nil { // each call renews for 1 ms only
@@ -161,7 +161,7 @@
 	_, err = c.Swap(t.Context(), "l", nil, 0)
 	wantKind(t, "second Swap", err, store.KindUnavailable)
 	if got := s.Calls(); got["rate_limited"] != 1 || s.Entry("l").Revision != 0 {
-		t.Errorf("Calls = %v, entry %v, want one refused call without effect", got, s.Entry("l"))
+		t.Errorf("Calls = %v, entry %v, want one rejected call that was not applied", got, s.Entry("l"))
 	}
 }
 
@@ -182,7 +182,7 @@
 	}{
 		{"empty", func() error { return nil }, 0},
 		{"registered", func() error { return l.Register(vm) }, 1},
-		{"lag hides it", func() error { return l.Inject("lag_ms", 600_000) }, 0},
+		{"hidden by lag", func() error { return l.Inject("lag_ms", 600_000) }, 0},
 		{"without lag", func() error { return l.Inject("lag_ms", 0) }, 1},
 		{"leaving", func() error { vm.Leaving = true; return l.Register(vm) }, 1},
 		{"removed", func() error { l.Remove(vm.ID); return nil }, 0},
--- a/standin/upstream_test.go
+++ b/standin/upstream_test.go
@@ -78,7 +78,7 @@
 			u, c := start(t, 4, 4)
 			inject(t, u, "late_ms", 30_000)
 			if got := c.Send(t.Context(), query(1, longMs)); got.Status != attempt.OK {
-				t.Fatalf("Send before the fault = %v", got.Status)
+				t.Fatalf("Send before the fault = %v, want ok", got.Status)
 			}
 			inject(t, u, tt.fault, tt.on)
 			got := c.Send(t.Context(), query(2, tt.timeout))
@@ -124,10 +124,10 @@
 					t.Errorf("order %s got the reply to %s", name, got.Body)
 				}
 				if got.Status != attempt.OK && got.Execution != attempt.ExecutionUnknown {
-					t.Errorf("order %s ended %v %v, want ran unknown", name, got.Status, got.Execution)
+					t.Errorf("order %s ended %v %v, want execution unknown", name, got.Status, got.Execution)
 				}
 				if runs := u.Executions(name); runs != 1 {
-					t.Errorf("order %s ran %d times, want 1", name, runs)
+					t.Errorf("order %s was executed %d times, want 1", name, runs)
 				}
 			}
 		})
@@ -169,7 +169,7 @@
 	waitLoad(t, c, func(l upstream.Load) bool { return l.Queued == 1 })
 
 	if got := c.Send(t.Context(), order(3, "shed")); got.Status != attempt.Shed || got.Execution != attempt.NotExecuted || got.RetryAfter == 0 {
-		t.Errorf("Send above the queue = %+v, want shed, not run, with a retry-after time", got)
+		t.Errorf("Send to a full queue = %+v, want shed, not executed, with a retry-after time", got)
 	}
 	for _, seq := range []uint64{2, 1} {
 		if err := c.Cancel(t.Context(), upstreamID, query(seq, 0).ID); err != nil {
@@ -177,10 +177,10 @@
 		}
 	}
 	if got := <-queued; got.Status != attempt.Cancelled || got.Execution != attempt.NotExecuted {
-		t.Errorf("cancelled while queued = %v %v, want cancelled no", got.Status, got.Execution)
+		t.Errorf("cancelled while queued = %v %v, want cancelled, not executed", got.Status, got.Execution)
 	}
 	if got := <-first; got.Status != attempt.Cancelled || got.Execution != attempt.ExecutionUnknown {
-		t.Errorf("cancelled while running = %v %v, want cancelled unknown", got.Status, got.Execution)
+		t.Errorf("cancelled while running = %v %v, want cancelled, execution unknown", got.Status, got.Execution)
 	}
 	if u.Executions("queued")+u.Executions("shed") != 0 || u.AttemptCounts().Started != 1 {
 		t.Errorf("Counts = %+v, want one started", u.AttemptCounts())
@@ -211,7 +211,7 @@
 	for _, leaving := range []bool{false, true} {
 		inject(t, u, "leaving", leaving)
 		if load, err := c.Load(t.Context(), upstreamID); err != nil || load.Leaving {
-			t.Errorf("Load = %+v, %v, want the lagging value", load, err)
+			t.Errorf("Load = %+v, %v, want the stale load", load, err)
 		}
 	}
 	inject(t, u, "load_lag_ms", 0)
@@ -220,7 +220,7 @@
 	}
 	inject(t, u, "load_lies", true)
 	if load, err := c.Load(t.Context(), upstreamID); err != nil || load.Leaving || !load.Healthy {
-		t.Errorf("Load = %+v, %v, want a healthy claim", load, err)
+		t.Errorf("Load = %+v, %v, want a healthy load", load, err)
 	}
 }
 
--- a/standin/upstreamfaults.go
+++ b/standin/upstreamfaults.go
@@ -84,11 +84,11 @@
 		return err
 	}
 	if doc.Epoch == 0 {
-		return fmt.Errorf("epoch is 0, want a whole number above it")
+		return fmt.Errorf("epoch is 0, want a whole number above 0")
 	}
 	for i, r := range doc.Ranges {
 		if r.Len() == 0 {
-			return fmt.Errorf("ranges[%d] is empty or reversed", i)
+			return fmt.Errorf("ranges[%d] is empty or reversed, want from less than to", i)
 		}
 	}
 	u.SetRanges(doc.Epoch, doc.Ranges...)
