--- a/demo/demo.go
+++ b/demo/demo.go
@@ -32,15 +32,15 @@
 // stragglerFactor is how much slower one upstream becomes in the second third.
 const stragglerFactor = 10
 
-// switchLimit is how long a change of preset may take on all VMs.
-const switchLimit = 4 * clock.Second
+// switchTimeout is how long a change of preset may take on all VMs.
+const switchTimeout = 4 * clock.Second
 
-// run is one demo in progress.
-type run struct {
+// demoRun is one demo in progress.
+type demoRun struct {
 	opts    Options
 	fleet   *Fleet
 	checker *checker
-	load    *load
+	load    *loadGenerator
 }
 
 // Run plays the demo and prints its tables. It returns ErrViolated if an
@@ -51,66 +51,66 @@
 	if err != nil {
 		return err
 	}
-	r := &run{opts: opts, fleet: f, checker: newChecker()}
-	r.load = &load{fleet: f, checker: r.checker}
-	r.play(ctx)
+	r := &demoRun{opts: opts, fleet: f, checker: newChecker()}
+	r.load = &loadGenerator{fleet: f, checker: r.checker}
+	r.runScenario(ctx)
 	if err := r.report(); err != nil {
 		return errors.Join(err, f.Close())
 	}
 	if err := f.Close(); err != nil {
 		return err
 	}
-	return r.verdict()
+	return r.reportViolations()
 }
 
-// play sends load and, while it runs, slows one upstream and switches the preset.
-func (r *run) play(ctx context.Context) {
+// runScenario sends load and, while it runs, slows one upstream and switches the preset.
+func (r *demoRun) runScenario(ctx context.Context) {
 	streams := r.streams()
 	loadCtx, stop := context.WithTimeout(ctx, r.opts.Duration)
 	defer stop()
-	end := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(end)
+		defer close(done)
 		r.load.run(loadCtx, streams)
 	}()
-	pause(loadCtx, r.opts.Duration/3)
-	r.slowOne(streams[0].service)
-	pause(loadCtx, r.opts.Duration/6)
+	sleep(loadCtx, r.opts.Duration/3)
+	r.slowUpstream(streams[0].service)
+	sleep(loadCtx, r.opts.Duration/6)
 	r.switchPreset()
-	<-end
+	<-done
 }
 
 // streams sends all three ranks to the service with the most keys, and orders
 // to the service that has none.
-func (r *run) streams() []stream {
-	var search, desk string
+func (r *demoRun) streams() []stream {
+	var queryService, orderService string
 	var keys uint32
 	var groups []string
 	for _, s := range r.fleet.Standins.Settings().Document().Services {
 		if s.Keys > keys {
-			search, keys = s.Name, s.Keys
+			queryService, keys = s.Name, s.Keys
 		}
 		if s.Keys == 0 && groups == nil {
-			desk = s.Name
+			orderService = s.Name
 			for _, g := range s.Groups {
 				groups = append(groups, g.Name)
 			}
 		}
 	}
 	return []stream{
-		{rank: rank.Urgent, service: search, interval: 25 * time.Millisecond},
-		{rank: rank.Ordinary, service: search, interval: 20 * time.Millisecond},
-		{rank: rank.Patient, service: search, interval: 40 * time.Millisecond},
-		{rank: rank.Ordinary, service: desk, groups: groups, interval: 25 * time.Millisecond},
+		{rank: rank.Urgent, service: queryService, interval: 25 * time.Millisecond},
+		{rank: rank.Ordinary, service: queryService, interval: 20 * time.Millisecond},
+		{rank: rank.Patient, service: queryService, interval: 40 * time.Millisecond},
+		{rank: rank.Ordinary, service: orderService, groups: groups, interval: 25 * time.Millisecond},
 	}
 }
 
-func (r *run) slowOne(service string) {
+func (r *demoRun) slowUpstream(service string) {
 	for _, id := range r.fleet.Standins.Upstreams() {
 		if serviceOf(id) == service {
 			_, err := r.fleet.Standins.Inject(string(id), "slow_factor", float64(stragglerFactor))
 			if err != nil {
-				r.checker.failed("inject straggler", err)
+				r.checker.addError("inject straggler", err)
 			}
 			printf(r.opts.Out, "upstream %s now takes %d times as long\n", id, stragglerFactor)
 			return
@@ -118,19 +118,19 @@
 	}
 }
 
-func (r *run) switchPreset() {
+func (r *demoRun) switchPreset() {
 	change := preset.Change{
 		ID: "demo-switch", Author: "demo", Reason: "peak begins", SwitchTo: "peak",
 	}
 	start := time.Now()
 	doc, err := r.fleet.Caller(0).Change(change)
 	if err != nil || doc.Accepted != preset.Accepted {
-		r.checker.violate("the switch of preset was not accepted: %v %s", err, doc.Error)
+		r.checker.addViolation("the switch of preset was not accepted: %v %s", err, doc.Error)
 		return
 	}
-	status, err := AwaitRevision(r.fleet, doc.Revision, switchLimit)
+	status, err := AwaitRevision(r.fleet, doc.Revision, switchTimeout)
 	if err != nil {
-		r.checker.violate("revision %d: %v", doc.Revision, err)
+		r.checker.addViolation("revision %d: %v", doc.Revision, err)
 		return
 	}
 	printf(r.opts.Out, "preset %s, revision %d, in force on %d of %d VMs after %.0f ms\n",
@@ -138,21 +138,21 @@
 }
 
 // AwaitRevision waits until every VM has at least the revision in force.
-func AwaitRevision(f *Fleet, revision uint64, limit clock.Millis) (entry.FleetStatus, error) {
-	deadline := time.Now().Add(limit.Duration())
+func AwaitRevision(f *Fleet, revision uint64, timeout clock.Millis) (entry.FleetStatus, error) {
+	deadline := time.Now().Add(timeout.Duration())
 	for {
 		status, err := f.Caller(0).FleetStatus()
-		if err == nil && inForce(status, revision) == f.Size() {
+		if err == nil && countAtRevision(status, revision) == f.Size() {
 			return status, nil
 		}
 		if time.Now().After(deadline) {
-			return status, fmt.Errorf("in force on %d of %d VMs after %d ms", inForce(status, revision), f.Size(), limit)
+			return status, fmt.Errorf("in force on %d of %d VMs after %d ms", countAtRevision(status, revision), f.Size(), timeout)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-func inForce(s entry.FleetStatus, revision uint64) int {
+func countAtRevision(s entry.FleetStatus, revision uint64) int {
 	n := 0
 	for _, v := range s.VMs {
 		if v.Revision >= revision {
@@ -162,7 +162,7 @@
 	return n
 }
 
-func (r *run) report() error {
+func (r *demoRun) report() error {
 	status, err := r.fleet.Caller(0).FleetStatus()
 	if err != nil {
 		return err
@@ -171,13 +171,13 @@
 	if err != nil {
 		return err
 	}
-	r.checker.ledger(runsOf(r.fleet.Standins))
+	r.checker.checkExecutions(executionsOf(r.fleet.Standins))
 	writeTable(r.opts.Out, r.load.samples, status)
 	writeEvents(r.opts.Out, events.Events)
 	return nil
 }
 
-func (r *run) verdict() error {
+func (r *demoRun) reportViolations() error {
 	for _, e := range r.checker.errors {
 		printf(r.opts.Out, "error: %s\n", e)
 	}
@@ -200,7 +200,7 @@
 	return string(id)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -23,7 +23,7 @@
 
 const (
 	dataCentres  = 3
-	readyLimit   = 15 * clock.Second
+	readyTimeout = 15 * clock.Second
 	pollInterval = 20 * time.Millisecond
 )
 
@@ -39,21 +39,21 @@
 // Fleet is a running deployment: its stand-ins and its entry VMs.
 type Fleet struct {
 	Standins *standin.Deployment
-	vms      []*member
+	vms      []*fleetVM
 	logger   log.Logger
 	options  []entry.Option
 }
 
-// member is one running VM. End receives the result of its Run.
-type member struct {
-	id      string
-	address string
-	caller  *caller.Client
-	stop    context.CancelFunc
-	end     chan error
-	closer  func()
-	sockets *sockets
-	killed  bool
+// fleetVM is one running VM. End receives the result of its Run.
+type fleetVM struct {
+	id           string
+	address      string
+	caller       *caller.Client
+	stop         context.CancelFunc
+	done         chan error
+	closeClients func()
+	sockets      *sockets
+	killed       bool
 }
 
 // StartFleet starts the stand-ins of a deployment and n entry VMs, and waits
@@ -113,14 +113,14 @@
 	if err != nil {
 		return err
 	}
-	run, stop := context.WithCancel(ctx)
-	m := &member{
+	runCtx, stop := context.WithCancel(ctx)
+	vm := &fleetVM{
 		id: id, address: doc.Addresses.Callers, caller: caller.New(doc.Addresses.Callers), stop: stop,
-		end: make(chan error, 1), sockets: socks,
-		closer: sync.OnceFunc(func() { ups.Close(); list.Close(); st.Close() }),
+		done: make(chan error, 1), sockets: socks,
+		closeClients: sync.OnceFunc(func() { ups.Close(); list.Close(); st.Close() }),
 	}
-	go func() { m.end <- v.Run(run) }()
-	f.vms = append(f.vms, m)
+	go func() { vm.done <- v.Run(runCtx) }()
+	f.vms = append(f.vms, vm)
 	return f.Standins.VMList().Register(roster.VM{ID: id, Address: doc.Addresses.Peers, DataCentre: doc.DataCentre})
 }
 
@@ -134,13 +134,13 @@
 }
 
 func (f *Fleet) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout.Duration())
 	defer cancel()
-	for _, m := range f.vms {
-		for !m.caller.Ready() {
+	for _, vm := range f.vms {
+		for !vm.caller.Ready() {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("%s was not ready within %d ms", m.id, readyLimit)
+				return fmt.Errorf("%s was not ready within %d ms", vm.id, readyTimeout)
 			case <-time.After(pollInterval):
 			}
 		}
@@ -159,35 +159,35 @@
 
 // Stop asks the i-th VM for a planned stop and waits for its end.
 func (f *Fleet) Stop(i int) error {
-	m := f.vms[i]
-	m.stop()
-	err := <-m.end
-	m.end <- err // Close reads it again
+	vm := f.vms[i]
+	vm.stop()
+	err := <-vm.done
+	vm.done <- err // Close reads it again
 	return err
 }
 
 // Kill closes every socket of the i-th VM at once, without a drain, and takes
 // it off the VM list, as the platform does when a VM dies.
 func (f *Fleet) Kill(i int) {
-	m := f.vms[i]
-	m.killed = true
-	m.sockets.cut()
-	m.closer()
-	m.stop()
-	f.Standins.VMList().Remove(m.id)
+	vm := f.vms[i]
+	vm.killed = true
+	vm.sockets.closeAll()
+	vm.closeClients()
+	vm.stop()
+	f.Standins.VMList().Remove(vm.id)
 }
 
 // Close stops all VMs, then the stand-ins.
 func (f *Fleet) Close() error {
 	var errs []error
-	for _, m := range f.vms {
-		m.stop()
+	for _, vm := range f.vms {
+		vm.stop()
 	}
-	for _, m := range f.vms {
-		if err := <-m.end; !m.killed { // a killed VM ends with an error
+	for _, vm := range f.vms {
+		if err := <-vm.done; !vm.killed { // a killed VM ends with an error
 			errs = append(errs, err)
 		}
-		m.closer()
+		vm.closeClients()
 	}
 	errs = append(errs, f.Standins.Close())
 	return errors.Join(errs...)
--- a/demo/sockets.go
+++ b/demo/sockets.go
@@ -8,7 +8,7 @@
 	"lentillink.example/lentillink/clock"
 )
 
-var errCut = errors.New("the sockets of this VM are closed")
+var errSocketsClosed = errors.New("the sockets of this VM are closed")
 
 // sockets tracks the listeners and connections of one VM, so that a kill can
 // close all of them at once, as the end of a process does.
@@ -38,8 +38,8 @@
 	delete(s.open, c)
 }
 
-// cut closes everything and refuses what comes later.
-func (s *sockets) cut() {
+// closeAll closes everything and refuses what comes later.
+func (s *sockets) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -69,7 +69,7 @@
 func (s *sockets) track(c net.Conn) (net.Conn, error) {
 	t := &trackedConn{Conn: c, sockets: s}
 	if !s.add(c) {
-		return nil, errCut
+		return nil, errSocketsClosed
 	}
 	return t, nil
 }
@@ -101,8 +101,8 @@
 
 // CloseWrite ends the sending half, if the connection has halves.
 func (c *trackedConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return conn.CloseWrite()
 	}
 	return errors.ErrUnsupported
 }
--- a/demo/table.go
+++ b/demo/table.go
@@ -23,11 +23,11 @@
 	microsPerMs = 1000
 )
 
-// row sums up the samples of one rank.
-type row struct {
+// rankSummary sums up the samples of one rank.
+type rankSummary struct {
 	count    int
 	outcomes map[string]int
-	share    float64
+	coverage float64
 	latency  *hdrhistogram.Histogram
 }
 
@@ -37,34 +37,36 @@
 	for _, r := range rank.All() {
 		sum := summarise(samples, r, false)
 		printf(tw, "query\t%s\t%d\t%s\t%.4f\t%.1f\t%.1f\t%s\n",
-			r, sum.count, sum.describe(), sum.share, sum.quantile(50), sum.quantile(99), extraLoad(status, r))
+			r, sum.count, sum.formatOutcomes(), sum.coverage, sum.quantile(50), sum.quantile(99), extraAttempts(status, r))
 	}
 	orders := summarise(samples, rank.Ordinary, true)
 	printf(tw, "order\t%s\t%d\t%s\t\t%.1f\t%.1f\t\n",
-		rank.Ordinary, orders.count, orders.describe(), orders.quantile(50), orders.quantile(99))
+		rank.Ordinary, orders.count, orders.formatOutcomes(), orders.quantile(50), orders.quantile(99))
 	_ = tw.Flush()
 }
 
-func summarise(samples []sample, r rank.Rank, orders bool) *row {
-	sum := &row{outcomes: make(map[string]int), latency: hdrhistogram.New(minMicros, maxMicros, sigDigits)}
+func summarise(samples []sample, r rank.Rank, orders bool) *rankSummary {
+	sum := &rankSummary{outcomes: make(map[string]int), latency: hdrhistogram.New(minMicros, maxMicros, sigDigits)}
 	for _, s := range samples {
 		if s.rank != r || s.isOrder != orders {
 			continue
 		}
 		sum.count++
 		sum.outcomes[s.outcome]++
-		sum.share += s.share
-		_ = sum.latency.RecordValue(int64(math.Round(s.tookMs * microsPerMs)))
+		sum.coverage += s.coverage
+		_ = sum.latency.RecordValue(int64(math.Round(s.durationMs * microsPerMs)))
 	}
 	if sum.count > 0 {
-		sum.share /= float64(sum.count)
+		sum.coverage /= float64(sum.count)
 	}
 	return sum
 }
 
-func (r *row) quantile(q float64) float64 { return float64(r.latency.ValueAtQuantile(q)) / microsPerMs }
+func (r *rankSummary) quantile(q float64) float64 {
+	return float64(r.latency.ValueAtQuantile(q)) / microsPerMs
+}
 
-func (r *row) describe() string {
+func (r *rankSummary) formatOutcomes() string {
 	names := make([]string, 0, len(r.outcomes))
 	for name, n := range r.outcomes {
 		names = append(names, fmt.Sprintf("%s=%d", name, n))
@@ -73,8 +75,8 @@
 	return fmt.Sprint(names)
 }
 
-// extraLoad is the share of attempts beyond those needed, over all VMs.
-func extraLoad(status entry.FleetStatus, r rank.Rank) string {
+// extraAttempts is the share of attempts beyond those needed, over all VMs.
+func extraAttempts(status entry.FleetStatus, r rank.Rank) string {
 	var t vm.RankTotals
 	for _, v := range status.VMs {
 		for _, rt := range v.Totals {
@@ -95,16 +97,16 @@
 	timeline.PresetApplied, timeline.PresetSwitched, timeline.UpstreamLeaving, timeline.VMFailed, timeline.DrainStarted,
 }
 
-const maxListed = 12
+const maxListedEvents = 12
 
 func writeEvents(w io.Writer, events []timeline.Event) {
 	counts := make(map[timeline.Kind]int)
-	listed := 0
+	numListed := 0
 	printf(w, "\ntime line, main events:\n")
 	for _, ev := range events {
 		counts[ev.Kind]++
-		if slices.Contains(mainEvents, ev.Kind) && listed < maxListed {
-			listed++
+		if slices.Contains(mainEvents, ev.Kind) && numListed < maxListedEvents {
+			numListed++
 			printf(w, "  +%6d ms  %-6s %-16s revision=%d %s%s\n",
 				ev.Timestamp.WallMs-events[0].Timestamp.WallMs, ev.VM, ev.Kind, ev.Revision, ev.Upstream, ev.Detail)
 		}
