--- a/demo/check.go
+++ b/demo/check.go
@@ -10,12 +10,12 @@
 	"lentillink.example/lentillink/standin"
 )
 
-// checker collects violations of what must always hold.
+// checker collects violations of the invariants and errors of requests.
 type checker struct {
 	mu          sync.Mutex
 	violations  []string
 	errors      []string
-	notExecuted map[string]bool // order ids whose every answer said ran: no
+	notExecuted map[string]bool // by order id: whether every answer reported ran: no
 	done        map[string]bool
 }
 
@@ -35,8 +35,8 @@
 	c.errors = append(c.errors, what+": "+err.Error())
 }
 
-// checkQuery checks one answer on its own: that it belongs to the request, comes
-// from one snapshot and reports its coverage truly.
+// checkQuery checks that an answer belongs to its request, comes from a single
+// snapshot and reports its coverage correctly.
 func (c *checker) checkQuery(q entry.QueryRequest, a entry.QueryDocument) {
 	if a.ID != q.ID {
 		c.addViolation("query %s received the answer to %s", q.ID, a.ID)
@@ -77,7 +77,8 @@
 	}
 }
 
-// checkExecutions compares the answers to orders with what the upstreams ran.
+// checkExecutions compares the answers to orders with the executions at the
+// upstreams.
 func (c *checker) checkExecutions(executions func(id string) int) {
 	for id, notExecuted := range c.notExecuted {
 		n := executions(id)
@@ -92,7 +93,8 @@
 	}
 }
 
-// executionsOf returns how often the upstreams of a deployment ran an order.
+// executionsOf returns a function that counts the executions of an order at the
+// upstreams of a deployment.
 func executionsOf(d *standin.Deployment) func(id string) int {
 	return func(id string) int {
 		n := 0
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -17,7 +17,7 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// Options of a demo.
+// Options configure a demo.
 type Options struct {
 	Deployment string
 	VMs        int
@@ -26,16 +26,17 @@
 	Logger     log.Logger
 }
 
-// ErrViolated means that something that must always hold did not hold.
+// ErrViolated means that an invariant was violated or a request failed.
 var ErrViolated = errors.New("an invariant was violated")
 
-// stragglerFactor is how much slower one upstream becomes in the second third.
+// stragglerFactor is the slowdown of one upstream, from a third of the demo's
+// duration on.
 const stragglerFactor = 10
 
-// switchTimeout is how long a change of preset may take on all VMs.
+// switchTimeout bounds the time until a preset change is in force on all VMs.
 const switchTimeout = 4 * clock.Second
 
-// demoRun is one demo in progress.
+// demoRun is the state of one demo.
 type demoRun struct {
 	opts    Options
 	fleet   *Fleet
@@ -43,8 +44,8 @@
 	load    *loadGenerator
 }
 
-// Run plays the demo and prints its tables. It returns ErrViolated if an
-// invariant broke.
+// Run runs the demo and prints its tables. It returns ErrViolated if an
+// invariant was violated or a request failed.
 func Run(ctx context.Context, opts Options) error {
 	printf(opts.Out, "starting %s with %d entry VMs\n", opts.Deployment, opts.VMs)
 	f, err := StartFleet(ctx, opts.Deployment, opts.VMs, opts.Logger)
@@ -63,7 +64,7 @@
 	return r.reportViolations()
 }
 
-// runScenario sends load and, while it runs, slows one upstream and switches the preset.
+// runScenario sends load and meanwhile slows one upstream and switches the preset.
 func (r *demoRun) runScenario(ctx context.Context) {
 	streams := r.streams()
 	loadCtx, stop := context.WithTimeout(ctx, r.opts.Duration)
@@ -80,8 +81,8 @@
 	<-done
 }
 
-// streams sends all three ranks to the service with the most keys, and orders
-// to the service that has none.
+// streams returns queries of all three ranks to the service with the most keys,
+// and orders to the first service without keys.
 func (r *demoRun) streams() []stream {
 	var queryService, orderService string
 	var keys uint32
@@ -137,7 +138,7 @@
 		doc.InForce, doc.Revision, len(status.VMs), r.fleet.Size(), milliseconds(time.Since(start)))
 }
 
-// AwaitRevision waits until every VM has at least the revision in force.
+// AwaitRevision waits until a revision, or a later one, is in force on every VM.
 func AwaitRevision(f *Fleet, revision uint64, timeout clock.Millis) (entry.FleetStatus, error) {
 	deadline := time.Now().Add(timeout.Duration())
 	for {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -44,7 +44,7 @@
 	options  []entry.Option
 }
 
-// fleetVM is one running VM. End receives the result of its Run.
+// fleetVM is one running entry VM. Channel done receives the result of its Run.
 type fleetVM struct {
 	id           string
 	address      string
@@ -66,7 +66,8 @@
 	return StartFromConfig(ctx, FleetConfig{Settings: cfg, VMs: n, Logger: logger, StandinOptions: opts})
 }
 
-// StartFromConfig starts a fleet and waits until every VM is ready.
+// StartFromConfig starts the fleet that cfg describes and waits until every
+// VM is ready.
 func StartFromConfig(ctx context.Context, cfg FleetConfig) (*Fleet, error) {
 	opts := append([]standin.DeploymentOption{standin.WithFreePorts()}, cfg.StandinOptions...)
 	standins, err := standin.StartDeployment(ctx, cfg.Settings, opts...)
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// Caller returns a client of the i-th VM, counted round.
+// Caller returns a client of the i-th VM, with i taken modulo the number of VMs.
 func (f *Fleet) Caller(i int) *caller.Client { return f.vms[i%len(f.vms)].caller }
 
 // Address returns the address of the i-th VM for callers.
@@ -157,7 +158,7 @@
 // Size returns the number of VMs that were started.
 func (f *Fleet) Size() int { return len(f.vms) }
 
-// Stop asks the i-th VM for a planned stop and waits for its end.
+// Stop starts a planned stop of the i-th VM and waits until its Run returns.
 func (f *Fleet) Stop(i int) error {
 	vm := f.vms[i]
 	vm.stop()
@@ -166,8 +167,8 @@
 	return err
 }
 
-// Kill closes every socket of the i-th VM at once, without a drain, and takes
-// it off the VM list, as the platform does when a VM dies.
+// Kill closes every socket of the i-th VM at once, without a drain, and removes
+// the VM from the VM list, as the platform does when a VM fails.
 func (f *Fleet) Kill(i int) {
 	vm := f.vms[i]
 	vm.killed = true
--- a/demo/load.go
+++ b/demo/load.go
@@ -13,7 +13,7 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// stream is one steady flow of requests of one rank.
+// stream is a sequence of requests of one rank at a fixed interval.
 type stream struct {
 	rank     rank.Rank
 	service  string
@@ -21,17 +21,17 @@
 	interval time.Duration
 }
 
-// sample is one answered request.
+// sample is the result of one answered request.
 type sample struct {
 	rank       rank.Rank
 	isOrder    bool
 	outcome    string
-	coverage   float64 // coverage, 0 to 1
+	coverage   float64 // 0 to 1
 	durationMs float64
 }
 
-// loadGenerator sends the streams to the fleet until ctx ends. Requests that are open
-// then are answered before it returns.
+// loadGenerator sends the streams to the fleet until ctx ends, then waits for
+// the answers to the open requests.
 type loadGenerator struct {
 	fleet   *Fleet
 	checker *checker
--- a/demo/sockets.go
+++ b/demo/sockets.go
@@ -10,8 +10,8 @@
 
 var errSocketsClosed = errors.New("the sockets of this VM are closed")
 
-// sockets tracks the listeners and connections of one VM, so that a kill can
-// close all of them at once, as the end of a process does.
+// sockets tracks the listeners and connections of one VM, so that Kill can
+// close all of them at once, as the system does when a process ends.
 type sockets struct {
 	mu     sync.Mutex
 	closed bool
@@ -20,7 +20,7 @@
 
 func newSockets() *sockets { return &sockets{open: make(map[interface{ Close() error }]struct{})} }
 
-// add tracks c. It reports false, and closes c, once the sockets are cut.
+// add tracks c. After closeAll it closes c and reports false.
 func (s *sockets) add(c interface{ Close() error }) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,8 @@
 	delete(s.open, c)
 }
 
-// closeAll closes everything and refuses what comes later.
+// closeAll closes all tracked sockets. Sockets that are added later are closed at
+// once.
 func (s *sockets) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,13 +94,13 @@
 	sockets *sockets
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and stops tracking it.
 func (c *trackedConn) Close() error {
 	c.sockets.remove(c.Conn)
 	return c.Conn.Close()
 }
 
-// CloseWrite ends the sending half, if the connection has halves.
+// CloseWrite closes the sending direction, if the connection supports it.
 func (c *trackedConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
--- a/demo/table.go
+++ b/demo/table.go
@@ -23,7 +23,7 @@
 	microsPerMs = 1000
 )
 
-// rankSummary sums up the samples of one rank.
+// rankSummary aggregates the samples of one rank.
 type rankSummary struct {
 	count    int
 	outcomes map[string]int
@@ -75,7 +75,8 @@
 	return fmt.Sprint(names)
 }
 
-// extraAttempts is the share of attempts beyond those needed, over all VMs.
+// extraAttempts formats the percentage of attempts beyond those needed, over all
+// VMs.
 func extraAttempts(status entry.FleetStatus, r rank.Rank) string {
 	var t vm.RankTotals
 	for _, v := range status.VMs {
@@ -92,7 +93,8 @@
 	return fmt.Sprintf("%+.1f%%", 100*(float64(t.AttemptsSent)/float64(t.AttemptsNeeded)-1))
 }
 
-// mainEvents are the kinds that the demo prints one by one; the others are counted.
+// mainEvents are the kinds of events that the demo prints one by one. The others
+// are only counted.
 var mainEvents = []timeline.Kind{
 	timeline.PresetApplied, timeline.PresetSwitched, timeline.UpstreamLeaving, timeline.VMFailed, timeline.DrainStarted,
 }
