--- a/demo/check.go
+++ b/demo/check.go
@@ -60,7 +60,7 @@
 		c.addViolation("query %s covers %d and misses %d of %d keys", q.ID, a.Coverage.Covered, missing, a.Coverage.Expected)
 	}
 	if a.Outcome == "complete" && missing > 0 {
-		c.addViolation("query %s is called complete but misses %d keys", q.ID, missing)
+		c.addViolation("query %s has outcome complete but misses %d keys", q.ID, missing)
 	}
 }
 
@@ -84,11 +84,11 @@
 		n := executions(id)
 		switch {
 		case n > 1:
-			c.addViolation("order %s ran %d times", id, n)
+			c.addViolation("order %s was executed %d times, want at most once", id, n)
 		case n > 0 && notExecuted:
-			c.addViolation("order %s ran, but every answer said it did not", id)
+			c.addViolation("order %s was executed, but every answer reported ran: no", id)
 		case n == 0 && c.done[id]:
-			c.addViolation("order %s is called done, but no upstream ran it", id)
+			c.addViolation("order %s has outcome done, but no upstream executed it", id)
 		}
 	}
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -113,7 +113,7 @@
 			if err != nil {
 				r.checker.addError("inject straggler", err)
 			}
-			printf(r.opts.Out, "upstream %s now takes %d times as long\n", id, stragglerFactor)
+			printf(r.opts.Out, "upstream %s is now slower by a factor of %d\n", id, stragglerFactor)
 			return
 		}
 	}
@@ -126,7 +126,7 @@
 	start := time.Now()
 	doc, err := r.fleet.Caller(0).Change(change)
 	if err != nil || doc.Accepted != preset.Accepted {
-		r.checker.addViolation("the switch of preset was not accepted: %v %s", err, doc.Error)
+		r.checker.addViolation("preset switch was not accepted: %v %s", err, doc.Error)
 		return
 	}
 	status, err := AwaitRevision(r.fleet, doc.Revision, switchTimeout)
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -141,7 +141,7 @@
 		for !vm.caller.Ready() {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("%s was not ready within %d ms", vm.id, readyTimeout)
+				return fmt.Errorf("VM %s was not ready within %d ms", vm.id, readyTimeout)
 			case <-time.After(pollInterval):
 			}
 		}
--- a/demo/sockets.go
+++ b/demo/sockets.go
@@ -8,7 +8,7 @@
 	"lentillink.example/lentillink/clock"
 )
 
-var errSocketsClosed = errors.New("the sockets of this VM are closed")
+var errSocketsClosed = errors.New("all sockets of this VM are closed")
 
 // sockets tracks the listeners and connections of one VM, so that Kill can
 // close all of them at once, as the system does when a process ends.
--- a/demo/table.go
+++ b/demo/table.go
@@ -104,7 +104,7 @@
 func writeEvents(w io.Writer, events []timeline.Event) {
 	counts := make(map[timeline.Kind]int)
 	numListed := 0
-	printf(w, "\ntime line, main events:\n")
+	printf(w, "\ntimeline, main events:\n")
 	for _, ev := range events {
 		counts[ev.Kind]++
 		if slices.Contains(mainEvents, ev.Kind) && numListed < maxListedEvents {
