--- a/demo/bench/bench.go
+++ b/demo/bench/bench.go
@@ -22,9 +22,9 @@
 	// meets both.
 	rounds = 3
 	// maxLatencyUs and the digits bound the histograms.
-	maxLatencyUs  = 60_000_000
-	latencyDigits = 3
-	switchLimitMs = 4000
+	maxLatencyUs    = 60_000_000
+	latencyDigits   = 3
+	switchTimeoutMs = 4000
 )
 
 // Variant is the result with hedging off or on.
@@ -40,10 +40,10 @@
 	// ExtraAttemptsPercent is relative to the attempts that the queries needed.
 	ExtraAttemptsPercent float64 `json:"extra_attempts_percent"`
 
-	latency      *hdrhistogram.Histogram // microseconds
-	took         time.Duration
-	allocs       uint64
-	sent, needed int
+	latency                      *hdrhistogram.Histogram // microseconds
+	elapsed                      time.Duration
+	allocs                       uint64
+	attemptsSent, attemptsNeeded int
 }
 
 // Result compares the variants.
@@ -62,22 +62,22 @@
 	}
 	f, err := demo.StartFromConfig(ctx, demo.FleetConfig{
 		Settings: cfg, VMs: 1, Logger: log.NewNopLogger(),
-		StandinOptions: []standin.DeploymentOption{standin.WithUpstreamOptions(standin.WithSlowShare(slowShare, slowFactor))},
-		EntryOptions:   []entry.Option{entry.WithInitialRecord(record())},
+		StandinOptions: []standin.DeploymentOption{standin.WithUpstreamOptions(standin.WithSlowShare(slowRatio, slowFactor))},
+		EntryOptions:   []entry.Option{entry.WithInitialRecord(presetRecord())},
 	})
 	if err != nil {
 		return res, err
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
 	res.HedgingOff, res.HedgingOn = newVariant(hedgingOff), newVariant(hedgingOn)
-	b := &bench{fleet: f, options: o}
-	warm := newVariant(hedgingOff)
-	if err := b.measure(ctx, &warm, time.Second); err != nil { // opens connections
+	r := &runner{fleet: f, options: o}
+	warmup := newVariant(hedgingOff)
+	if err := r.measure(ctx, &warmup, time.Second); err != nil { // opens connections
 		return res, err
 	}
 	for range rounds {
 		for _, v := range []*Variant{&res.HedgingOff, &res.HedgingOn} {
-			if err := b.round(ctx, v); err != nil {
+			if err := r.runRound(ctx, v); err != nil {
 				return res, err
 			}
 		}
@@ -94,24 +94,24 @@
 
 func (v *Variant) finish() {
 	n := float64(max(v.Queries, 1))
-	v.QueriesPerSecond = float64(v.Queries) / v.took.Seconds()
+	v.QueriesPerSecond = float64(v.Queries) / v.elapsed.Seconds()
 	v.P50Ms = float64(v.latency.ValueAtQuantile(50)) / 1000
 	v.P99Ms = float64(v.latency.ValueAtQuantile(99)) / 1000
 	v.AllocsPerQuery = float64(v.allocs) / n
-	v.ExtraAttemptsPercent = 100 * float64(v.sent-v.needed) / float64(max(v.needed, 1))
+	v.ExtraAttemptsPercent = 100 * float64(v.attemptsSent-v.attemptsNeeded) / float64(max(v.attemptsNeeded, 1))
 }
 
-// bench is one measurement in progress.
-type bench struct {
-	fleet   *demo.Fleet
-	options Options
-	changes int
+// runner is one measurement in progress.
+type runner struct {
+	fleet      *demo.Fleet
+	options    Options
+	numChanges int
 }
 
-func (b *bench) round(ctx context.Context, v *Variant) error {
-	b.changes++
-	doc, err := b.fleet.Caller(0).Change(preset.Change{
-		ID: fmt.Sprintf("bench-%d", b.changes), Author: "bench", Reason: "next variant", SwitchTo: v.Name,
+func (r *runner) runRound(ctx context.Context, v *Variant) error {
+	r.numChanges++
+	doc, err := r.fleet.Caller(0).Change(preset.Change{
+		ID: fmt.Sprintf("bench-%d", r.numChanges), Author: "bench", Reason: "next variant", SwitchTo: v.Name,
 	})
 	if err != nil {
 		return err
@@ -119,15 +119,15 @@
 	if doc.Accepted != preset.Accepted {
 		return fmt.Errorf("preset %s: %s", v.Name, doc.Error)
 	}
-	if _, err := demo.AwaitRevision(b.fleet, doc.Revision, switchLimitMs); err != nil {
+	if _, err := demo.AwaitRevision(r.fleet, doc.Revision, switchTimeoutMs); err != nil {
 		return err
 	}
-	return b.measure(ctx, v, b.options.Duration/rounds)
+	return r.measure(ctx, v, r.options.Duration/rounds)
 }
 
 // measure sends queries for a time and adds to v.
-func (b *bench) measure(ctx context.Context, v *Variant, d time.Duration) error {
-	sent, needed, err := b.attempts()
+func (r *runner) measure(ctx context.Context, v *Variant, d time.Duration) error {
+	sent, needed, err := r.attempts()
 	if err != nil {
 		return err
 	}
@@ -135,14 +135,14 @@
 	runtime.ReadMemStats(&before)
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
-	begin := time.Now()
-	results := make(chan worker, b.options.Concurrency)
-	var wait sync.WaitGroup
-	for i := range b.options.Concurrency {
-		wait.Go(func() { results <- b.send(ctx, i) })
+	start := time.Now()
+	results := make(chan workerResult, r.options.Concurrency)
+	var wg sync.WaitGroup
+	for i := range r.options.Concurrency {
+		wg.Go(func() { results <- r.runQueries(ctx, i) })
 	}
-	wait.Wait()
-	v.took += time.Since(begin)
+	wg.Wait()
+	v.elapsed += time.Since(start)
 	runtime.ReadMemStats(&after)
 	v.allocs += after.Mallocs - before.Mallocs
 	close(results)
@@ -152,14 +152,14 @@
 		v.Incomplete += w.incomplete
 		err = errors.Join(err, w.err)
 	}
-	sentAfter, neededAfter, statusErr := b.attempts()
-	v.sent, v.needed = v.sent+sentAfter-sent, v.needed+neededAfter-needed
+	sentAfter, neededAfter, statusErr := r.attempts()
+	v.attemptsSent, v.attemptsNeeded = v.attemptsSent+sentAfter-sent, v.attemptsNeeded+neededAfter-needed
 	return errors.Join(err, statusErr)
 }
 
 // attempts returns the VM's totals of attempts sent and needed.
-func (b *bench) attempts() (sent, needed int, err error) {
-	s, err := b.fleet.Caller(0).Status()
+func (r *runner) attempts() (sent, needed int, err error) {
+	s, err := r.fleet.Caller(0).Status()
 	for _, t := range s.Totals {
 		sent, needed = sent+t.AttemptsSent, needed+t.AttemptsNeeded
 	}
--- a/demo/bench/load.go
+++ b/demo/bench/load.go
@@ -11,26 +11,26 @@
 	"lentillink.example/lentillink/entry"
 )
 
-// worker is what one connection measured.
-type worker struct {
+// workerResult is what one connection measured.
+type workerResult struct {
 	latency    *hdrhistogram.Histogram
 	incomplete int64
 	err        error
 }
 
-// send asks one query after the other until ctx ends.
-func (b *bench) send(ctx context.Context, n int) worker {
-	w := worker{latency: hdrhistogram.New(1, maxLatencyUs, latencyDigits)}
+// runQueries asks one query after the other until ctx ends.
+func (r *runner) runQueries(ctx context.Context, id int) workerResult {
+	w := workerResult{latency: hdrhistogram.New(1, maxLatencyUs, latencyDigits)}
 	q := entry.QueryRequest{Rank: "urgent", Service: "search", Query: json.RawMessage(`{"find":"all"}`)}
 	for i := 0; ctx.Err() == nil; i++ {
-		q.ID = fmt.Sprintf("bench-%d-%d", n, i)
-		begin := time.Now()
-		a, err := b.fleet.Caller(0).Query(q)
+		q.ID = fmt.Sprintf("bench-%d-%d", id, i)
+		start := time.Now()
+		a, err := r.fleet.Caller(0).Query(q)
 		if err != nil {
 			w.err = err
 			return w
 		}
-		if err := w.latency.RecordValue(max(time.Since(begin).Microseconds(), 1)); err != nil {
+		if err := w.latency.RecordValue(max(time.Since(start).Microseconds(), 1)); err != nil {
 			w.err = err
 			return w
 		}
--- a/demo/bench/options.go
+++ b/demo/bench/options.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	replicas    = 2
-	shardKeys   = 1000
-	connections = 64 // to each upstream
+	replicas         = 2
+	shardKeys        = 1000
+	connsPerUpstream = 64 // to each upstream
 	// Two in a hundred sub-requests take ten times as long, as in experiment straggler.
-	slowShare  = 0.02
+	slowRatio  = 0.02
 	slowFactor = 10
 	// hedgePercent allows a hedge for every slow sub-request.
 	hedgePercent = 5
@@ -45,7 +45,7 @@
 		for r := range replicas {
 			g.Replicas = append(g.Replicas, settings.Replica{
 				Name: string(rune('a' + r)), Address: fmt.Sprintf("127.0.0.1:%d", 30000+replicas*i+r),
-				Connections: connections, ConnectMs: 1,
+				Connections: connsPerUpstream, ConnectMs: 1,
 			})
 		}
 		search.Groups = append(search.Groups, g)
@@ -54,8 +54,8 @@
 	return settings.New(doc)
 }
 
-// record holds one preset for each variant. They differ only in hedging.
-func record() preset.Record {
+// presetRecord holds one preset for each variant. They differ only in hedging.
+func presetRecord() preset.Record {
 	rec := preset.Default()
 	off := rec.CurrentPreset()
 	off.Name, off.Urgent.HedgeBudgetPercent = hedgingOff, 0
