--- a/demo/bench/bench.go
+++ b/demo/bench/bench.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// rounds interleaves the variants, so that a change of the machine's load
-	// meets both.
+	// rounds is how often the variants alternate, so that a change of the
+	// machine's load affects both.
 	rounds = 3
-	// maxLatencyUs and the digits bound the histograms.
+	// maxLatencyUs, in microseconds, and latencyDigits bound the histograms.
 	maxLatencyUs    = 60_000_000
 	latencyDigits   = 3
 	switchTimeoutMs = 4000
 )
 
-// Variant is the result with hedging off or on.
+// Variant is the result of the measurement with hedging off or on.
 type Variant struct {
 	Name             string  `json:"name"`
 	Queries          int64   `json:"queries"`
@@ -50,7 +50,7 @@
 type Result struct {
 	HedgingOff Variant `json:"hedging_off"`
 	HedgingOn  Variant `json:"hedging_on"`
-	P50Ratio   float64 `json:"p50_ratio"` // on against off
+	P50Ratio   float64 `json:"p50_ratio"` // on divided by off
 	P99Ratio   float64 `json:"p99_ratio"`
 }
 
@@ -101,7 +101,7 @@
 	v.ExtraAttemptsPercent = 100 * float64(v.attemptsSent-v.attemptsNeeded) / float64(max(v.attemptsNeeded, 1))
 }
 
-// runner is one measurement in progress.
+// runner is the state of one measurement.
 type runner struct {
 	fleet      *demo.Fleet
 	options    Options
@@ -125,7 +125,7 @@
 	return r.measure(ctx, v, r.options.Duration/rounds)
 }
 
-// measure sends queries for a time and adds to v.
+// measure sends queries for the duration d and adds the results to v.
 func (r *runner) measure(ctx context.Context, v *Variant, d time.Duration) error {
 	sent, needed, err := r.attempts()
 	if err != nil {
--- a/demo/bench/load.go
+++ b/demo/bench/load.go
@@ -11,14 +11,14 @@
 	"lentillink.example/lentillink/entry"
 )
 
-// workerResult is what one connection measured.
+// workerResult is the result of one concurrent caller.
 type workerResult struct {
 	latency    *hdrhistogram.Histogram
 	incomplete int64
 	err        error
 }
 
-// runQueries asks one query after the other until ctx ends.
+// runQueries sends one query after the other until ctx ends.
 func (r *runner) runQueries(ctx context.Context, id int) workerResult {
 	w := workerResult{latency: hdrhistogram.New(1, maxLatencyUs, latencyDigits)}
 	q := entry.QueryRequest{Rank: "urgent", Service: "search", Query: json.RawMessage(`{"find":"all"}`)}
--- a/demo/bench/options.go
+++ b/demo/bench/options.go
@@ -8,7 +8,7 @@
 	"lentillink.example/lentillink/settings"
 )
 
-// Options of a measurement.
+// Options configure a measurement.
 type Options struct {
 	Shards      int
 	Concurrency int           // callers that each send their next query after an answer
@@ -24,11 +24,11 @@
 const (
 	replicas         = 2
 	shardKeys        = 1000
-	connsPerUpstream = 64 // to each upstream
+	connsPerUpstream = 64
 	// Two in a hundred sub-requests take ten times as long, as in experiment straggler.
 	slowRatio  = 0.02
 	slowFactor = 10
-	// hedgePercent allows a hedge for every slow sub-request.
+	// hedgePercent is the hedge budget. It allows a hedge for every slow sub-request.
 	hedgePercent = 5
 )
 
