--- a/demo/bench/bench.go
+++ b/demo/bench/bench.go
@@ -117,7 +117,7 @@
 		return err
 	}
 	if doc.Accepted != preset.Accepted {
-		return fmt.Errorf("preset %s: %s", v.Name, doc.Error)
+		return fmt.Errorf("switch to preset %s was not accepted: %s", v.Name, doc.Error)
 	}
 	if _, err := demo.AwaitRevision(r.fleet, doc.Revision, switchTimeoutMs); err != nil {
 		return err
