--- a/cmd/lentillink/answer.go
+++ b/cmd/lentillink/answer.go
@@ -18,25 +18,25 @@
 }
 
 // printOutcome prints how a request ended.
-func printOutcome(tw *tabwriter.Writer, id, outcome string, ran attempt.Execution) {
-	pair(tw, "id", id)
-	pair(tw, "outcome", outcome)
-	pair(tw, "ran", ran)
+func printOutcome(tw *tabwriter.Writer, id, outcome string, execution attempt.Execution) {
+	printField(tw, "id", id)
+	printField(tw, "outcome", outcome)
+	printField(tw, "ran", execution)
 }
 
-// printOrigin prints where an answer was made, and why it is not whole.
-func printOrigin(tw *tabwriter.Writer, o entry.AnswerInfo) {
-	pair(tw, "preset", fmt.Sprintf("%s, revision %d", o.Preset, o.Revision))
-	pair(tw, "vm", o.VM)
-	pair(tw, "took", fmt.Sprintf("%d ms", o.TookMs))
+// printAnswerInfo prints where an answer was made, and why it is not whole.
+func printAnswerInfo(tw *tabwriter.Writer, o entry.AnswerInfo) {
+	printField(tw, "preset", fmt.Sprintf("%s, revision %d", o.Preset, o.Revision))
+	printField(tw, "vm", o.VM)
+	printField(tw, "took", fmt.Sprintf("%d ms", o.TookMs))
 	if o.Reason != "" {
-		pair(tw, "reason", o.Reason)
+		printField(tw, "reason", o.Reason)
 	}
 	if o.RetryAfterMs > 0 {
-		pair(tw, "retry after", fmt.Sprintf("%d ms", o.RetryAfterMs))
+		printField(tw, "retry after", fmt.Sprintf("%d ms", o.RetryAfterMs))
 	}
 }
 
-func pair(tw *tabwriter.Writer, name string, value any) {
+func printField(tw *tabwriter.Writer, name string, value any) {
 	_, _ = fmt.Fprintf(tw, "%s\t%v\n", name, value)
 }
--- a/cmd/lentillink/bench.go
+++ b/cmd/lentillink/bench.go
@@ -27,7 +27,7 @@
 
 // Execute measures one VM with hedging off and on.
 func (c *benchCommand) Execute([]string) (err error) {
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return &exitError{code: exitUsage, err: err}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -50,17 +50,17 @@
 		return err
 	}
 	if c.Plot != "" {
-		if err := c.plot(&res); err != nil {
+		if err := c.writePlot(&res); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
 		return printJSON(res)
 	}
-	return table(os.Stdout, func(tw *tabwriter.Writer) { benchTable(tw, res) })
+	return printTable(os.Stdout, func(tw *tabwriter.Writer) { benchTable(tw, res) })
 }
 
-func (c *benchCommand) check() error {
+func (c *benchCommand) validate() error {
 	switch {
 	case c.Shards < 1 || c.Shards > 500:
 		return fmt.Errorf("--shards: is %d, must be 1 to 500", c.Shards)
@@ -76,7 +76,7 @@
 
 func (c *benchCommand) plotFormat() string { return strings.TrimPrefix(filepath.Ext(c.Plot), ".") }
 
-func (c *benchCommand) plot(res *bench.Result) (err error) {
+func (c *benchCommand) writePlot(res *bench.Result) (err error) {
 	f, err := os.Create(c.Plot)
 	if err != nil {
 		return err
--- a/cmd/lentillink/command_test.go
+++ b/cmd/lentillink/command_test.go
@@ -44,9 +44,9 @@
 // TestCommands guards against commands that exit with an undocumented code or
 // hide what happened.
 func TestCommands(t *testing.T) {
-	p := startPlatform(t)
+	p := startTestPlatform(t)
 	daemons := p.startAll(t, 2)
-	vm, other := daemons[0].address, daemons[1].address
+	vm, otherVM := daemons[0].address, daemons[1].address
 	id := fmt.Sprintf("%d-c1", clock.System{}.Now())
 	order := "order --service orders --group desk-01 --json --id "
 	for _, c := range []commandCase{
@@ -79,14 +79,14 @@
 	} {
 		c.run(t, vm)
 	}
-	editPreset(t, p.dir, vm)
-	partialTimeline(t, p, vm, other)
+	checkPresetEdit(t, p.dir, vm)
+	checkPartialTimeline(t, p, vm, otherVM)
 	commandCase{"status", 1, nil, false}.run(t, freeAddress(t)) // nobody listens there
 }
 
-// editPreset guards against an edit that changes something else, or that takes
+// checkPresetEdit guards against an edit that changes something else, or that takes
 // a document which does not hold together.
-func editPreset(t *testing.T, dir, vm string) {
+func checkPresetEdit(t *testing.T, dir, vm string) {
 	t.Helper()
 	text := commandCase{"preset show ordinary", 0, nil, true}.run(t, vm)
 	var doc preset.Preset
@@ -112,9 +112,9 @@
 	commandCase{"preset show ordinary", 0, []string{`"floor_percent": 25`}, true}.run(t, vm)
 }
 
-// partialTimeline guards against a partial answer that the time line, read
+// checkPartialTimeline guards against a partial answer that the time line, read
 // through another VM, does not explain.
-func partialTimeline(t *testing.T, p *platform, vm, other string) {
+func checkPartialTimeline(t *testing.T, p *testPlatform, vm, otherVM string) {
 	t.Helper()
 	if _, err := p.Inject("search/planner-02", "down", true); err != nil {
 		t.Fatal(err)
@@ -122,7 +122,7 @@
 	partial := commandCase{"query --service search --json --rank urgent --id q-partial {}", 4, []string{`"partial"`}, true}
 	partial.run(t, vm)
 	commandCase{"query --service search {}", 4, []string{"missing", "keys 1000 to 1999"}, false}.run(t, vm)
-	commandCase{"timeline --request q-partial", 0, []string{"group_missing", "planner-02", "refused", "answered", "partial"}, false}.run(t, other)
+	commandCase{"timeline --request q-partial", 0, []string{"group_missing", "planner-02", "refused", "answered", "partial"}, false}.run(t, otherVM)
 }
 
 // TestOfflineCommands guards the commands that need no VM.
--- a/cmd/lentillink/commands.go
+++ b/cmd/lentillink/commands.go
@@ -10,53 +10,53 @@
 func newParser() *flags.Parser {
 	p := flags.NewNamedParser("lentillink", flags.HelpFlag|flags.PassDoubleDash)
 	p.LongDescription = completionHelp
-	add(p, "demo", "Run a whole deployment in one process",
+	addCommand(p, "demo", "Run a whole deployment in one process",
 		"Starts the stand-ins of one deployment and several entry VMs, sends queries and orders of all ranks, switches a preset, slows an upstream, and checks what must always hold.",
 		&demoCommand{})
-	add(p, "run-stand-ins", "Serve stand-ins for the store, the VM list and the upstreams",
+	addCommand(p, "run-stand-ins", "Serve stand-ins for the store, the VM list and the upstreams",
 		"Serves the addresses in settings files until it is interrupted. Faults are switched with POST /fault on the control address; GET /faults there lists them.",
 		&standInsCommand{})
-	add(p, "query", "Ask one question", "Exits with 4 unless the answer is complete.", &queryCommand{})
-	add(p, "soak", "Run VMs as processes and inject faults",
+	addCommand(p, "query", "Ask one question", "Exits with 4 unless the answer is complete.", &queryCommand{})
+	addCommand(p, "soak", "Run VMs as processes and inject faults",
 		"Plays seeds: VMs are killed, paused, stopped and cut off, the store and upstreams misbehave, and what callers and upstreams see is checked. Exits with 1 if a promise is broken.",
 		&soakCommand{})
-	add(p, "order", "Submit one order", "Repeating an order with the same --id is safe. Exits with 4 unless the order was done.", &orderCommand{})
-	add(p, "status", "Show every VM", "Shows readiness, preset, load and avoided upstreams of every VM.", &statusCommand{})
-	add(p, "timeline", "Show what happened on all VMs", "Merges the events of all VMs in the order of cause and effect.", &timelineCommand{})
-	add(p, "bench", "Measure one entry VM",
+	addCommand(p, "order", "Submit one order", "Repeating an order with the same --id is safe. Exits with 4 unless the order was done.", &orderCommand{})
+	addCommand(p, "status", "Show every VM", "Shows readiness, preset, load and avoided upstreams of every VM.", &statusCommand{})
+	addCommand(p, "timeline", "Show what happened on all VMs", "Merges the events of all VMs in the order of cause and effect.", &timelineCommand{})
+	addCommand(p, "bench", "Measure one entry VM",
 		"Runs one entry VM and the stand-in upstreams of many shards in this process, and compares queries with hedging off and on.",
 		&benchCommand{})
-	add(p, "experiment", "Run a seeded experiment", "Prints each figure beside its baseline and its bound; a bound is stated in docs/design.md. The name list prints all names. Exits with 1 if a bound is missed.", &experimentCommand{})
+	addCommand(p, "experiment", "Run a seeded experiment", "Prints each figure beside its baseline and its bound; a bound is stated in docs/design.md. The name list prints all names. Exits with 1 if a bound is missed.", &experimentCommand{})
 	addConfig(p)
 	addPreset(p)
 	return p
 }
 
 func addConfig(p *flags.Parser) {
-	config := add(p, "config", "Check and print settings", "Settings are one JSON file per VM.", &struct{}{})
-	add(config, "validate", "Check a settings file", "Prints every problem with the path of its field. Exits with 2 if there is one.", &configValidateCommand{})
-	add(config, "example", "Print example settings", "Prints settings at the full size of a deployment, on loopback addresses.", &configExampleCommand{})
+	config := addCommand(p, "config", "Check and print settings", "Settings are one JSON file per VM.", &struct{}{})
+	addCommand(config, "validate", "Check a settings file", "Prints every problem with the path of its field. Exits with 2 if there is one.", &configValidateCommand{})
+	addCommand(config, "example", "Print example settings", "Prints settings at the full size of a deployment, on loopback addresses.", &configExampleCommand{})
 }
 
 func addPreset(p *flags.Parser) {
-	presets := add(p, "preset", "Show and change presets", "Exactly one preset is in force at any time.", &struct{}{})
-	add(presets, "list", "List the presets", "Marks the one in force.", &presetListCommand{})
-	add(presets, "show", "Print a preset as JSON", "Prints the document that preset edit takes.", &presetShowCommand{})
-	add(presets, "explain", "Say what each rank gets", "Says it in sentences, from the preset alone.", &presetExplainCommand{})
-	add(presets, "diff", "Compare two presets", "Lists the fields that differ.", &presetDiffCommand{})
-	add(presets, "switch", "Put another preset in force", "Reports on how many VMs it is in force and who has not confirmed. Exits with 3 if it was refused or is not confirmed everywhere.", &presetSwitchCommand{})
-	add(presets, "edit", "Replace or add a preset", "The document is checked first; a bad one changes nothing.", &presetEditCommand{})
-	add(presets, "history", "Show past changes", "Shows who changed what, when and why.", &presetHistoryCommand{})
+	presets := addCommand(p, "preset", "Show and change presets", "Exactly one preset is in force at any time.", &struct{}{})
+	addCommand(presets, "list", "List the presets", "Marks the one in force.", &presetListCommand{})
+	addCommand(presets, "show", "Print a preset as JSON", "Prints the document that preset edit takes.", &presetShowCommand{})
+	addCommand(presets, "explain", "Say what each rank gets", "Says it in sentences, from the preset alone.", &presetExplainCommand{})
+	addCommand(presets, "diff", "Compare two presets", "Lists the fields that differ.", &presetDiffCommand{})
+	addCommand(presets, "switch", "Put another preset in force", "Reports on how many VMs it is in force and who has not confirmed. Exits with 3 if it was refused or is not confirmed everywhere.", &presetSwitchCommand{})
+	addCommand(presets, "edit", "Replace or add a preset", "The document is checked first; a bad one changes nothing.", &presetEditCommand{})
+	addCommand(presets, "history", "Show past changes", "Shows who changed what, when and why.", &presetHistoryCommand{})
 }
 
-// commander is where a command can be added: the parser or a command with subcommands.
-type commander interface {
+// commandParent is where a command can be added: the parser or a command with subcommands.
+type commandParent interface {
 	AddCommand(name, short, long string, data any) (*flags.Command, error)
 }
 
-// add registers a command. A mistake in its tags is a mistake in this program.
-func add(to commander, name, short, long string, data any) *flags.Command {
-	cmd, err := to.AddCommand(name, short, long, data)
+// addCommand registers a command. A mistake in its tags is a mistake in this program.
+func addCommand(parent commandParent, name, short, long string, data any) *flags.Command {
+	cmd, err := parent.AddCommand(name, short, long, data)
 	if err != nil {
 		panic(err)
 	}
--- a/cmd/lentillink/config.go
+++ b/cmd/lentillink/config.go
@@ -17,12 +17,12 @@
 func (c *configValidateCommand) Execute([]string) error {
 	s, err := settings.Load(c.Args.File)
 	if err != nil {
-		var refused *settings.Error
-		if errors.As(err, &refused) {
-			for _, p := range refused.Problems() {
+		var settingsErr *settings.Error
+		if errors.As(err, &settingsErr) {
+			for _, p := range settingsErr.Problems() {
 				fmt.Println(p)
 			}
-			if len(refused.Problems()) > 0 {
+			if len(settingsErr.Problems()) > 0 {
 				return &exitError{code: exitUsage}
 			}
 		}
--- a/cmd/lentillink/connect.go
+++ b/cmd/lentillink/connect.go
@@ -31,8 +31,8 @@
 	return enc.Encode(doc)
 }
 
-// table prints aligned columns.
-func table(w io.Writer, write func(tw *tabwriter.Writer)) error {
+// printTable prints aligned columns.
+func printTable(w io.Writer, write func(tw *tabwriter.Writer)) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	write(tw)
 	return tw.Flush()
--- a/cmd/lentillink/daemon_test.go
+++ b/cmd/lentillink/daemon_test.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// daemonLoad sends queries and orders to the daemons that are ready.
-type daemonLoad struct {
+// loadGenerator sends queries and orders to the daemons that are ready.
+type loadGenerator struct {
 	daemons []*daemon
-	wait    sync.WaitGroup
+	wg      sync.WaitGroup
 	stop    chan struct{}
 	sent    atomic.Int64
 	strict  atomic.Bool // a request without an answer is a failure
@@ -46,11 +46,11 @@
 	errors []string
 }
 
-func startLoad(daemons []*daemon, workers int) *daemonLoad {
-	l := &daemonLoad{daemons: daemons, stop: make(chan struct{}), orders: make(map[string][]entry.OrderDocument)}
+func startLoad(daemons []*daemon, workers int) *loadGenerator {
+	l := &loadGenerator{daemons: daemons, stop: make(chan struct{}), orders: make(map[string][]entry.OrderDocument)}
 	l.strict.Store(true)
 	for w := range workers {
-		l.wait.Go(func() {
+		l.wg.Go(func() {
 			for n := w; ; n++ {
 				select {
 				case <-l.stop:
@@ -64,7 +64,7 @@
 	return l
 }
 
-func (l *daemonLoad) send(n int) {
+func (l *loadGenerator) send(n int) {
 	d := l.daemons[n%len(l.daemons)]
 	if !d.client.Ready() { // as the balancer does
 		return
@@ -73,7 +73,7 @@
 	if n%4 == 0 {
 		q := newQuery()
 		if a, err := d.client.Query(q); err != nil || a.ID != q.ID || a.Outcome == "failed" {
-			l.failed(fmt.Sprintf("query %s: %+v, %v", q.ID, a, err))
+			l.addError(fmt.Sprintf("query %s: %+v, %v", q.ID, a, err))
 		}
 		return
 	}
@@ -83,7 +83,7 @@
 		if err != nil {
 			a = entry.OrderDocument{ID: o.ID}
 			if repeat == 0 {
-				l.failed(fmt.Sprintf("order %s: %v", o.ID, err))
+				l.addError(fmt.Sprintf("order %s: %v", o.ID, err))
 			}
 		}
 		l.mu.Lock()
@@ -92,7 +92,7 @@
 	}
 }
 
-func (l *daemonLoad) failed(text string) {
+func (l *loadGenerator) addError(text string) {
 	if !l.strict.Load() {
 		return
 	}
@@ -101,16 +101,16 @@
 	l.errors = append(l.errors, text)
 }
 
-func (l *daemonLoad) more(t *testing.T, n int64) {
+func (l *loadGenerator) waitForRequests(t *testing.T, n int64) {
 	t.Helper()
 	want := l.sent.Load() + n
-	until(t, "requests are sent", func() bool { return l.sent.Load() >= want })
+	waitUntil(t, "requests are sent", func() bool { return l.sent.Load() >= want })
 }
 
 // TestDaemons guards against a planned stop that cuts requests or fails, and
 // against orders that run twice, or after `ran: no`, when a process is killed.
 func TestDaemons(t *testing.T) {
-	p := startPlatform(t)
+	p := startTestPlatform(t)
 	for _, service := range []string{"search", "orders"} {
 		if _, err := p.Inject(service, "median_ms", 40.0); err != nil {
 			t.Fatal(err)
@@ -118,45 +118,45 @@
 	}
 	daemons := p.startAll(t, 3)
 	l := startLoad(daemons, 12)
-	l.more(t, 100)
+	l.waitForRequests(t, 100)
 	if err := daemons[0].cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if code := daemons[0].wait(t); code != 0 {
+	if code := daemons[0].waitExit(t); code != 0 {
 		t.Errorf("after SIGTERM: exit code %d, want 0", code)
 	}
-	l.more(t, 100)
+	l.waitForRequests(t, 100)
 	l.strict.Store(false) // a killed process cuts what it has
 	if err := daemons[1].cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	l.more(t, 200)
+	l.waitForRequests(t, 200)
 	close(l.stop)
-	l.wait.Wait()
+	l.wg.Wait()
 	for _, e := range l.errors {
 		t.Error("before the kill:", e)
 	}
-	done := 0
+	doneOrders := 0
 	for id, answers := range l.orders {
-		n, notRun, ran := p.runs(id), true, false
+		n, notExecuted, done := p.executions(id), true, false
 		for _, a := range answers {
-			notRun = notRun && a.Execution == attempt.NotExecuted
-			ran = ran || a.Outcome == "done"
+			notExecuted = notExecuted && a.Execution == attempt.NotExecuted
+			done = done || a.Outcome == "done"
 		}
-		if n > 1 || notRun && n > 0 || ran && n != 1 {
+		if n > 1 || notExecuted && n > 0 || done && n != 1 {
 			t.Errorf("order %s ran %d times, answers %+v", id, n, answers)
 		}
-		if ran {
-			done++
+		if done {
+			doneOrders++
 		}
 	}
-	t.Logf("%d orders, %d done", len(l.orders), done)
-	if done < 100 {
-		t.Errorf("%d orders are done, want at least 100", done)
+	t.Logf("%d orders, %d done", len(l.orders), doneOrders)
+	if doneOrders < 100 {
+		t.Errorf("%d orders are done, want at least 100", doneOrders)
 	}
 }
 
-func (p *platform) runs(id string) int {
+func (p *testPlatform) executions(id string) int {
 	n := 0
 	for _, up := range p.Upstreams() {
 		n += p.Upstream(up).Executions(id)
--- a/cmd/lentillink/experiment.go
+++ b/cmd/lentillink/experiment.go
@@ -58,7 +58,7 @@
 }
 
 func listExperiments() error {
-	return table(os.Stdout, func(tw *tabwriter.Writer) {
+	return printTable(os.Stdout, func(tw *tabwriter.Writer) {
 		for _, e := range experiment.All() {
 			_, _ = fmt.Fprintf(tw, "%s\t%s\n", e.Name, e.Short)
 		}
--- a/cmd/lentillink/main.go
+++ b/cmd/lentillink/main.go
@@ -17,11 +17,11 @@
 
 // Exit codes.
 const (
-	exitOK      = 0
-	exitFailed  = 1
-	exitUsage   = 2
-	exitChange  = 3
-	exitPartial = 4
+	exitOK          = 0
+	exitFailed      = 1
+	exitUsage       = 2
+	exitUnconfirmed = 3
+	exitIncomplete  = 4
 )
 
 // exitError ends the program with a code. Its message may be empty when the
@@ -47,29 +47,29 @@
 func run(args []string) int {
 	parser := newParser()
 	_, err := parser.ParseArgs(args)
-	var usage *flags.Error
-	var exit *exitError
+	var flagsErr *flags.Error
+	var exitErr *exitError
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.As(err, &usage):
-		return reportUsage(usage)
-	case errors.As(err, &exit):
-		if text := exit.Error(); text != "" {
+	case errors.As(err, &flagsErr):
+		return reportUsage(flagsErr)
+	case errors.As(err, &exitErr):
+		if text := exitErr.Error(); text != "" {
 			fmt.Fprintln(os.Stderr, "lentillink:", text)
 		}
-		hint(err)
-		return exit.code
+		printConnectHint(err)
+		return exitErr.code
 	}
 	fmt.Fprintln(os.Stderr, "lentillink:", err)
-	hint(err)
+	printConnectHint(err)
 	return exitFailed
 }
 
-// hint says what to check when no VM could be reached.
-func hint(err error) {
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
+// printConnectHint says what to check when no VM could be reached.
+func printConnectHint(err error) {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		fmt.Fprintln(os.Stderr, "Is lentillinkd running at this address? --vm or LENTILLINK_VM names another VM.")
 	}
 }
--- a/cmd/lentillink/order.go
+++ b/cmd/lentillink/order.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	if a.Outcome != "done" {
-		return &exitError{code: exitPartial}
+		return &exitError{code: exitIncomplete}
 	}
 	return nil
 }
@@ -48,11 +48,11 @@
 	if c.JSON {
 		return printJSON(a)
 	}
-	return table(os.Stdout, func(tw *tabwriter.Writer) {
+	return printTable(os.Stdout, func(tw *tabwriter.Writer) {
 		printOutcome(tw, a.ID, a.Outcome, a.Execution)
 		if len(a.Body) > 0 {
-			pair(tw, "body", string(a.Body))
+			printField(tw, "body", string(a.Body))
 		}
-		printOrigin(tw, a.AnswerInfo)
+		printAnswerInfo(tw, a.AnswerInfo)
 	})
 }
--- a/cmd/lentillink/pages_test.go
+++ b/cmd/lentillink/pages_test.go
@@ -10,28 +10,28 @@
 	"github.com/jessevdk/go-flags"
 )
 
-const root = "../.."
+const repoRoot = "../.."
 
-// block is one fenced sh block of a page. Kind is empty for a block whose
+// codeBlock is one fenced sh block of a page. Kind is empty for a block whose
 // commands are only checked, "run" for one that is run, and "background" for one
 // whose lines run until the end.
-type block struct {
+type codeBlock struct {
 	page string
 	kind string
 	text string
 }
 
-var fence = regexp.MustCompile("(?ms)^```sh *([a-z]*)\n(.*?)^```$")
+var fencedBlock = regexp.MustCompile("(?ms)^```sh *([a-z]*)\n(.*?)^```$")
 
-func pageBlocks(t *testing.T, page string) []block {
+func pageBlocks(t *testing.T, page string) []codeBlock {
 	t.Helper()
-	data, err := os.ReadFile(filepath.Join(root, page))
+	data, err := os.ReadFile(filepath.Join(repoRoot, page))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out []block
-	for _, m := range fence.FindAllStringSubmatch(string(data), -1) {
-		out = append(out, block{page: page, kind: m[1], text: m[2]})
+	var out []codeBlock
+	for _, m := range fencedBlock.FindAllStringSubmatch(string(data), -1) {
+		out = append(out, codeBlock{page: page, kind: m[1], text: m[2]})
 	}
 	return out
 }
@@ -39,7 +39,7 @@
 func pages(t *testing.T) []string {
 	t.Helper()
 	out := []string{"README.md", "CHANGELOG.md"}
-	docs, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	docs, err := filepath.Glob(filepath.Join(repoRoot, "docs", "*.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 }
 
 // commands returns the lines of a block as words, with continued lines joined.
-func (b block) commands() [][]string {
+func (b codeBlock) commands() [][]string {
 	var out [][]string
 	for _, line := range strings.Split(strings.ReplaceAll(b.text, "\\\n", " "), "\n") {
 		if words := shellWords(line); len(words) > 0 {
@@ -91,8 +91,8 @@
 	return out
 }
 
-// parse checks the arguments of lentillink without running the command.
-func parse(args []string) error {
+// parseArgs checks the arguments of lentillink without running the command.
+func parseArgs(args []string) error {
 	p := newParser()
 	p.CommandHandler = func(flags.Commander, []string) error { return nil }
 	_, err := p.ParseArgs(args)
--- a/cmd/lentillink/pagescheck_test.go
+++ b/cmd/lentillink/pagescheck_test.go
@@ -12,8 +12,8 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-// paths are the paths that entry VMs and the stand-ins' control address serve.
-var paths = []string{
+// servedPaths are the paths that entry VMs and the stand-ins' control address serve.
+var servedPaths = []string{
 	"/v1/query", "/v1/order", "/v1/status", "/v1/events", "/v1/presets", "/healthz", "/readyz", "/metrics", "/fault", "/faults", "/ledger",
 }
 
@@ -40,7 +40,7 @@
 }
 
 func checkLentillink(args []string) error {
-	if err := parse(args); err != nil {
+	if err := parseArgs(args); err != nil {
 		return err
 	}
 	if args[0] != "experiment" {
@@ -54,7 +54,7 @@
 
 // checkDaemon checks the options against those that the program declares.
 func checkDaemon(args []string) error {
-	source, err := os.ReadFile(filepath.Join(root, "cmd", "lentillinkd", "main.go"))
+	source, err := os.ReadFile(filepath.Join(repoRoot, "cmd", "lentillinkd", "main.go"))
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 		if u.Hostname() != "127.0.0.1" {
 			return fmt.Errorf("%s is not on loopback", a)
 		}
-		if !slices.Contains(paths, u.Path) {
+		if !slices.Contains(servedPaths, u.Path) {
 			return fmt.Errorf("no path %s", u.Path)
 		}
 		return nil
@@ -94,7 +94,7 @@
 		if !ok {
 			continue
 		}
-		if _, err := os.Stat(filepath.Join(root, strings.TrimSuffix(dir, "..."))); err != nil {
+		if _, err := os.Stat(filepath.Join(repoRoot, strings.TrimSuffix(dir, "..."))); err != nil {
 			return err
 		}
 		if args[0] == "run" && a == "./cmd/lentillink" {
--- a/cmd/lentillink/pagesrun_test.go
+++ b/cmd/lentillink/pagesrun_test.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	pagesLimit   = 90 * time.Second
-	pagePorts    = 400 // the example uses fewer from its port base
-	controlPort  = 8999
-	firstPort    = 15000 // below the ports that the system gives to outgoing connections
-	portAttempts = 30
+	pagesTimeout    = 90 * time.Second
+	portsPerRun     = 400 // the example uses fewer from its port base
+	controlPort     = 8999
+	firstPort       = 15000 // below the ports that the system gives to outgoing connections
+	maxPortAttempts = 30
 )
 
 // TestPagesRun guards against commands on the pages that exist but fail. It
@@ -32,38 +32,38 @@
 		}
 	}
 	r := newPageRunner(t)
-	ran := 0
+	numRun := 0
 	for _, page := range []string{"README.md", "docs/callers.md", "docs/OPERATIONS.md"} {
 		for _, b := range pageBlocks(t, page) {
 			switch b.kind {
 			case "run":
-				ran++
+				numRun++
 				r.run(b)
 			case "background":
 				r.start(b)
 			}
 		}
 	}
-	if ran == 0 {
+	if numRun == 0 {
 		t.Error("no block was run")
 	}
 }
 
 type pageRunner struct {
-	t    *testing.T
-	ctx  context.Context
-	bin  string
-	dir  string
-	base int
+	t        *testing.T
+	ctx      context.Context
+	bin      string
+	dir      string
+	portBase int
 }
 
 func newPageRunner(t *testing.T) *pageRunner {
 	// The context of t ends before the cleanups, which need the programs to stop as planned.
-	ctx, cancel := context.WithTimeout(context.Background(), pagesLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), pagesTimeout)
 	t.Cleanup(cancel)
-	r := &pageRunner{t: t, ctx: ctx, bin: t.TempDir(), dir: t.TempDir(), base: freePorts(t)}
+	r := &pageRunner{t: t, ctx: ctx, bin: t.TempDir(), dir: t.TempDir(), portBase: freePorts(t)}
 	build := exec.CommandContext(ctx, "go", "build", "-o", r.bin, "./cmd/lentillink", "./cmd/lentillinkd")
-	build.Dir = root
+	build.Dir = repoRoot
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("go build: %v\n%s", err, out)
 	}
@@ -73,19 +73,19 @@
 // freePorts returns a base from which the ports of the example are free now.
 func freePorts(t *testing.T) int {
 	t.Helper()
-	base := firstPort + os.Getpid()%portAttempts*pagePorts
-	for range portAttempts {
+	base := firstPort + os.Getpid()%maxPortAttempts*portsPerRun
+	for range maxPortAttempts {
 		if portsFree(base) {
 			return base
 		}
-		base = firstPort + (base-firstPort+pagePorts)%(portAttempts*pagePorts)
+		base = firstPort + (base-firstPort+portsPerRun)%(maxPortAttempts*portsPerRun)
 	}
 	t.Fatal("no free ports")
 	return 0
 }
 
 func portsFree(base int) bool {
-	for port := base; port < base+pagePorts; port++ {
+	for port := base; port < base+portsPerRun; port++ {
 		lis, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
 			return false
@@ -95,26 +95,26 @@
 	return true
 }
 
-var loopback = regexp.MustCompile(`127\.0\.0\.1:(\d+)`)
+var loopbackAddress = regexp.MustCompile(`127\.0\.0\.1:(\d+)`)
 
-// adapt moves the ports of the pages to free ones.
-func (r *pageRunner) adapt(text string) string {
-	text = loopback.ReplaceAllStringFunc(text, func(address string) string {
+// replacePorts moves the ports of the pages to free ones.
+func (r *pageRunner) replacePorts(text string) string {
+	text = loopbackAddress.ReplaceAllStringFunc(text, func(address string) string {
 		port, err := strconv.Atoi(address[strings.Index(address, ":")+1:])
 		if err != nil {
 			r.t.Fatal(err)
 		}
 		return r.address(port)
 	})
-	text = strings.ReplaceAll(text, "config example", fmt.Sprintf("config example --port-base %d", r.base))
+	text = strings.ReplaceAll(text, "config example", fmt.Sprintf("config example --port-base %d", r.portBase))
 	return strings.ReplaceAll(text, "run-stand-ins", "run-stand-ins --control "+r.address(controlPort))
 }
 
 func (r *pageRunner) address(port int) string {
 	if port == controlPort {
-		return fmt.Sprintf("127.0.0.1:%d", r.base+pagePorts-1)
+		return fmt.Sprintf("127.0.0.1:%d", r.portBase+portsPerRun-1)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", r.base+port-examplePortBase)
+	return fmt.Sprintf("127.0.0.1:%d", r.portBase+port-examplePortBase)
 }
 
 func (r *pageRunner) command(name string, args ...string) *exec.Cmd {
@@ -124,16 +124,16 @@
 	return cmd
 }
 
-func (r *pageRunner) run(b block) {
-	out, err := r.command("sh", "-euc", r.adapt(b.text)).CombinedOutput()
+func (r *pageRunner) run(b codeBlock) {
+	out, err := r.command("sh", "-euc", r.replacePorts(b.text)).CombinedOutput()
 	if err != nil {
 		r.t.Fatalf("%s: %v\n%s\n%s", b.page, err, b.text, out)
 	}
 }
 
 // start runs each line until the test ends, then expects a clean planned stop.
-func (r *pageRunner) start(b block) {
-	for _, line := range strings.Split(strings.TrimSpace(r.adapt(b.text)), "\n") {
+func (r *pageRunner) start(b codeBlock) {
+	for _, line := range strings.Split(strings.TrimSpace(r.replacePorts(b.text)), "\n") {
 		words := shellWords(line)
 		cmd := r.command(filepath.Join(r.bin, words[0]), words[1:]...)
 		var out strings.Builder
--- a/cmd/lentillink/preset.go
+++ b/cmd/lentillink/preset.go
@@ -34,7 +34,7 @@
 	if c.JSON {
 		return printJSON(rec)
 	}
-	return table(os.Stdout, func(tw *tabwriter.Writer) {
+	return printTable(os.Stdout, func(tw *tabwriter.Writer) {
 		for _, p := range rec.Presets {
 			mark := ""
 			if p.Name == rec.InForce {
@@ -49,8 +49,8 @@
 	Name string `positional-arg-name:"NAME" description:"preset; the one in force if absent"`
 }
 
-// find returns the named preset, or the one in force.
-func find(c *caller.Client, name string) (preset.Preset, preset.Record, error) {
+// findPreset returns the named preset, or the one in force.
+func findPreset(c *caller.Client, name string) (preset.Preset, preset.Record, error) {
 	rec, err := c.Presets()
 	if err != nil {
 		return preset.Preset{}, rec, err
@@ -72,7 +72,7 @@
 
 // Execute prints the JSON document of a preset.
 func (c *presetShowCommand) Execute([]string) error {
-	p, _, err := find(c.client(), c.Args.Name)
+	p, _, err := findPreset(c.client(), c.Args.Name)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 
 // Execute says in sentences what each rank gets under a preset.
 func (c *presetExplainCommand) Execute([]string) error {
-	p, _, err := find(c.client(), c.Args.Name)
+	p, _, err := findPreset(c.client(), c.Args.Name)
 	if err != nil {
 		return err
 	}
@@ -108,11 +108,11 @@
 // Execute lists the fields in which two presets differ.
 func (c *presetDiffCommand) Execute([]string) error {
 	client := c.client()
-	from, _, err := find(client, c.Args.From)
+	from, _, err := findPreset(client, c.Args.From)
 	if err != nil {
 		return err
 	}
-	to, _, err := find(client, c.Args.To)
+	to, _, err := findPreset(client, c.Args.To)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	if c.JSON {
 		return printJSON(list)
 	}
-	return table(os.Stdout, func(tw *tabwriter.Writer) {
+	return printTable(os.Stdout, func(tw *tabwriter.Writer) {
 		for _, d := range list {
 			_, _ = fmt.Fprintf(tw, "%s\t%s\t-> %s\n", d.Path, d.Before, d.After)
 		}
@@ -142,7 +142,7 @@
 	if c.JSON {
 		return printJSON(all)
 	}
-	return table(os.Stdout, func(tw *tabwriter.Writer) {
+	return printTable(os.Stdout, func(tw *tabwriter.Writer) {
 		_, _ = fmt.Fprintln(tw, "REVISION\tWHEN (UTC)\tIN FORCE\tBY\tWHY")
 		for _, p := range all {
 			at := "-" // the shipped presets carry no time
@@ -206,7 +206,7 @@
 	start := time.Now()
 	doc, err := client.Change(change)
 	if err != nil {
-		return &exitError{code: exitChange, err: err}
+		return &exitError{code: exitUnconfirmed, err: err}
 	}
 	switch doc.Accepted {
 	case preset.Accepted:
@@ -214,11 +214,11 @@
 		if doc.Superseded {
 			fmt.Println("a later change has already replaced it; see lentillink preset history")
 		}
-		return f.confirm(client, doc.Revision, start)
+		return f.awaitConfirmation(client, doc.Revision, start)
 	case preset.NotAccepted:
-		return &exitError{code: exitChange, err: fmt.Errorf("not accepted: %s", doc.Error)}
+		return &exitError{code: exitUnconfirmed, err: fmt.Errorf("not accepted: %s", doc.Error)}
 	}
-	return &exitError{code: exitChange, err: fmt.Errorf(
+	return &exitError{code: exitUnconfirmed, err: fmt.Errorf(
 		"not known whether it was accepted: %s; look for change %s in lentillink preset history", doc.Error, change.ID)}
 }
 
@@ -232,14 +232,14 @@
 	return "unknown"
 }
 
-// confirm waits until the revision is in force on every VM that answers.
-func (f *changeFlags) confirm(client *caller.Client, revision uint64, start time.Time) error {
-	shown := -1
-	wait := confirmInterval
+// awaitConfirmation waits until the revision is in force on every VM that answers.
+func (f *changeFlags) awaitConfirmation(client *caller.Client, revision uint64, start time.Time) error {
+	lastPrinted := -1
+	interval := confirmInterval
 	for {
 		doc, err := client.FleetStatus()
 		if err != nil {
-			return &exitError{code: exitChange, err: err}
+			return &exitError{code: exitUnconfirmed, err: err}
 		}
 		confirmed, missing := 0, append([]string{}, doc.Unresponsive...)
 		for _, v := range doc.VMs {
@@ -249,22 +249,22 @@
 			}
 			missing = append(missing, v.VM)
 		}
-		waited := time.Since(start)
-		if len(missing) == 0 || waited >= f.WaitMs.Duration() {
-			fmt.Printf("in force on %d VMs after %d ms\n", confirmed, waited.Milliseconds())
+		elapsed := time.Since(start)
+		if len(missing) == 0 || elapsed >= f.WaitMs.Duration() {
+			fmt.Printf("in force on %d VMs after %d ms\n", confirmed, elapsed.Milliseconds())
 			for _, id := range missing {
 				fmt.Println("not confirmed:", id)
 			}
 			if len(missing) > 0 {
-				return &exitError{code: exitChange, err: errors.New("some VMs have not confirmed; they take the change when they can be reached")}
+				return &exitError{code: exitUnconfirmed, err: errors.New("some VMs have not confirmed; they take the change when they can be reached")}
 			}
 			return nil
 		}
-		if confirmed != shown { // standard error may be a file
+		if confirmed != lastPrinted { // standard error may be a file
 			fmt.Fprintf(os.Stderr, "in force on %d VMs, waiting for %d\n", confirmed, len(missing))
-			shown = confirmed
+			lastPrinted = confirmed
 		}
-		time.Sleep(wait)
-		wait = min(2*wait, maxConfirmInterval)
+		time.Sleep(interval)
+		interval = min(2*interval, maxConfirmInterval)
 	}
 }
--- a/cmd/lentillink/process_test.go
+++ b/cmd/lentillink/process_test.go
@@ -20,8 +20,8 @@
 	"lentillink.example/lentillink/standin"
 )
 
-// waitLimit bounds every wait for a condition on a busy machine.
-const waitLimit = 30 * time.Second
+// waitTimeout bounds every wait for a condition on a busy machine.
+const waitTimeout = 30 * time.Second
 
 // binDir holds the programs that TestMain builds.
 var binDir string
@@ -47,13 +47,13 @@
 	return m.Run(), nil
 }
 
-// platform is the stand-ins that the daemons use.
-type platform struct {
+// testPlatform is the stand-ins that the daemons use.
+type testPlatform struct {
 	*standin.Deployment
 	dir string
 }
 
-func startPlatform(t *testing.T) *platform {
+func startTestPlatform(t *testing.T) *testPlatform {
 	t.Helper()
 	example, err := settings.Example("hautakukka")
 	if err != nil {
@@ -77,7 +77,7 @@
 			t.Error(err)
 		}
 	})
-	return &platform{Deployment: d, dir: t.TempDir()}
+	return &testPlatform{Deployment: d, dir: t.TempDir()}
 }
 
 // daemon is one lentillinkd process.
@@ -86,10 +86,10 @@
 	address string
 	client  *caller.Client
 	log     *bytes.Buffer // read it only after the end
-	end     chan error
+	exited  chan error
 }
 
-func (p *platform) start(t *testing.T, id string) *daemon {
+func (p *testPlatform) start(t *testing.T, id string) *daemon {
 	t.Helper()
 	doc := p.Settings().Document()
 	doc.VM = id
@@ -102,17 +102,17 @@
 	if err := os.WriteFile(file, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d := &daemon{address: doc.Addresses.Callers, log: &bytes.Buffer{}, end: make(chan error, 1)}
+	d := &daemon{address: doc.Addresses.Callers, log: &bytes.Buffer{}, exited: make(chan error, 1)}
 	d.client = caller.New(d.address)
 	d.cmd = exec.Command(filepath.Join(binDir, "lentillinkd"), "--settings", file)
 	d.cmd.Stderr = d.log
 	if err := d.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { d.end <- d.cmd.Wait() }()
+	go func() { d.exited <- d.cmd.Wait() }()
 	t.Cleanup(func() {
 		_ = d.cmd.Process.Kill()
-		d.wait(t)
+		d.waitExit(t)
 		if t.Failed() {
 			t.Logf("end of the log of %s:\n%s", id, tail(d.log.String(), 2000))
 		}
@@ -124,14 +124,14 @@
 }
 
 // startAll starts daemons and waits until each is ready and knows the others.
-func (p *platform) startAll(t *testing.T, n int) []*daemon {
+func (p *testPlatform) startAll(t *testing.T, n int) []*daemon {
 	t.Helper()
 	list := make([]*daemon, n)
 	for i := range list {
 		list[i] = p.start(t, fmt.Sprintf("vm-%d", i+1))
 	}
 	for _, d := range list {
-		until(t, "the daemon is ready and knows the others", func() bool {
+		waitUntil(t, "the daemon is ready and knows the others", func() bool {
 			s, err := d.client.FleetStatus()
 			return err == nil && len(s.VMs) == n && d.client.Ready()
 		})
@@ -139,14 +139,14 @@
 	return list
 }
 
-// wait returns the exit code, -1 if a signal ended the process.
-func (d *daemon) wait(t *testing.T) int {
+// waitExit returns the exit code, -1 if a signal ended the process.
+func (d *daemon) waitExit(t *testing.T) int {
 	t.Helper()
 	select {
-	case err := <-d.end:
-		d.end <- err
+	case err := <-d.exited:
+		d.exited <- err
 		return d.cmd.ProcessState.ExitCode()
-	case <-time.After(waitLimit + 35*time.Second): // the drain limit is 30 s
+	case <-time.After(waitTimeout + 35*time.Second): // the drain limit is 30 s
 		t.Fatal("the daemon does not end")
 		return 0
 	}
@@ -162,12 +162,12 @@
 	return lis.Addr().String()
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %s: %s", waitLimit, what)
+			t.Fatalf("not within %s: %s", waitTimeout, condition)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -178,13 +178,13 @@
 // lentillink runs the command line and returns its exit code and output.
 func lentillink(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
-	var out, errs bytes.Buffer
+	var stdoutBuf, stderrBuf bytes.Buffer
 	cmd := exec.Command(filepath.Join(binDir, "lentillink"), args...)
-	cmd.Stdout, cmd.Stderr = io.Writer(&out), io.Writer(&errs)
+	cmd.Stdout, cmd.Stderr = io.Writer(&stdoutBuf), io.Writer(&stderrBuf)
 	err := cmd.Run()
-	var exit *exec.ExitError
-	if err != nil && !errors.As(err, &exit) {
+	var exitErr *exec.ExitError
+	if err != nil && !errors.As(err, &exitErr) {
 		t.Fatal(err)
 	}
-	return cmd.ProcessState.ExitCode(), out.String(), errs.String()
+	return cmd.ProcessState.ExitCode(), stdoutBuf.String(), stderrBuf.String()
 }
--- a/cmd/lentillink/query.go
+++ b/cmd/lentillink/query.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	if a.Outcome != "complete" {
-		return &exitError{code: exitPartial}
+		return &exitError{code: exitIncomplete}
 	}
 	return nil
 }
@@ -51,14 +51,14 @@
 	if c.JSON {
 		return printJSON(a)
 	}
-	return table(os.Stdout, func(tw *tabwriter.Writer) {
+	return printTable(os.Stdout, func(tw *tabwriter.Writer) {
 		printOutcome(tw, a.ID, a.Outcome, a.Execution)
-		pair(tw, "snapshot", a.Snapshot)
-		pair(tw, "coverage", fmt.Sprintf("%d of %d keys", a.Coverage.Covered, a.Coverage.Expected))
+		printField(tw, "snapshot", a.Snapshot)
+		printField(tw, "coverage", fmt.Sprintf("%d of %d keys", a.Coverage.Covered, a.Coverage.Expected))
 		for _, gap := range a.Coverage.Missing {
-			pair(tw, "missing", fmt.Sprintf("keys %d to %d", gap.From, gap.To-1))
+			printField(tw, "missing", fmt.Sprintf("keys %d to %d", gap.From, gap.To-1))
 		}
-		pair(tw, "rows", len(a.Rows))
-		printOrigin(tw, a.AnswerInfo)
+		printField(tw, "rows", len(a.Rows))
+		printAnswerInfo(tw, a.AnswerInfo)
 	})
 }
--- a/cmd/lentillink/standins.go
+++ b/cmd/lentillink/standins.go
@@ -21,7 +21,7 @@
 func (c *standInsCommand) Execute([]string) (err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	all, err := c.load()
+	all, err := c.loadSettings()
 	if err != nil {
 		return &exitError{code: exitUsage, err: err}
 	}
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	if err := register(d.VMList(), all); err != nil {
+	if err := registerVMs(d.VMList(), all); err != nil {
 		return errors.Join(err, d.Close())
 	}
 	fmt.Printf("store %s, VM list %s with %d VMs, %d upstreams, control %s; interrupt to stop\n",
@@ -38,8 +38,8 @@
 	return d.Close()
 }
 
-// register puts the VMs on the VM list. VMs find each other only through it.
-func register(list *standin.VMList, all []*settings.Settings) error {
+// registerVMs puts the VMs on the VM list. VMs find each other only through it.
+func registerVMs(list *standin.VMList, all []*settings.Settings) error {
 	for _, s := range all {
 		vm := roster.VM{ID: s.VM(), Address: s.Addresses().Peers, DataCentre: s.DataCentre()}
 		if err := list.Register(vm); err != nil {
@@ -49,9 +49,9 @@
 	return nil
 }
 
-func (c *standInsCommand) load() ([]*settings.Settings, error) {
+func (c *standInsCommand) loadSettings() ([]*settings.Settings, error) {
 	if len(c.Settings) == 0 {
-		return exampleFleet()
+		return exampleSettings()
 	}
 	var all []*settings.Settings
 	for _, file := range c.Settings {
@@ -64,7 +64,7 @@
 	return all, nil
 }
 
-func exampleFleet() ([]*settings.Settings, error) {
+func exampleSettings() ([]*settings.Settings, error) {
 	var all []*settings.Settings
 	for n := 1; n <= settings.ExampleVMs; n++ {
 		s, err := settings.Example("hautakukka", settings.WithVM(n), settings.WithPortBase(examplePortBase))
--- a/cmd/lentillink/status.go
+++ b/cmd/lentillink/status.go
@@ -24,10 +24,10 @@
 	if c.JSON {
 		return printJSON(doc)
 	}
-	if err := table(os.Stdout, func(tw *tabwriter.Writer) { statusTable(tw, doc) }); err != nil {
+	if err := printTable(os.Stdout, func(tw *tabwriter.Writer) { statusTable(tw, doc) }); err != nil {
 		return err
 	}
-	return table(os.Stdout, func(tw *tabwriter.Writer) { avoidedTable(tw, doc) })
+	return printTable(os.Stdout, func(tw *tabwriter.Writer) { avoidedTable(tw, doc) })
 }
 
 func statusTable(tw *tabwriter.Writer, doc entry.FleetStatus) {
@@ -40,7 +40,7 @@
 		if v.Stale {
 			ready += ", stale: store and peers lost"
 		}
-		running, queued := loads(v)
+		running, queued := formatLoad(v)
 		_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n",
 			v.VM, v.DataCentre, ready, v.Preset, v.Revision, running, queued, v.OpenOrders)
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// loads formats the running and queued requests by rank.
-func loads(v vm.Status) (running, queued string) {
+// formatLoad formats the running and queued requests by rank.
+func formatLoad(v vm.Status) (running, queued string) {
 	var r, q [3]int
 	for _, l := range v.Load {
 		r[l.Rank] += l.Running
@@ -60,22 +60,22 @@
 }
 
 func avoidedTable(tw *tabwriter.Writer, doc entry.FleetStatus) {
-	by := make(map[string][]string)
-	var order []string
+	vmsByKey := make(map[string][]string)
+	var keys []string
 	for _, v := range doc.VMs {
 		for _, a := range v.Avoided {
 			key := fmt.Sprintf("%s\t%s", a.ID, a.Reason)
-			if by[key] == nil {
-				order = append(order, key)
+			if vmsByKey[key] == nil {
+				keys = append(keys, key)
 			}
-			by[key] = append(by[key], v.VM)
+			vmsByKey[key] = append(vmsByKey[key], v.VM)
 		}
 	}
-	if len(order) == 0 {
+	if len(keys) == 0 {
 		return
 	}
 	_, _ = fmt.Fprintln(tw, "\nAVOIDED UPSTREAM\tWHY\tBY")
-	for _, key := range order {
-		_, _ = fmt.Fprintf(tw, "%s\t%s\n", key, strings.Join(by[key], " "))
+	for _, key := range keys {
+		_, _ = fmt.Fprintf(tw, "%s\t%s\n", key, strings.Join(vmsByKey[key], " "))
 	}
 }
--- a/cmd/lentillink/timeline.go
+++ b/cmd/lentillink/timeline.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	if c.Plot != "" {
-		return plot(c.Plot, events)
+		return writePlot(c.Plot, events)
 	}
 	for c.Follow {
 		time.Sleep(followInterval)
@@ -101,33 +101,33 @@
 		return printJSON(events)
 	}
 	for _, ev := range events {
-		if _, err := io.WriteString(os.Stdout, line(ev)+"\n"); err != nil {
+		if _, err := io.WriteString(os.Stdout, formatEvent(ev)+"\n"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// line formats an event as time, VM, kind and key=value pairs.
-func line(ev timeline.Event) string {
+// formatEvent formats an event as time, VM, kind and key=value pairs.
+func formatEvent(ev timeline.Event) string {
 	at := time.UnixMilli(int64(ev.Timestamp.WallMs)).UTC().Format("15:04:05.000")
 	parts := []string{fmt.Sprintf("%s.%d", at, ev.Timestamp.Logical), ev.VM, string(ev.Kind)}
-	add := func(name, value string) {
+	addPair := func(name, value string) {
 		if value != "" {
 			parts = append(parts, name+"="+strconv.Quote(value))
 		}
 	}
-	add("request", ev.Request)
-	add("rank", ev.Rank)
-	add("upstream", ev.Upstream)
+	addPair("request", ev.Request)
+	addPair("rank", ev.Rank)
+	addPair("upstream", ev.Upstream)
 	if ev.Revision > 0 {
 		parts = append(parts, fmt.Sprintf("revision=%d", ev.Revision))
 	}
-	add("detail", ev.Detail)
+	addPair("detail", ev.Detail)
 	return strings.Join(parts, " ")
 }
 
-func plot(path string, events []timeline.Event) (err error) {
+func writePlot(path string, events []timeline.Event) (err error) {
 	format := strings.TrimPrefix(filepath.Ext(path), ".")
 	if format != "png" && format != "svg" {
 		return &exitError{code: exitUsage, err: fmt.Errorf("--plot: %q must end in .png or .svg", path)}
