--- a/cmd/lentillink/answer.go
+++ b/cmd/lentillink/answer.go
@@ -9,7 +9,7 @@
 	"lentillink.example/lentillink/entry"
 )
 
-// checkJSON refuses an argument that is not valid JSON.
+// checkJSON returns a usage error if an argument is not valid JSON.
 func checkJSON(name, value string) error {
 	if !json.Valid([]byte(value)) {
 		return &exitError{code: exitUsage, err: fmt.Errorf("%s: %q is not valid JSON", name, value)}
@@ -17,14 +17,15 @@
 	return nil
 }
 
-// printOutcome prints how a request ended.
+// printOutcome prints the outcome and the execution state of a request.
 func printOutcome(tw *tabwriter.Writer, id, outcome string, execution attempt.Execution) {
 	printField(tw, "id", id)
 	printField(tw, "outcome", outcome)
 	printField(tw, "ran", execution)
 }
 
-// printAnswerInfo prints where an answer was made, and why it is not whole.
+// printAnswerInfo prints which VM answered under which preset, and why the answer
+// is incomplete.
 func printAnswerInfo(tw *tabwriter.Writer, o entry.AnswerInfo) {
 	printField(tw, "preset", fmt.Sprintf("%s, revision %d", o.Preset, o.Revision))
 	printField(tw, "vm", o.VM)
--- a/cmd/lentillink/command_test.go
+++ b/cmd/lentillink/command_test.go
@@ -12,7 +12,7 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// commandCase runs the command line once. An empty want accepts any output.
+// commandCase is one run of the command line. An empty want accepts any output.
 type commandCase struct {
 	args string
 	code int
@@ -42,7 +42,7 @@
 }
 
 // TestCommands guards against commands that exit with an undocumented code or
-// hide what happened.
+// do not print the result or the reason of a failure.
 func TestCommands(t *testing.T) {
 	p := startTestPlatform(t)
 	daemons := p.startAll(t, 2)
@@ -81,11 +81,11 @@
 	}
 	checkPresetEdit(t, p.dir, vm)
 	checkPartialTimeline(t, p, vm, otherVM)
-	commandCase{"status", 1, nil, false}.run(t, freeAddress(t)) // nobody listens there
+	commandCase{"status", 1, nil, false}.run(t, freeAddress(t)) // no process listens there
 }
 
-// checkPresetEdit guards against an edit that changes something else, or that takes
-// a document which does not hold together.
+// checkPresetEdit guards against an edit that changes something else, and against
+// an invalid document that is accepted.
 func checkPresetEdit(t *testing.T, dir, vm string) {
 	t.Helper()
 	text := commandCase{"preset show ordinary", 0, nil, true}.run(t, vm)
@@ -112,8 +112,8 @@
 	commandCase{"preset show ordinary", 0, []string{`"floor_percent": 25`}, true}.run(t, vm)
 }
 
-// checkPartialTimeline guards against a partial answer that the time line, read
-// through another VM, does not explain.
+// checkPartialTimeline guards against a partial answer whose cause is missing
+// from the timeline as another VM returns it.
 func checkPartialTimeline(t *testing.T, p *testPlatform, vm, otherVM string) {
 	t.Helper()
 	if _, err := p.Inject("search/planner-02", "down", true); err != nil {
@@ -125,7 +125,7 @@
 	commandCase{"timeline --request q-partial", 0, []string{"group_missing", "planner-02", "refused", "answered", "partial"}, false}.run(t, otherVM)
 }
 
-// TestOfflineCommands guards the commands that need no VM.
+// TestOfflineCommands guards against failures of the commands that need no VM.
 func TestOfflineCommands(t *testing.T) {
 	dir := t.TempDir()
 	for _, deployment := range []string{"hautakukka", "pondslip"} {
--- a/cmd/lentillink/commands.go
+++ b/cmd/lentillink/commands.go
@@ -49,12 +49,13 @@
 	addCommand(presets, "history", "Show past changes", "Shows who changed what, when and why.", &presetHistoryCommand{})
 }
 
-// commandParent is where a command can be added: the parser or a command with subcommands.
+// commandParent accepts commands: the parser or a command with subcommands.
 type commandParent interface {
 	AddCommand(name, short, long string, data any) (*flags.Command, error)
 }
 
-// addCommand registers a command. A mistake in its tags is a mistake in this program.
+// addCommand registers a command. It panics if the struct tags of data are
+// invalid, which is a programming error.
 func addCommand(parent commandParent, name, short, long string, data any) *flags.Command {
 	cmd, err := parent.AddCommand(name, short, long, data)
 	if err != nil {
--- a/cmd/lentillink/connect.go
+++ b/cmd/lentillink/connect.go
@@ -10,7 +10,7 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// vmFlags say which entry VM to ask. Any VM answers for the whole fleet.
+// vmFlags select the entry VM to connect to. Any VM answers for the whole fleet.
 type vmFlags struct {
 	VM        string       `long:"vm" env:"LENTILLINK_VM" default:"127.0.0.1:9010" value-name:"HOST:PORT" description:"address of any entry VM"`
 	TimeoutMs clock.Millis `long:"timeout-ms" default:"30000" description:"longest wait for an answer, in milliseconds"`
--- a/cmd/lentillink/daemon_test.go
+++ b/cmd/lentillink/daemon_test.go
@@ -39,7 +39,7 @@
 	wg      sync.WaitGroup
 	stop    chan struct{}
 	sent    atomic.Int64
-	strict  atomic.Bool // a request without an answer is a failure
+	strict  atomic.Bool // report each request without an answer as an error
 
 	mu     sync.Mutex
 	orders map[string][]entry.OrderDocument
@@ -66,7 +66,7 @@
 
 func (l *loadGenerator) send(n int) {
 	d := l.daemons[n%len(l.daemons)]
-	if !d.client.Ready() { // as the balancer does
+	if !d.client.Ready() { // a load balancer skips VMs that are not ready
 		return
 	}
 	l.sent.Add(1)
@@ -107,8 +107,9 @@
 	waitUntil(t, "requests are sent", func() bool { return l.sent.Load() >= want })
 }
 
-// TestDaemons guards against a planned stop that cuts requests or fails, and
-// against orders that run twice, or after `ran: no`, when a process is killed.
+// TestDaemons guards against a planned stop that aborts requests or fails, and
+// against orders that are executed twice, or despite the answer `ran: no`, when
+// a process is killed.
 func TestDaemons(t *testing.T) {
 	p := startTestPlatform(t)
 	for _, service := range []string{"search", "orders"} {
@@ -126,7 +127,7 @@
 		t.Errorf("after SIGTERM: exit code %d, want 0", code)
 	}
 	l.waitForRequests(t, 100)
-	l.strict.Store(false) // a killed process cuts what it has
+	l.strict.Store(false) // a killed process aborts its open requests
 	if err := daemons[1].cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -164,8 +165,8 @@
 	return n
 }
 
-// TestDaemonBadSettings guards against a daemon that starts with settings it
-// cannot honour, or that names only the first problem.
+// TestDaemonBadSettings guards against a daemon that starts with invalid
+// settings, or that reports only the first problem.
 func TestDaemonBadSettings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "bad.json")
 	writeBadSettings(t, file)
--- a/cmd/lentillink/id.go
+++ b/cmd/lentillink/id.go
@@ -7,5 +7,5 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// newID returns an identifier that carries its issue time, as orders need it.
+// newID returns an identifier that contains its issue time, as orders require.
 func newID() string { return fmt.Sprintf("%d-%s", clock.System{}.Now(), rand.Text()) }
--- a/cmd/lentillink/main.go
+++ b/cmd/lentillink/main.go
@@ -1,9 +1,9 @@
 // Command lentillink is the operators' command line. It also holds the demo,
 // the stand-ins and the experiments.
 //
-// Exit codes: 0 success, 1 the command failed or a check did not hold, 2 the
-// arguments cannot be accepted, 3 a change was refused or its outcome is not
-// known, 4 an answer is partial or refused.
+// Exit codes: 0 success, 1 the command or a check failed, 2 the arguments are
+// invalid, 3 a change was rejected or is not confirmed by every VM, 4 an answer
+// is partial or a request was refused.
 package main
 
 import (
@@ -24,8 +24,8 @@
 	exitIncomplete  = 4
 )
 
-// exitError ends the program with a code. Its message may be empty when the
-// command has already printed what there is to say.
+// exitError ends the program with an exit code. Its message is empty if the
+// command has already printed the result.
 type exitError struct {
 	code int
 	err  error
@@ -66,7 +66,7 @@
 	return exitFailed
 }
 
-// printConnectHint says what to check when no VM could be reached.
+// printConnectHint prints what to check if the connection to the VM failed.
 func printConnectHint(err error) {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
--- a/cmd/lentillink/matrix.go
+++ b/cmd/lentillink/matrix.go
@@ -18,7 +18,7 @@
 }
 
 // runMatrix prints the grid of faults and steps. It fails if an invariant is
-// violated or a cell did not run as meant.
+// violated or a cell did not run as intended.
 func (c *experimentCommand) runMatrix() error {
 	report, err := c.matrix()
 	if err != nil {
--- a/cmd/lentillink/pages_test.go
+++ b/cmd/lentillink/pages_test.go
@@ -12,9 +12,9 @@
 
 const repoRoot = "../.."
 
-// codeBlock is one fenced sh block of a page. Kind is empty for a block whose
-// commands are only checked, "run" for one that is run, and "background" for one
-// whose lines run until the end.
+// codeBlock is one fenced sh block of a documentation page. Kind is empty if the
+// commands are only parsed, "run" if they are run, and "background" if each line
+// runs until the test ends.
 type codeBlock struct {
 	page string
 	kind string
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestPagesCheckRefuses guards against a check that accepts everything.
+// TestPagesCheckRefuses guards against a check that accepts invalid commands.
 func TestPagesCheckRefuses(t *testing.T) {
 	for _, line := range []string{
 		"lentillink nothing", "lentillink status --nothing", "lentillink query '{}'", "lentillink experiment nothing", "rm -r x",
--- a/cmd/lentillink/pagescheck_test.go
+++ b/cmd/lentillink/pagescheck_test.go
@@ -12,7 +12,8 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-// servedPaths are the paths that entry VMs and the stand-ins' control address serve.
+// servedPaths are the HTTP paths that entry VMs and the stand-ins' control address
+// serve.
 var servedPaths = []string{
 	"/v1/query", "/v1/order", "/v1/status", "/v1/events", "/v1/presets", "/healthz", "/readyz", "/metrics", "/fault", "/faults", "/ledger",
 }
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// checkDaemon checks the options against those that the program declares.
+// checkDaemon checks the options against those that lentillinkd declares.
 func checkDaemon(args []string) error {
 	source, err := os.ReadFile(filepath.Join(repoRoot, "cmd", "lentillinkd", "main.go"))
 	if err != nil {
--- a/cmd/lentillink/pagesrun_test.go
+++ b/cmd/lentillink/pagesrun_test.go
@@ -17,14 +17,14 @@
 
 const (
 	pagesTimeout    = 90 * time.Second
-	portsPerRun     = 400 // the example uses fewer from its port base
+	portsPerRun     = 400 // the example uses fewer ports from its port base
 	controlPort     = 8999
-	firstPort       = 15000 // below the ports that the system gives to outgoing connections
+	firstPort       = 15000 // below the system's ephemeral ports for outgoing connections
 	maxPortAttempts = 30
 )
 
-// TestPagesRun guards against commands on the pages that exist but fail. It
-// runs the blocks marked as run against the deployment that README.md starts.
+// TestPagesRun guards against commands on the pages that parse but fail. It runs
+// the blocks of kind run against the deployment that README.md starts.
 func TestPagesRun(t *testing.T) {
 	for _, tool := range []string{"sh", "curl"} {
 		if _, err := exec.LookPath(tool); err != nil {
@@ -58,7 +58,7 @@
 }
 
 func newPageRunner(t *testing.T) *pageRunner {
-	// The context of t ends before the cleanups, which need the programs to stop as planned.
+	// The context of t is cancelled before the cleanups, in which the programs make a planned stop.
 	ctx, cancel := context.WithTimeout(context.Background(), pagesTimeout)
 	t.Cleanup(cancel)
 	r := &pageRunner{t: t, ctx: ctx, bin: t.TempDir(), dir: t.TempDir(), portBase: freePorts(t)}
@@ -70,7 +70,7 @@
 	return r
 }
 
-// freePorts returns a base from which the ports of the example are free now.
+// freePorts returns a port base from which all ports of the example are free.
 func freePorts(t *testing.T) int {
 	t.Helper()
 	base := firstPort + os.Getpid()%maxPortAttempts*portsPerRun
@@ -97,7 +97,7 @@
 
 var loopbackAddress = regexp.MustCompile(`127\.0\.0\.1:(\d+)`)
 
-// replacePorts moves the ports of the pages to free ones.
+// replacePorts replaces the ports in the commands of the pages by free ones.
 func (r *pageRunner) replacePorts(text string) string {
 	text = loopbackAddress.ReplaceAllStringFunc(text, func(address string) string {
 		port, err := strconv.Atoi(address[strings.Index(address, ":")+1:])
@@ -131,7 +131,7 @@
 	}
 }
 
-// start runs each line until the test ends, then expects a clean planned stop.
+// start runs each line until the test ends, then expects exit code 0 after SIGTERM.
 func (r *pageRunner) start(b codeBlock) {
 	for _, line := range strings.Split(strings.TrimSpace(r.replacePorts(b.text)), "\n") {
 		words := shellWords(line)
--- a/cmd/lentillink/preset.go
+++ b/cmd/lentillink/preset.go
@@ -13,8 +13,8 @@
 	"lentillink.example/lentillink/preset"
 )
 
-// The VMs are asked whether a change is in force after confirmInterval, and
-// then less and less often, because each question reaches every VM.
+// Bounds of the interval at which the fleet's status is polled until a change is
+// in force. The interval doubles, because each poll reaches every VM.
 const (
 	confirmInterval    = 50 * time.Millisecond
 	maxConfirmInterval = 800 * time.Millisecond
@@ -49,7 +49,7 @@
 	Name string `positional-arg-name:"NAME" description:"preset; the one in force if absent"`
 }
 
-// findPreset returns the named preset, or the one in force.
+// findPreset returns the named preset, or the one in force if name is empty.
 func findPreset(c *caller.Client, name string) (preset.Preset, preset.Record, error) {
 	rec, err := c.Presets()
 	if err != nil {
@@ -84,7 +84,7 @@
 	Args presetNameArgs `positional-args:"true"`
 }
 
-// Execute says in sentences what each rank gets under a preset.
+// Execute prints in sentences what each rank gets under a preset.
 func (c *presetExplainCommand) Execute([]string) error {
 	p, _, err := findPreset(c.client(), c.Args.Name)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return printTable(os.Stdout, func(tw *tabwriter.Writer) {
 		_, _ = fmt.Fprintln(tw, "REVISION\tWHEN (UTC)\tIN FORCE\tBY\tWHY")
 		for _, p := range all {
-			at := "-" // the shipped presets carry no time
+			at := "-" // the built-in presets have no time of change
 			if p.At != 0 {
 				at = time.UnixMilli(int64(p.At)).UTC().Format(time.DateTime)
 			}
@@ -154,7 +154,7 @@
 	})
 }
 
-// changeFlags are common to the commands that change the record.
+// changeFlags are common to the commands that change the preset record.
 type changeFlags struct {
 	vmFlags
 	Reason string       `long:"reason" required:"true" description:"why; other operators read it in the history"`
@@ -181,7 +181,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute replaces or adds a preset. A bad document changes nothing.
+// Execute replaces or adds a preset. An invalid document changes nothing.
 func (c *presetEditCommand) Execute([]string) error {
 	data, err := os.ReadFile(c.Args.File)
 	if err != nil {
@@ -194,8 +194,8 @@
 	return c.apply(preset.Change{Preset: &p})
 }
 
-// apply sends a change that is based on the record as it is now, so that a
-// change by another operator in the meantime is not overwritten unseen.
+// apply sends a change that is based on the current record, so that a concurrent
+// change by another operator is not overwritten unnoticed.
 func (f *changeFlags) apply(change preset.Change) error {
 	client := f.client()
 	rec, err := client.Presets()
@@ -232,7 +232,8 @@
 	return "unknown"
 }
 
-// awaitConfirmation waits until the revision is in force on every VM that answers.
+// awaitConfirmation waits until the revision is in force on every VM, or until
+// WaitMs has passed.
 func (f *changeFlags) awaitConfirmation(client *caller.Client, revision uint64, start time.Time) error {
 	lastPrinted := -1
 	interval := confirmInterval
@@ -260,7 +261,7 @@
 			}
 			return nil
 		}
-		if confirmed != lastPrinted { // standard error may be a file
+		if confirmed != lastPrinted { // prints changes only, as standard error may be a file
 			fmt.Fprintf(os.Stderr, "in force on %d VMs, waiting for %d\n", confirmed, len(missing))
 			lastPrinted = confirmed
 		}
--- a/cmd/lentillink/process_test.go
+++ b/cmd/lentillink/process_test.go
@@ -20,7 +20,7 @@
 	"lentillink.example/lentillink/standin"
 )
 
-// waitTimeout bounds every wait for a condition on a busy machine.
+// waitTimeout bounds every wait for a condition, also on a busy machine.
 const waitTimeout = 30 * time.Second
 
 // binDir holds the programs that TestMain builds.
@@ -47,7 +47,7 @@
 	return m.Run(), nil
 }
 
-// testPlatform is the stand-ins that the daemons use.
+// testPlatform holds the stand-ins that the daemons connect to.
 type testPlatform struct {
 	*standin.Deployment
 	dir string
@@ -85,7 +85,7 @@
 	cmd     *exec.Cmd
 	address string
 	client  *caller.Client
-	log     *bytes.Buffer // read it only after the end
+	log     *bytes.Buffer // read only after the process has exited
 	exited  chan error
 }
 
@@ -123,7 +123,8 @@
 	return d
 }
 
-// startAll starts daemons and waits until each is ready and knows the others.
+// startAll starts daemons and waits until each is ready and has discovered the
+// others.
 func (p *testPlatform) startAll(t *testing.T, n int) []*daemon {
 	t.Helper()
 	list := make([]*daemon, n)
--- a/cmd/lentillink/query.go
+++ b/cmd/lentillink/query.go
@@ -22,7 +22,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute asks one question. It exits with 4 unless the answer is complete.
+// Execute sends one query. It exits with 4 unless the answer is complete.
 func (c *queryCommand) Execute([]string) error {
 	q := entry.QueryRequest{ID: c.ID, Rank: c.Rank, Service: c.Service, Query: json.RawMessage(c.Args.Query)}
 	if q.ID == "" {
--- a/cmd/lentillink/soak.go
+++ b/cmd/lentillink/soak.go
@@ -21,7 +21,7 @@
 	Logs    string `long:"logs" value-name:"DIR" description:"where logs of seeds that fail are kept (default: a new temporary directory)"`
 }
 
-// Execute plays the seeds. Logs are kept of those that fail.
+// Execute runs the seeds and keeps the logs of those that fail.
 func (c *soakCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/lentillink/standins.go
+++ b/cmd/lentillink/standins.go
@@ -38,7 +38,7 @@
 	return d.Close()
 }
 
-// registerVMs puts the VMs on the VM list. VMs find each other only through it.
+// registerVMs adds the VMs to the VM list, through which VMs discover each other.
 func registerVMs(list *standin.VMList, all []*settings.Settings) error {
 	for _, s := range all {
 		vm := roster.VM{ID: s.VM(), Address: s.Addresses().Peers, DataCentre: s.DataCentre()}
--- a/cmd/lentillink/status.go
+++ b/cmd/lentillink/status.go
@@ -15,7 +15,7 @@
 	jsonFlag
 }
 
-// Execute prints one line per VM, then the upstreams that are avoided.
+// Execute prints one line per VM, then the upstreams that VMs avoid.
 func (c *statusCommand) Execute([]string) error {
 	doc, err := c.client().FleetStatus()
 	if err != nil {
--- a/cmd/lentillink/timeline.go
+++ b/cmd/lentillink/timeline.go
@@ -28,7 +28,7 @@
 	Plot     string        `long:"plot" value-name:"FILE" description:"also draw the events to a .png or .svg file"`
 }
 
-// followInterval is how often new events are fetched with --follow.
+// followInterval is the time between two fetches of new events with --follow.
 const followInterval = 500 * time.Millisecond
 
 // Execute prints the merged events of all VMs.
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// fetch returns the events after a stamp and the newest stamp seen.
+// fetch returns the events after a timestamp, and the timestamp of the last event.
 func (c *timelineCommand) fetch(client *caller.Client, after clock.Timestamp) ([]timeline.Event, clock.Timestamp, error) {
 	args := url.Values{}
 	set := func(name, value string) {
