--- a/cmd/lentillink/bench.go
+++ b/cmd/lentillink/bench.go
@@ -18,10 +18,10 @@
 
 type benchCommand struct {
 	jsonFlag
-	Shards      int    `long:"shards" default:"40" description:"groups that each query asks"`
-	Connections int    `long:"connections" default:"8" description:"callers; each sends its next query after an answer"`
+	Shards      int    `long:"shards" default:"40" description:"groups that each query is sent to"`
+	Connections int    `long:"connections" default:"8" description:"concurrent callers; each sends its next query after an answer"`
 	Seconds     int    `long:"seconds" default:"6" description:"how long to measure each variant"`
-	Plot        string `long:"plot" value-name:"FILE" description:"also draw the latencies to a .png or .svg file"`
+	Plot        string `long:"plot" value-name:"FILE" description:"also plot the latencies to a .png or .svg file"`
 	CPUProfile  string `long:"cpuprofile" value-name:"FILE" description:"write a CPU profile of the whole process"`
 }
 
--- a/cmd/lentillink/commands.go
+++ b/cmd/lentillink/commands.go
@@ -11,18 +11,18 @@
 	p := flags.NewNamedParser("lentillink", flags.HelpFlag|flags.PassDoubleDash)
 	p.LongDescription = completionHelp
 	addCommand(p, "demo", "Run a whole deployment in one process",
-		"Starts the stand-ins of one deployment and several entry VMs, sends queries and orders of all ranks, switches a preset, slows an upstream, and checks what must always hold.",
+		"Starts the stand-ins of one deployment and several entry VMs, sends queries and orders of all ranks, switches a preset, slows an upstream, and checks the invariants.",
 		&demoCommand{})
 	addCommand(p, "run-stand-ins", "Serve stand-ins for the store, the VM list and the upstreams",
-		"Serves the addresses in settings files until it is interrupted. Faults are switched with POST /fault on the control address; GET /faults there lists them.",
+		"Serves the addresses in settings files until it is interrupted. Faults are set with POST /fault on the control address; GET /faults there lists them.",
 		&standInsCommand{})
-	addCommand(p, "query", "Ask one question", "Exits with 4 unless the answer is complete.", &queryCommand{})
+	addCommand(p, "query", "Send one query", "Exits with 4 unless the answer is complete.", &queryCommand{})
 	addCommand(p, "soak", "Run VMs as processes and inject faults",
-		"Plays seeds: VMs are killed, paused, stopped and cut off, the store and upstreams misbehave, and what callers and upstreams see is checked. Exits with 1 if a promise is broken.",
+		"Runs one scenario per seed: VMs are killed, paused, stopped and disconnected, the store and upstreams fail, and the results at callers and upstreams are checked. Exits with 1 if a guarantee is violated.",
 		&soakCommand{})
 	addCommand(p, "order", "Submit one order", "Repeating an order with the same --id is safe. Exits with 4 unless the order was done.", &orderCommand{})
-	addCommand(p, "status", "Show every VM", "Shows readiness, preset, load and avoided upstreams of every VM.", &statusCommand{})
-	addCommand(p, "timeline", "Show what happened on all VMs", "Merges the events of all VMs in the order of cause and effect.", &timelineCommand{})
+	addCommand(p, "status", "Show the status of every VM", "Shows readiness, preset, load and avoided upstreams of every VM.", &statusCommand{})
+	addCommand(p, "timeline", "Show the events of all VMs", "Merges the events of all VMs in causal order.", &timelineCommand{})
 	addCommand(p, "bench", "Measure one entry VM",
 		"Runs one entry VM and the stand-in upstreams of many shards in this process, and compares queries with hedging off and on.",
 		&benchCommand{})
@@ -42,10 +42,10 @@
 	presets := addCommand(p, "preset", "Show and change presets", "Exactly one preset is in force at any time.", &struct{}{})
 	addCommand(presets, "list", "List the presets", "Marks the one in force.", &presetListCommand{})
 	addCommand(presets, "show", "Print a preset as JSON", "Prints the document that preset edit takes.", &presetShowCommand{})
-	addCommand(presets, "explain", "Say what each rank gets", "Says it in sentences, from the preset alone.", &presetExplainCommand{})
+	addCommand(presets, "explain", "Explain what each rank gets", "Describes the settings of each rank in sentences, from the preset alone.", &presetExplainCommand{})
 	addCommand(presets, "diff", "Compare two presets", "Lists the fields that differ.", &presetDiffCommand{})
-	addCommand(presets, "switch", "Put another preset in force", "Reports on how many VMs it is in force and who has not confirmed. Exits with 3 if it was refused or is not confirmed everywhere.", &presetSwitchCommand{})
-	addCommand(presets, "edit", "Replace or add a preset", "The document is checked first; a bad one changes nothing.", &presetEditCommand{})
+	addCommand(presets, "switch", "Put another preset in force", "Reports on how many VMs it is in force and which VMs have not confirmed it. Exits with 3 if it was rejected or a VM has not confirmed it.", &presetSwitchCommand{})
+	addCommand(presets, "edit", "Replace or add a preset", "The document is validated first; an invalid one changes nothing.", &presetEditCommand{})
 	addCommand(presets, "history", "Show past changes", "Shows who changed what, when and why.", &presetHistoryCommand{})
 }
 
--- a/cmd/lentillink/daemon_test.go
+++ b/cmd/lentillink/daemon_test.go
@@ -145,7 +145,7 @@
 			done = done || a.Outcome == "done"
 		}
 		if n > 1 || notExecuted && n > 0 || done && n != 1 {
-			t.Errorf("order %s ran %d times, answers %+v", id, n, answers)
+			t.Errorf("order %s was executed %d times, answers %+v", id, n, answers)
 		}
 		if done {
 			doneOrders++
--- a/cmd/lentillink/demo.go
+++ b/cmd/lentillink/demo.go
@@ -17,7 +17,7 @@
 	Deployment string `long:"deployment" choice:"hautakukka" choice:"pondslip" default:"hautakukka" description:"deployment to run"`
 	VMs        int    `long:"vms" default:"7" description:"number of entry VMs"`
 	Seconds    int    `long:"seconds" default:"4" description:"how long to send requests"`
-	Platform   bool   `long:"platform" description:"play the gateway on the platform's stand-in instead"`
+	Platform   bool   `long:"platform" description:"run the gateway against the platform's stand-in instead"`
 	Log        bool   `long:"log" description:"write the event log to standard error"`
 }
 
--- a/cmd/lentillink/main.go
+++ b/cmd/lentillink/main.go
@@ -70,7 +70,7 @@
 func printConnectHint(err error) {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
-		fmt.Fprintln(os.Stderr, "Is lentillinkd running at this address? --vm or LENTILLINK_VM names another VM.")
+		fmt.Fprintln(os.Stderr, "Check that lentillinkd is running at this address; --vm or LENTILLINK_VM selects another VM.")
 	}
 }
 
--- a/cmd/lentillink/preset.go
+++ b/cmd/lentillink/preset.go
@@ -60,7 +60,7 @@
 	}
 	p, ok := rec.FindPreset(name)
 	if !ok {
-		return p, rec, &exitError{code: exitUsage, err: fmt.Errorf("NAME: no preset is called %q; see lentillink preset list", name)}
+		return p, rec, &exitError{code: exitUsage, err: fmt.Errorf("NAME: preset %q does not exist; see lentillink preset list", name)}
 	}
 	return p, rec, nil
 }
@@ -157,8 +157,8 @@
 // changeFlags are common to the commands that change the preset record.
 type changeFlags struct {
 	vmFlags
-	Reason string       `long:"reason" required:"true" description:"why; other operators read it in the history"`
-	Author string       `long:"author" env:"LENTILLINK_AUTHOR" description:"who; the user name if absent"`
+	Reason string       `long:"reason" required:"true" description:"reason for the change, shown in the history"`
+	Author string       `long:"author" env:"LENTILLINK_AUTHOR" description:"author of the change; the user name if absent"`
 	WaitMs clock.Millis `long:"wait-ms" default:"4000" description:"how long to wait until every VM has confirmed"`
 }
 
@@ -257,7 +257,7 @@
 				fmt.Println("not confirmed:", id)
 			}
 			if len(missing) > 0 {
-				return &exitError{code: exitUnconfirmed, err: errors.New("some VMs have not confirmed; they take the change when they can be reached")}
+				return &exitError{code: exitUnconfirmed, err: errors.New("some VMs have not confirmed the change; they apply it when they are reachable")}
 			}
 			return nil
 		}
--- a/cmd/lentillink/process_test.go
+++ b/cmd/lentillink/process_test.go
@@ -132,7 +132,7 @@
 		list[i] = p.start(t, fmt.Sprintf("vm-%d", i+1))
 	}
 	for _, d := range list {
-		waitUntil(t, "the daemon is ready and knows the others", func() bool {
+		waitUntil(t, "the daemon is ready and has discovered the others", func() bool {
 			s, err := d.client.FleetStatus()
 			return err == nil && len(s.VMs) == n && d.client.Ready()
 		})
@@ -148,7 +148,7 @@
 		d.exited <- err
 		return d.cmd.ProcessState.ExitCode()
 	case <-time.After(waitTimeout + 35*time.Second): // the drain limit is 30 s
-		t.Fatal("the daemon does not end")
+		t.Fatal("the daemon did not exit in time")
 		return 0
 	}
 }
--- a/cmd/lentillink/query.go
+++ b/cmd/lentillink/query.go
@@ -13,9 +13,9 @@
 type queryCommand struct {
 	vmFlags
 	jsonFlag
-	ID         string       `long:"id" description:"identifier of the request; made up if absent"`
+	ID         string       `long:"id" description:"identifier of the request; generated if absent"`
 	Rank       string       `long:"rank" choice:"urgent" choice:"ordinary" choice:"patient" default:"ordinary" description:"rank of the request"`
-	Service    string       `long:"service" required:"true" description:"service to ask"`
+	Service    string       `long:"service" required:"true" description:"service to query"`
 	DeadlineMs clock.Millis `long:"deadline-ms" description:"deadline in milliseconds; the preset's default if absent"`
 	Args       struct {
 		Query string `positional-arg-name:"QUERY" description:"JSON that the upstreams receive" required:"true"`
--- a/cmd/lentillink/soak.go
+++ b/cmd/lentillink/soak.go
@@ -15,9 +15,9 @@
 
 type soakCommand struct {
 	Seed    uint64 `long:"seed" default:"1" description:"first seed"`
-	Seeds   int    `long:"seeds" default:"1" description:"number of seeds, played one after the other"`
-	Seconds int    `long:"seconds" default:"10" description:"how long faults happen for each seed"`
-	Program string `long:"program" value-name:"FILE" description:"lentillinkd (default: beside this program)"`
+	Seeds   int    `long:"seeds" default:"1" description:"number of seeds, run one after the other"`
+	Seconds int    `long:"seconds" default:"10" description:"how long faults are injected for each seed"`
+	Program string `long:"program" value-name:"FILE" description:"path of lentillinkd (default: in the directory of this program)"`
 	Logs    string `long:"logs" value-name:"DIR" description:"where logs of seeds that fail are kept (default: a new temporary directory)"`
 }
 
@@ -63,7 +63,7 @@
 		program = filepath.Join(filepath.Dir(self), "lentillinkd")
 	}
 	if _, err := os.Stat(program); err != nil {
-		return "", "", errors.Join(errors.New("--program must name lentillinkd"), err)
+		return "", "", errors.Join(errors.New("--program must be the path of lentillinkd"), err)
 	}
 	if dir == "" {
 		dir, err = os.MkdirTemp("", "lentillink-soak-")
--- a/cmd/lentillink/status.go
+++ b/cmd/lentillink/status.go
@@ -38,7 +38,7 @@
 			ready = "no: " + v.Reason
 		}
 		if v.Stale {
-			ready += ", stale: store and peers lost"
+			ready += ", stale: store and peers unreachable"
 		}
 		running, queued := formatLoad(v)
 		_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n",
--- a/cmd/lentillink/timeline.go
+++ b/cmd/lentillink/timeline.go
@@ -20,12 +20,12 @@
 	vmFlags
 	jsonFlag
 	Request  string        `long:"request" description:"only events of this request"`
-	Upstream string        `long:"upstream" description:"only events of this upstream, or of those whose name starts so"`
+	Upstream string        `long:"upstream" description:"only events of this upstream, or of the upstreams with this name prefix"`
 	Revision uint64        `long:"revision" description:"only events under this preset revision"`
 	Kind     string        `long:"kind" description:"only events of this kind"`
-	Since    time.Duration `long:"since" description:"only events of the last time, such as 5m"`
+	Since    time.Duration `long:"since" description:"only events of the last period, such as 5m"`
 	Follow   bool          `long:"follow" description:"keep printing new events"`
-	Plot     string        `long:"plot" value-name:"FILE" description:"also draw the events to a .png or .svg file"`
+	Plot     string        `long:"plot" value-name:"FILE" description:"also plot the events to a .png or .svg file"`
 }
 
 // followInterval is the time between two fetches of new events with --follow.
@@ -34,7 +34,7 @@
 // Execute prints the merged events of all VMs.
 func (c *timelineCommand) Execute([]string) error {
 	if c.Follow && c.Plot != "" {
-		return &exitError{code: exitUsage, err: errors.New("--follow and --plot exclude each other")}
+		return &exitError{code: exitUsage, err: errors.New("--follow and --plot cannot be combined")}
 	}
 	client := c.client()
 	events, last, err := c.fetch(client, clock.Timestamp{})
@@ -133,7 +133,7 @@
 		return &exitError{code: exitUsage, err: fmt.Errorf("--plot: %q must end in .png or .svg", path)}
 	}
 	if len(events) == 0 {
-		return errors.New("no events to draw")
+		return errors.New("no events to plot")
 	}
 	f, err := os.Create(path)
 	if err != nil {
