--- a/cmd/lentillinkd/gateway.go
+++ b/cmd/lentillinkd/gateway.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	bytesPerMB = 1 << 20
-	milli      = 1000
+	bytesPerMB  = 1 << 20
+	milliPerCPU = 1000
 
-	// memoryShare is the part of a VM's memory that the heap may take before the
+	// heapRatio is the part of a VM's memory that the heap may take before the
 	// collector works harder; the rest is for stacks, buffers of sockets and the program.
-	memoryShare = 0.6
+	heapRatio = 0.6
 )
 
 // runGateway runs a VM that forwards requests. It returns the exit code.
@@ -37,16 +37,16 @@
 	}
 	out := gateway.NewLogWriter(os.Stdout)
 	logger := log.NewLogfmtLogger(out)
-	logEnd := make(chan error, 1)
+	logDone := make(chan error, 1)
 	logCtx, stopLog := context.WithCancel(context.Background())
-	go func() { logEnd <- out.Run(logCtx) }()
+	go func() { logDone <- out.Run(logCtx) }()
 	defer func() {
 		stopLog()
-		if err := <-logEnd; err != nil {
+		if err := <-logDone; err != nil {
 			fmt.Fprintln(os.Stderr, "log:", err)
 		}
 	}()
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * bytesPerMB))
+	debug.SetMemoryLimit(int64(heapRatio * float64(s.MemoryMB) * bytesPerMB))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE)
@@ -59,24 +59,24 @@
 	g := gateway.New(
 		gateway.WithPrefixWatcher(st, platform.ItemDecoder{}), gateway.WithHeaders(platform.Headers()),
 		gateway.WithLeases(st), gateway.WithStore(st), gateway.WithSelf(relay.VM{
-			ID: s.VM, Address: s.Peers, DataCentre: s.DataCentre, CPUMilli: int(s.CPUShare * milli),
+			ID: s.VM, Address: s.Peers, DataCentre: s.DataCentre, CPUMilli: int(s.CPUShare * milliPerCPU),
 		}),
 		gateway.WithAddresses(s.Callers, s.Ready), gateway.WithReadyPath(platform.ReadyPath), gateway.WithMetricsAddress(s.Metrics),
-		gateway.WithLogger(logger), gateway.WithLimits(reloadable(s)), gateway.WithSeed(rand.Uint64()), gateway.WithWatchInterval(watchPace(s)),
+		gateway.WithLogger(logger), gateway.WithLimits(reloadableLimits(s)), gateway.WithSeed(rand.Uint64()), gateway.WithWatchInterval(watchInterval(s)),
 		gateway.WithRelayOptions(relay.WithVMs(s.ExpectedVMs)),
 	)
-	followEnd := make(chan error, 1)
-	follow, stopFollow := context.WithCancel(ctx)
+	watchDone := make(chan error, 1)
+	watchCtx, stopWatch := context.WithCancel(ctx)
 	go func() {
-		followEnd <- settings.Watch(follow, path, hup, func(next *settings.Gateway) {
+		watchDone <- settings.Watch(watchCtx, path, hup, func(next *settings.Gateway) {
 			_ = logger.Log("event", "settings_reloaded", "restart_needed", restartNeeded(s, next))
 			st.SetAddress(next.Store)
-			g.SetLimits(reloadable(next))
+			g.SetLimits(reloadableLimits(next))
 		}, func(err error) { _ = logger.Log("event", "settings_refused", "file", path, "err", err) })
 	}()
 	err = g.Run(ctx)
-	stopFollow()
-	if err = errors.Join(err, <-followEnd); err != nil {
+	stopWatch()
+	if err = errors.Join(err, <-watchDone); err != nil {
 		_ = logger.Log("event", "failed", "err", err)
 		return exitFailed
 	}
@@ -84,19 +84,21 @@
 }
 
 const (
-	// silentMs is how long the store may be silent before a VM notices.
-	silentMs clock.Millis = 3000
+	// storeOutageDetectMs is how long the store may be silent before a VM notices.
+	storeOutageDetectMs clock.Millis = 3000
 
-	// leastPace is the pace for the narrowest bound of the users' installations, 3 s.
-	leastPace clock.Millis = 800
+	// minWatchInterval is the pace for the narrowest bound of the users' installations, 3 s.
+	minWatchInterval clock.Millis = 800
 )
 
-// watchPace returns the least time between two watches: what the bound on drains
+// watchInterval returns the least time between two watches: what the bound on drains
 // leaves after the store fell silent.
-func watchPace(s *settings.Gateway) clock.Millis { return max((s.DrainMs-silentMs)/2, leastPace) }
+func watchInterval(s *settings.Gateway) clock.Millis {
+	return max((s.DrainMs-storeOutageDetectMs)/2, minWatchInterval)
+}
 
-// reloadable returns the settings that apply while the VM runs.
-func reloadable(s *settings.Gateway) gateway.Limits {
+// reloadableLimits returns the settings that apply while the VM runs.
+func reloadableLimits(s *settings.Gateway) gateway.Limits {
 	return gateway.Limits{
 		GracePeriod: clock.Millis(s.GraceSeconds) * clock.Second,
 		Budget:      relay.BudgetMsg{Ratio: s.Retry.Ratio, Extra: s.Retry.Extra, WindowMs: clock.Millis(s.Retry.WindowSeconds) * clock.Second},
@@ -104,7 +106,8 @@
 }
 
 // restartNeeded reports whether settings differ that are read only at the start.
-func restartNeeded(a, b *settings.Gateway) bool {
-	return a.VM != b.VM || a.DataCentre != b.DataCentre || a.Callers != b.Callers || a.Ready != b.Ready || a.Peers != b.Peers ||
-		a.ExpectedVMs != b.ExpectedVMs || a.MemoryMB != b.MemoryMB
+func restartNeeded(current, next *settings.Gateway) bool {
+	return current.VM != next.VM || current.DataCentre != next.DataCentre || current.Callers != next.Callers ||
+		current.Ready != next.Ready || current.Peers != next.Peers ||
+		current.ExpectedVMs != next.ExpectedVMs || current.MemoryMB != next.MemoryMB
 }
--- a/cmd/lentillinkd/main.go
+++ b/cmd/lentillinkd/main.go
@@ -66,14 +66,14 @@
 	doc, timeouts := s.Document(), s.Timeouts()
 	st := httpstore.New(doc.Store, httpstore.WithTimeout(timeouts.StoreMs))
 	defer st.Close()
-	list := httproster.New(doc.VMList, httproster.WithTimeout(timeouts.VMListMs))
-	defer list.Close()
-	ups := httpup.New(
+	vmList := httproster.New(doc.VMList, httproster.WithTimeout(timeouts.VMListMs))
+	defer vmList.Close()
+	upstreams := httpup.New(
 		httpup.WithServices(s.Services()...), httpup.WithConnectTimeout(timeouts.ConnectMs),
 		httpup.WithIdleTimeout(timeouts.IdleConnectionMs),
 	)
-	defer ups.Close()
-	v, err := entry.New(s, entry.WithStore(st), entry.WithVMList(list), entry.WithUpstreams(ups),
+	defer upstreams.Close()
+	v, err := entry.New(s, entry.WithStore(st), entry.WithVMList(vmList), entry.WithUpstreams(upstreams),
 		entry.WithLogger(logger), entry.WithDrainLimit(drainLimit))
 	if err != nil {
 		return err
