--- a/cmd/lentillinkd/gateway.go
+++ b/cmd/lentillinkd/gateway.go
@@ -23,8 +23,9 @@
 	bytesPerMB  = 1 << 20
 	milliPerCPU = 1000
 
-	// heapRatio is the part of a VM's memory that the heap may take before the
-	// collector works harder; the rest is for stacks, buffers of sockets and the program.
+	// heapRatio is the part of a VM's memory that is set as the soft memory limit,
+	// near which the garbage collector runs more often. The rest is for stacks,
+	// socket buffers and the program.
 	heapRatio = 0.6
 )
 
@@ -50,7 +51,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE)
-	// Registered before anything else can take time: the default action of SIGHUP ends the process.
+	// SIGHUP is registered before any slow step, because its default action ends the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	logger = log.With(logger, "vm", s.VM, "data_centre", s.DataCentre)
@@ -84,20 +85,22 @@
 }
 
 const (
-	// storeOutageDetectMs is how long the store may be silent before a VM notices.
+	// storeOutageDetectMs is how long the store may be unresponsive before a VM
+	// detects it.
 	storeOutageDetectMs clock.Millis = 3000
 
-	// minWatchInterval is the pace for the narrowest bound of the users' installations, 3 s.
+	// minWatchInterval is the interval for the shortest drain bound among the
+	// installations, 3 s.
 	minWatchInterval clock.Millis = 800
 )
 
-// watchInterval returns the least time between two watches: what the bound on drains
-// leaves after the store fell silent.
+// watchInterval returns the minimum time between two watches: half of the drain
+// bound that remains after a store outage is detected.
 func watchInterval(s *settings.Gateway) clock.Millis {
 	return max((s.DrainMs-storeOutageDetectMs)/2, minWatchInterval)
 }
 
-// reloadableLimits returns the settings that apply while the VM runs.
+// reloadableLimits returns the settings that can change while the VM runs.
 func reloadableLimits(s *settings.Gateway) gateway.Limits {
 	return gateway.Limits{
 		GracePeriod: clock.Millis(s.GraceSeconds) * clock.Second,
@@ -105,7 +108,7 @@
 	}
 }
 
-// restartNeeded reports whether settings differ that are read only at the start.
+// restartNeeded reports whether settings differ that are read only at startup.
 func restartNeeded(current, next *settings.Gateway) bool {
 	return current.VM != next.VM || current.DataCentre != next.DataCentre || current.Callers != next.Callers ||
 		current.Ready != next.Ready || current.Peers != next.Peers ||
--- a/cmd/lentillinkd/main.go
+++ b/cmd/lentillinkd/main.go
@@ -1,7 +1,7 @@
 // Command lentillinkd runs one entry VM.
 //
-// It exits with 0 after a planned stop (SIGTERM or SIGINT) that cut no request,
-// 1 after a failure, and 2 if its arguments or settings cannot be accepted.
+// It exits with 0 after a planned stop (SIGTERM or SIGINT) that aborted no
+// request, 1 after a failure, and 2 if its arguments or settings are invalid.
 package main
 
 import (
