--- a/cmd/lentillinkd/main.go
+++ b/cmd/lentillinkd/main.go
@@ -29,7 +29,7 @@
 
 type options struct {
 	Settings     string       `long:"settings" short:"s" env:"LENTILLINK_SETTINGS" required:"true" value-name:"FILE" description:"JSON settings of this VM; see lentillink config example"`
-	Gateway      bool         `long:"gateway" description:"forward requests by the operators' configuration in the platform's store"`
+	Gateway      bool         `long:"gateway" description:"forward requests as configured by the operators in the platform's store"`
 	DrainLimitMs clock.Millis `long:"drain-limit-ms" default:"30000" description:"longest planned stop, in milliseconds"`
 }
 
