--- a/examples/library/main.go
+++ b/examples/library/main.go
@@ -49,21 +49,21 @@
 	}
 	client := httpup.New(httpup.WithServices(cfg.Services()...))
 	defer client.Close()
-	vm, err := entry.New(cfg, entry.WithStore(&memory{entries: make(map[string]store.Entry)}), entry.WithUpstreams(client),
-		entry.WithVMList(fixed{roster.VM{ID: cfg.VM(), Address: peers.Addr().String(), DataCentre: cfg.DataCentre()}}),
+	vm, err := entry.New(cfg, entry.WithStore(&memoryStore{entries: make(map[string]store.Entry)}), entry.WithUpstreams(client),
+		entry.WithVMList(fixedList{roster.VM{ID: cfg.VM(), Address: peers.Addr().String(), DataCentre: cfg.DataCentre()}}),
 		entry.WithListeners(peers, callers), entry.WithBalancerWait(0))
 	if err != nil {
 		return err
 	}
 	vmCtx, stop := context.WithCancel(ctx)
-	end := make(chan error, 1)
-	go func() { end <- vm.Run(vmCtx) }()
-	err = ask(ctx, caller.New(callers.Addr().String()), out)
+	done := make(chan error, 1)
+	go func() { done <- vm.Run(vmCtx) }()
+	err = query(ctx, caller.New(callers.Addr().String()), out)
 	stop() // a planned stop
-	return errors.Join(err, <-end)
+	return errors.Join(err, <-done)
 }
 
-func ask(ctx context.Context, c *caller.Client, out io.Writer) error {
+func query(ctx context.Context, c *caller.Client, out io.Writer) error {
 	for !c.Ready() && ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/examples/library/store.go
+++ b/examples/library/store.go
@@ -9,9 +9,9 @@
 	"lentillink.example/lentillink/store"
 )
 
-// memory implements store.Store for one process. Entry VMs use no leases, so
+// memoryStore implements store.Store for one process. Entry VMs use no leases, so
 // those methods are left to the embedded nil interface.
-type memory struct {
+type memoryStore struct {
 	store.Store
 	mu       sync.Mutex
 	entries  map[string]store.Entry
@@ -19,17 +19,17 @@
 }
 
 // Get reads a key.
-func (m *memory) Get(_ context.Context, key string) (store.Entry, error) {
+func (m *memoryStore) Get(_ context.Context, key string) (store.Entry, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.entries[key], nil
 }
 
 // Swap writes value if the key's revision equals expect.
-func (m *memory) Swap(_ context.Context, key string, value []byte, expect uint64) (store.Entry, error) {
+func (m *memoryStore) Swap(_ context.Context, key string, value []byte, expected uint64) (store.Entry, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.entries[key].Revision != expect {
+	if m.entries[key].Revision != expected {
 		return store.Entry{}, store.NewError("swap", store.KindConflict, nil)
 	}
 	m.revision++
@@ -38,10 +38,10 @@
 }
 
 // Delete removes a key if its revision equals expect.
-func (m *memory) Delete(_ context.Context, key string, expect uint64) error {
+func (m *memoryStore) Delete(_ context.Context, key string, expected uint64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.entries[key].Revision != expect {
+	if m.entries[key].Revision != expected {
 		return store.NewError("delete", store.KindConflict, nil)
 	}
 	delete(m.entries, key)
@@ -49,7 +49,7 @@
 }
 
 // Watch waits until the key's revision exceeds after.
-func (m *memory) Watch(ctx context.Context, key string, after uint64) (store.Entry, error) {
+func (m *memoryStore) Watch(ctx context.Context, key string, after uint64) (store.Entry, error) {
 	for ctx.Err() == nil {
 		if e, _ := m.Get(ctx, key); e.Revision > after {
 			return e, nil
@@ -59,8 +59,8 @@
 	return store.Entry{}, store.NewError("watch", store.KindUnavailable, ctx.Err())
 }
 
-// fixed implements roster.List.
-type fixed []roster.VM
+// fixedList implements roster.List.
+type fixedList []roster.VM
 
 // VMs returns the list.
-func (f fixed) VMs(context.Context) ([]roster.VM, error) { return f, nil }
+func (f fixedList) VMs(context.Context) ([]roster.VM, error) { return f, nil }
