--- a/examples/library/store.go
+++ b/examples/library/store.go
@@ -9,8 +9,8 @@
 	"lentillink.example/lentillink/store"
 )
 
-// memoryStore implements store.Store for one process. Entry VMs use no leases, so
-// those methods are left to the embedded nil interface.
+// memoryStore implements store.Store in memory for one process. Entry VMs use no
+// leases, so those methods are left to the embedded nil interface.
 type memoryStore struct {
 	store.Store
 	mu       sync.Mutex
@@ -25,7 +25,7 @@
 	return m.entries[key], nil
 }
 
-// Swap writes value if the key's revision equals expect.
+// Swap writes value if the key has the expected revision.
 func (m *memoryStore) Swap(_ context.Context, key string, value []byte, expected uint64) (store.Entry, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,7 +37,7 @@
 	return m.entries[key], nil
 }
 
-// Delete removes a key if its revision equals expect.
+// Delete removes a key if it has the expected revision.
 func (m *memoryStore) Delete(_ context.Context, key string, expected uint64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -59,8 +59,8 @@
 	return store.Entry{}, store.NewError("watch", store.KindUnavailable, ctx.Err())
 }
 
-// fixedList implements roster.List.
+// fixedList implements roster.List with a constant list of VMs.
 type fixedList []roster.VM
 
-// VMs returns the list.
+// VMs returns all VMs.
 func (f fixedList) VMs(context.Context) ([]roster.VM, error) { return f, nil }
--- a/examples/order/main.go
+++ b/examples/order/main.go
@@ -1,5 +1,5 @@
-// Command order submits an order and repeats it safely, as a caller does that
-// has lost the first answer.
+// Command order submits an order and safely repeats it, as a caller does that
+// did not receive the first answer.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	}
 	defer func() { err = errors.Join(err, fleet.Close()) }()
 	order := entry.OrderRequest{
-		// The id carries its issue time. A repeat must use the same id.
+		// The id contains its issue time. A repeated order must use the same id.
 		ID:   fmt.Sprintf("%d-example", time.Now().UnixMilli()),
 		Rank: "ordinary", Service: "orders", Group: "desk-01", Body: json.RawMessage(`{"flowers":"heather"}`),
 	}
--- a/examples/order/main_test.go
+++ b/examples/order/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestRun guards against an example that no longer does what it shows.
+// TestRun guards against an example that compiles but prints a wrong result.
 func TestRun(t *testing.T) {
 	var out strings.Builder
 	if err := run(context.WithoutCancel(t.Context()), &out); err != nil {
--- a/examples/query/main.go
+++ b/examples/query/main.go
@@ -1,4 +1,4 @@
-// Command query starts a whole deployment on loopback and asks it one question.
+// Command query starts a whole deployment on loopback and sends it one query.
 package main
 
 import (
