--- a/experiment/capacity.go
+++ b/experiment/capacity.go
@@ -22,7 +22,7 @@
 	queriesPerVM  = targetQueries / targetVMs
 	attemptsPerVM = queriesPerVM * targetGroups
 	// A restart is one leaving and one joining, and so is a failure with its replacement.
-	changesOfMembers = 2 * (restartsPerDay + failuresPerDay) / secondsPerDay
+	memberChangesPerSecond = 2 * (restartsPerDay + failuresPerDay) / secondsPerDay
 )
 
 // Capacity measures what one unit of each kind of work costs the pure machines
@@ -34,14 +34,14 @@
 	r := Report{Name: "capacity", Seed: seed}
 	m := meter{cpu: cpu}
 	var c capacityCosts
-	c.queries(&r, m, seed)
-	c.pools(&r, m)
-	c.peers(&r, m)
-	c.gates(&r, m)
-	c.tables(&r, m, seed)
-	c.statuses(&r, m)
-	c.claims(&r, m)
-	c.events(&r)
+	c.measureQueries(&r, m, seed)
+	c.measurePools(&r, m)
+	c.measurePeers(&r, m)
+	c.measureAdmission(&r, m)
+	c.measureTables(&r, m, seed)
+	c.measureStatuses(&r, m)
+	c.measureClaims(&r, m)
+	c.measureEvents(&r)
 	c.extrapolate(&r, m)
 	return r
 }
@@ -51,11 +51,11 @@
 	query, attempt, decision   cost
 	encode, decode             cost // of a forward and its result together
 	join, leave, leaveDC       cost
-	owners, statusCost         cost
+	vmListUpdate, status       cost
 	statusBytes                float64
-	pairBytes                  float64 // a forward and its result on the wire
+	forwardAndResultBytes      float64 // a forward and its result on the wire
 	openQueryBytes             float64
-	bookBytes, tableBytes      float64 // per upstream
+	balancerBytes, tableBytes  float64 // per upstream
 	claimBytes, claimWireBytes float64 // per claim, in an owner and in the store
 	eventBytes                 float64
 }
@@ -97,15 +97,15 @@
 	r.AddUnbounded(what+" allocated"+size, "bytes", 0, c.bytes)
 }
 
-// grown returns the bytes that what build returned keeps in use.
-func grown[T any](build func() T) (float64, T) {
+// heapGrowth returns the bytes that what build returned keeps in use.
+func heapGrowth[T any](build func() T) (float64, T) {
 	runtime.GC() // pooled buffers are freed by the second collection only
 	before := heapBytes()
-	kept := build()
+	built := build()
 	runtime.GC()
 	after := heapBytes()
-	runtime.KeepAlive(&kept)
-	return after - before, kept
+	runtime.KeepAlive(&built)
+	return after - before, built
 }
 
 // extrapolate works out the two-year size from the costs.
@@ -115,13 +115,13 @@
 	}
 	r.AddUnbounded("two years: queries of a VM", "1/s", 0, queriesPerVM)
 	r.AddUnbounded("two years: sub-requests sent by a VM", "1/s", 0, attemptsPerVM)
-	r.AddUnbounded("two years: upstreams carried by a VM", "", 0, targetUpstreams*carriersEach/targetVMs)
-	r.AddUnbounded("two years: peer traffic of a VM, each way", "MB/s", 0, attemptsPerVM*c.pairBytes/1e6)
-	r.AddUnbounded("two years: peer streams of a VM", "", 0, streams(targetVMs))
+	r.AddUnbounded("two years: upstreams carried by a VM", "", 0, targetUpstreams*carriersPerUpstream/targetVMs)
+	r.AddUnbounded("two years: peer traffic of a VM, each way", "MB/s", 0, attemptsPerVM*c.forwardAndResultBytes/1e6)
+	r.AddUnbounded("two years: peer streams of a VM", "", 0, peerStreams(targetVMs))
 	r.AddUnbounded("two years: open queries of a VM", "MB", 0, queriesPerVM*targetDeadlineMs/1e3*c.openQueryBytes/1e6)
-	r.AddUnbounded("two years: book of upstreams in a VM", "MB", 0, targetUpstreams*c.bookBytes/1e6)
-	r.AddUnbounded("two years: ring of events in a VM", "MB", 0, ringEvents*c.eventBytes/1e6)
-	r.AtMost("two years: carrier table of a VM", "MB", 0, targetUpstreams*c.tableBytes/1e6, controlMB)
+	r.AddUnbounded("two years: book of upstreams in a VM", "MB", 0, targetUpstreams*c.balancerBytes/1e6)
+	r.AddUnbounded("two years: ring of events in a VM", "MB", 0, ringCapacity*c.eventBytes/1e6)
+	r.AtMost("two years: carrier table of a VM", "MB", 0, targetUpstreams*c.tableBytes/1e6, maxControlMB)
 	r.AddUnbounded("two years: answers to one question for the status of the fleet", "MB", 0, targetVMs*c.statusBytes/1e6)
 	for _, perSecond := range []float64{1, 10, 100, 1000} {
 		c.extrapolateClaims(r, perSecond)
@@ -129,23 +129,23 @@
 	r.Notes = append(r.Notes,
 		fmt.Sprintf("sizes: %g VMs, %g upstreams, %g queries/s to %g groups each", targetVMs, targetUpstreams, targetQueries, targetGroups),
 		"two-year figures are computed from the figures above at the largest size; HTTP, system calls and the stream library are not included",
-		fmt.Sprintf("an owner's cache of claims reaches %g MB at %.3g orders/s of the fleet", controlMB, claimRateAt(controlMB*1e6, c.claimBytes)))
+		fmt.Sprintf("an owner's cache of claims reaches %g MB at %.3g orders/s of the fleet", maxControlMB, claimRateAt(maxControlMB*1e6, c.claimBytes)))
 }
 
 func (c *capacityCosts) extrapolateTime(r *Report) {
-	core := func(ns, perSecond float64) float64 { return 100 * ns * perSecond / 1e9 }
-	query := core(c.query.ns, queriesPerVM)
-	pool := core(c.attempt.ns, attemptsPerVM)
+	corePercent := func(ns, perSecond float64) float64 { return 100 * ns * perSecond / 1e9 }
+	query := corePercent(c.query.ns, queriesPerVM)
+	pool := corePercent(c.attempt.ns, attemptsPerVM)
 	// Each VM encodes and decodes as caller and again as carrier.
-	peer := core(c.encode.ns+c.decode.ns, 2*attemptsPerVM)
-	gate := core(c.decision.ns, queriesPerVM)
+	peer := corePercent(c.encode.ns+c.decode.ns, 2*attemptsPerVM)
+	admission := corePercent(c.decision.ns, queriesPerVM)
 	r.AddUnbounded("two years: query machine of a VM", "% core", 0, query)
 	r.AddUnbounded("two years: pool machine of a VM", "% core", 0, pool)
 	r.AddUnbounded("two years: peer encoding of a VM", "% core", 0, peer)
-	r.AddUnbounded("two years: admission of a VM", "% core", 0, gate)
-	r.AtMost("two years: machines on the event loop of a VM", "% core", 0, query+pool+gate, 100)
-	members := core((c.join.ns+c.leave.ns)/2+c.owners.ns, changesOfMembers)
-	r.AtMost("two years: carrier and owner tables of a VM", "% core", 0, members, controlCore)
+	r.AddUnbounded("two years: admission of a VM", "% core", 0, admission)
+	r.AtMost("two years: machines on the event loop of a VM", "% core", 0, query+pool+admission, 100)
+	members := corePercent((c.join.ns+c.leave.ns)/2+c.vmListUpdate.ns, memberChangesPerSecond)
+	r.AtMost("two years: carrier and owner tables of a VM", "% core", 0, members, maxControlCorePercent)
 	r.AddUnbounded("two years: longest stop of the event loop, one VM joins", "ms", 0, c.join.ns/1e6)
 	r.AddUnbounded("two years: longest stop of the event loop, a data centre leaves", "ms", 0, c.leaveDC.ns/1e6)
 }
--- a/experiment/capacity_order.go
+++ b/experiment/capacity_order.go
@@ -11,63 +11,63 @@
 const (
 	claimSeconds = 20
 	// With fewer claims the memory of one cannot be told from that of the machine itself.
-	claimsForMemory = 10_000
-	claimStepMs     = 10
+	minClaimsForMemory = 10_000
+	claimStepMs        = 10
 	// A done mark follows its claim after the wait for the batch and the work of the upstream.
-	doneAfterMs = 80
+	doneDelayMs = 80
 	// The head is sealed into a segment at this size.
-	sealBytes = 64 << 10
+	sealThreshold = 64 << 10
 )
 
-// claims measures the store calls of the claim owners by rate, and the memory of a claim.
-func (c *capacityCosts) claims(r *Report, m meter) {
+// measureClaims measures the store calls of the claim owners by rate, and the memory of a claim.
+func (c *capacityCosts) measureClaims(r *Report, m meter) {
 	for _, perSecond := range []int{10, 100, 1000, 10_000} {
 		size := fmt.Sprintf(", %d orders/s", perSecond)
-		rig := newClaimRig()
+		harness := newClaimHarness()
 		orders := perSecond * claimSeconds
 		var spent cost
-		grew, _ := grown(func() *claimRig {
-			spent = m.measure(orders, func() { rig.run(perSecond) })
-			return rig
+		growth, _ := heapGrowth(func() *claimHarness {
+			spent = m.measure(orders, func() { harness.run(perSecond) })
+			return harness
 		})
-		c.claimBytes = (grew - float64(rig.stored())) / float64(orders)
-		c.claimWireBytes = float64(rig.stored()) / float64(orders)
-		r.AddUnbounded("store writes of an order"+size, "", 1, float64(rig.writes)/float64(orders))
-		r.AtMost("store writes of all partitions"+size, "1/s", float64(perSecond), float64(rig.writes)/claimSeconds, storeWrites)
-		r.AddUnbounded("store reads of all partitions"+size, "1/s", 0, float64(rig.reads)/claimSeconds)
-		r.AddUnbounded("bytes written to the store"+size, "MB/s", 0, float64(rig.written)/claimSeconds/1e6)
-		r.AtMost("largest value in the store"+size, "bytes", 0, float64(rig.largest), storeValueBytes)
+		c.claimBytes = (growth - float64(harness.storedBytes())) / float64(orders)
+		c.claimWireBytes = float64(harness.storedBytes()) / float64(orders)
+		r.AddUnbounded("store writes of an order"+size, "", 1, float64(harness.writes)/float64(orders))
+		r.AtMost("store writes of all partitions"+size, "1/s", float64(perSecond), float64(harness.writes)/claimSeconds, maxStoreWrites)
+		r.AddUnbounded("store reads of all partitions"+size, "1/s", 0, float64(harness.reads)/claimSeconds)
+		r.AddUnbounded("bytes written to the store"+size, "MB/s", 0, float64(harness.writtenBytes)/claimSeconds/1e6)
+		r.AtMost("largest value in the store"+size, "bytes", 0, float64(harness.largestValue), storeValueBytes)
 		r.AddUnbounded("claim in the store"+size, "bytes", 0, c.claimWireBytes)
-		if orders >= claimsForMemory {
+		if orders >= minClaimsForMemory {
 			r.AddUnbounded("claim in the cache of its owner"+size, "bytes", 0, c.claimBytes)
 		}
 		m.report(r, spent, "order at the owner", size)
 	}
 }
 
-// claimRig is the owner of all partitions with a store that answers at once.
-type claimRig struct {
-	model                           *order.Model
-	now                             clock.Millis
-	seq                             uint64
-	entries                         map[string]store.Entry
-	revision                        uint64
-	writes, reads, written, largest int
-	claimed                         []order.ClaimRequestMsg // not marked done
+// claimHarness is the owner of all partitions with a store that answers at once.
+type claimHarness struct {
+	model                                     *order.Model
+	now                                       clock.Millis
+	seq                                       uint64
+	entries                                   map[string]store.Entry
+	revision                                  uint64
+	writes, reads, writtenBytes, largestValue int
+	unfinished                                []order.ClaimRequestMsg // not marked done
 }
 
-func newClaimRig() *claimRig {
-	return &claimRig{
+func newClaimHarness() *claimHarness {
+	return &claimHarness{
 		model: order.New(order.WithSelf("vm-0001", 1)), now: 1_700_000_000_000, entries: make(map[string]store.Entry),
 	}
 }
 
-func (c *claimRig) run(perSecond int) {
+func (c *claimHarness) run(perSecond int) {
 	steps := claimSeconds * int(clock.Second) / claimStepMs
-	made := 0
+	submitted := 0
 	for step := range steps {
 		c.now += claimStepMs
-		for ; made < (step+1)*perSecond*claimStepMs/int(clock.Second); made++ {
+		for ; submitted < (step+1)*perSecond*claimStepMs/int(clock.Second); submitted++ {
 			c.claim()
 		}
 		c.markDone()
@@ -75,26 +75,26 @@
 	}
 }
 
-func (c *claimRig) claim() {
+func (c *claimHarness) claim() {
 	c.seq++
 	msg := order.ClaimRequestMsg{
 		From: "vm-0002", Token: order.Token{VM: "vm-0002", Incarnation: 1, Seq: c.seq},
 		ID: order.HashOf(fmt.Sprintf("%d-%d", c.now, c.seq)), IssuedAt: c.now, Timeout: 10 * clock.Second,
 	}
-	c.claimed = append(c.claimed, msg)
+	c.unfinished = append(c.unfinished, msg)
 	c.perform(c.model.Update(c.now, msg))
 }
 
-func (c *claimRig) markDone() {
-	for len(c.claimed) > 0 && c.claimed[0].IssuedAt+doneAfterMs <= c.now {
-		msg := c.claimed[0]
-		c.claimed = c.claimed[1:]
+func (c *claimHarness) markDone() {
+	for len(c.unfinished) > 0 && c.unfinished[0].IssuedAt+doneDelayMs <= c.now {
+		msg := c.unfinished[0]
+		c.unfinished = c.unfinished[1:]
 		msg.Op = order.OpMarkDone
 		c.perform(c.model.Update(c.now, msg))
 	}
 }
 
-func (c *claimRig) perform(cmds []order.Cmd) {
+func (c *claimHarness) perform(cmds []order.Cmd) {
 	var calls []store.Request
 	for _, cmd := range cmds {
 		if call, ok := cmd.(order.StoreCmd); ok {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (c *claimRig) call(r store.Request) store.Reply {
+func (c *claimHarness) call(r store.Request) store.Reply {
 	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op, Kind: store.KindOK}
 	switch {
 	case r.Op == store.OpGet:
@@ -121,16 +121,16 @@
 	default:
 		c.writes++
 		c.revision++
-		c.written += len(r.Value)
-		c.largest = max(c.largest, len(r.Value))
+		c.writtenBytes += len(r.Value)
+		c.largestValue = max(c.largestValue, len(r.Value))
 		c.entries[r.Key] = store.Entry{Key: r.Key, Value: append([]byte(nil), r.Value...), Revision: c.revision}
 	}
 	reply.Entry = c.entries[r.Key]
 	return reply
 }
 
-// stored returns the bytes of all values in the store.
-func (c *claimRig) stored() int {
+// storedBytes returns the bytes of all values in the store.
+func (c *claimHarness) storedBytes() int {
 	n := 0
 	for _, e := range c.entries {
 		n += len(e.Value)
@@ -142,7 +142,7 @@
 func (c *capacityCosts) extrapolateClaims(r *Report, perSecond float64) {
 	size := fmt.Sprintf(", %g orders/s", perSecond)
 	perPartition := perSecond * secondsPerDay / order.NumPartitions
-	segments := perPartition * c.claimWireBytes / sealBytes
+	segments := perPartition * c.claimWireBytes / sealThreshold
 	// The rate of orders in two years is not stated, so these figures have no bound.
 	r.AddUnbounded("two years: 24 h of claims of one partition at its owner"+size, "MB", 0, perPartition*c.claimBytes/1e6)
 	r.AddUnbounded("two years: segments that a new owner reads"+size, "", 0, segments)
--- a/experiment/capacity_peer.go
+++ b/experiment/capacity_peer.go
@@ -16,11 +16,11 @@
 
 const (
 	capacityMessages = 20_000
-	ringEvents       = float64(timeline.DefaultCapacity)
+	ringCapacity     = float64(timeline.DefaultCapacity)
 )
 
-// peers measures the messages between VMs for results of several sizes.
-func (c *capacityCosts) peers(r *Report, m meter) {
+// measurePeers measures the messages between VMs for results of several sizes.
+func (c *capacityCosts) measurePeers(r *Report, m meter) {
 	id := attempt.ID{VM: "vm-0001", Incarnation: 1_700_000_000_000, Seq: 123_456_789}
 	up := "search/planner-0042/a"
 	forward := vm.Forward{Request: attempt.Request{
@@ -33,20 +33,20 @@
 			Ranges: []coverage.Range{{From: 420, To: 430}}, Rows: capacityRows(420, rows), QueueMs: 1, ServiceMs: 8,
 		}}
 		size := fmt.Sprintf(", %d rows", rows)
-		wire := [][]byte{wireOf(forward), wireOf(result)}
-		r.AddUnbounded("forward on the wire"+size, "bytes", 0, float64(len(wire[0])))
-		r.AddUnbounded("result on the wire"+size, "bytes", 0, float64(len(wire[1])))
-		c.pairBytes = float64(len(wire[0]) + len(wire[1]))
+		encoded := [][]byte{marshalBody(forward), marshalBody(result)}
+		r.AddUnbounded("forward on the wire"+size, "bytes", 0, float64(len(encoded[0])))
+		r.AddUnbounded("result on the wire"+size, "bytes", 0, float64(len(encoded[1])))
+		c.forwardAndResultBytes = float64(len(encoded[0]) + len(encoded[1]))
 		c.encode = m.measure(capacityMessages, func() {
 			for range capacityMessages {
-				wireOf(forward)
-				wireOf(result)
+				marshalBody(forward)
+				marshalBody(result)
 			}
 		})
 		c.decode = m.measure(capacityMessages, func() {
 			for range capacityMessages {
-				unwire(wire[0])
-				unwire(wire[1])
+				unmarshalBody(encoded[0])
+				unmarshalBody(encoded[1])
 			}
 		})
 		m.report(r, c.encode, "encoding a forward and its result", size)
@@ -54,7 +54,7 @@
 	}
 }
 
-func wireOf(body vm.PeerBody) []byte {
+func marshalBody(body vm.PeerBody) []byte {
 	data, err := proto.Marshal(peer.Encode(0, clock.Timestamp{WallMs: 1_700_000_000_000}, body))
 	if err != nil {
 		panic(err) // the message is made here
@@ -62,7 +62,7 @@
 	return data
 }
 
-func unwire(data []byte) {
+func unmarshalBody(data []byte) {
 	env := &peerpb.Envelope{}
 	if err := proto.Unmarshal(data, env); err != nil {
 		panic(err)
@@ -72,10 +72,10 @@
 	}
 }
 
-// events measures the ring of events with the texts that events carry.
-func (c *capacityCosts) events(r *Report) {
+// measureEvents measures the ring of events with the texts that events carry.
+func (c *capacityCosts) measureEvents(r *Report) {
 	for _, n := range []int{1024, 4096, timeline.DefaultCapacity} {
-		grew, _ := grown(func() *timeline.Ring {
+		growth, _ := heapGrowth(func() *timeline.Ring {
 			ring := timeline.NewRing("vm-0001", n)
 			for i := range n {
 				ring.Add(clock.Millis(i), timeline.Event{
@@ -85,7 +85,7 @@
 			}
 			return ring
 		})
-		c.eventBytes = grew / float64(n)
+		c.eventBytes = growth / float64(n)
 		r.AddUnbounded(fmt.Sprintf("event in the ring memory, %d events", n), "bytes", 0, c.eventBytes)
 	}
 }
--- a/experiment/capacity_query.go
+++ b/experiment/capacity_query.go
@@ -21,21 +21,21 @@
 	capacityVersion  = 1
 )
 
-func (c *capacityCosts) queries(r *Report, m meter, seed uint64) {
+func (c *capacityCosts) measureQueries(r *Report, m meter, seed uint64) {
 	for _, groups := range []int{10, 20, 40, int(targetGroups)} {
 		size := fmt.Sprintf(", %d groups", groups)
-		rig := newQueryRig(seed, groups)
-		rig.run(capacityQueries / 10) // latencies and maps are filled before the measurement
-		c.query = m.measure(capacityQueries, func() { rig.run(capacityQueries) })
+		harness := newQueryHarness(seed, groups)
+		harness.run(capacityQueries / 10) // latencies and maps are filled before the measurement
+		c.query = m.measure(capacityQueries, func() { harness.run(capacityQueries) })
 		m.report(r, c.query, "query", size)
-		grew, _ := grown(func() *queryRig { rig.open(capacityQueries); return rig })
-		c.openQueryBytes = grew / capacityQueries
+		growth, _ := heapGrowth(func() *queryHarness { harness.open(capacityQueries); return harness })
+		c.openQueryBytes = growth / capacityQueries
 		r.AddUnbounded("open query memory"+size, "bytes", 0, c.openQueryBytes)
 	}
 }
 
-// queryRig answers each attempt of a query.Model at once with the rows of its group.
-type queryRig struct {
+// queryHarness answers each attempt of a query.Model at once with the rows of its group.
+type queryHarness struct {
 	model  *query.Model
 	now    clock.Millis
 	next   int
@@ -45,22 +45,22 @@
 	held   []uint64
 }
 
-func newQueryRig(seed uint64, groups int) *queryRig {
+func newQueryHarness(seed uint64, groups int) *queryHarness {
 	list, svc := capacityUpstreams(groups)
-	rig := &queryRig{
+	harness := &queryHarness{
 		ranges: make(map[string][]coverage.Range), rows: make(map[string][]coverage.Row), held: []uint64{capacityVersion},
 	}
-	book := upstream.New(upstream.WithUpstreams(list), upstream.WithSeed(seed))
+	balancer := upstream.New(upstream.WithUpstreams(list), upstream.WithSeed(seed))
 	for _, u := range list {
-		book.RecordReply(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: rig.held})
+		balancer.RecordReply(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: harness.held})
 	}
 	for i, g := range svc.Groups {
 		from := uint32(i * capacityKeys)
-		rig.ranges[g.Name] = []coverage.Range{{From: from, To: from + capacityKeys}}
-		rig.rows[g.Name] = capacityRows(from, capacityKeys)
+		harness.ranges[g.Name] = []coverage.Range{{From: from, To: from + capacityKeys}}
+		harness.rows[g.Name] = capacityRows(from, capacityKeys)
 	}
-	rig.model = query.New(book, query.WithServices(svc), query.WithVM("vm-0001", 1))
-	return rig
+	harness.model = query.New(balancer, query.WithServices(svc), query.WithVM("vm-0001", 1))
+	return harness
 }
 
 // capacityUpstreams returns one service of groups with two replicas each.
@@ -87,7 +87,7 @@
 	return rows
 }
 
-func (q *queryRig) run(n int) {
+func (q *queryHarness) run(n int) {
 	for range n {
 		q.open(1)
 		for i := range q.sent {
@@ -97,7 +97,7 @@
 }
 
 // open starts n queries without answering their attempts.
-func (q *queryRig) open(n int) {
+func (q *queryHarness) open(n int) {
 	for range n {
 		q.now++
 		q.next++
@@ -111,44 +111,44 @@
 	}
 }
 
-func (q *queryRig) reply(req *attempt.Request) attempt.Reply {
+func (q *queryHarness) reply(req *attempt.Request) attempt.Reply {
 	return attempt.Reply{
 		ID: req.ID, Upstream: req.Upstream, Status: attempt.OK, Execution: attempt.Executed, Version: req.Version, Epoch: 1,
 		Ranges: q.ranges[req.Group], HeldVersions: q.held, Rows: q.rows[req.Group], ServiceMs: 8,
 	}
 }
 
-func (c *capacityCosts) pools(r *Report, m meter) {
-	for _, lanes := range []int{2, 12, 48, 192} {
-		rig := newPoolRig(lanes)
-		rig.run(capacityAttempts / 10)
-		got := m.measure(capacityAttempts, func() { rig.run(capacityAttempts) })
-		m.report(r, got, "pool attempt", fmt.Sprintf(", %d upstreams", lanes))
-		if lanes == 12 { // the upstreams carried by one VM in two years
+func (c *capacityCosts) measurePools(r *Report, m meter) {
+	for _, upstreams := range []int{2, 12, 48, 192} {
+		harness := newPoolHarness(upstreams)
+		harness.run(capacityAttempts / 10)
+		got := m.measure(capacityAttempts, func() { harness.run(capacityAttempts) })
+		m.report(r, got, "pool attempt", fmt.Sprintf(", %d upstreams", upstreams))
+		if upstreams == 12 { // the upstreams carried by one VM in two years
 			c.attempt = got
 		}
 	}
 }
 
-type poolRig struct {
+type poolHarness struct {
 	model *pool.Model
 	ids   []string
 	seq   uint64
 }
 
-func newPoolRig(lanes int) *poolRig {
-	rig := &poolRig{}
+func newPoolHarness(upstreams int) *poolHarness {
+	harness := &poolHarness{}
 	var opts []pool.Option
-	for i := range lanes {
-		rig.ids = append(rig.ids, fmt.Sprintf("search/planner-%04d/a", i))
-		opts = append(opts, pool.WithUpstream(rig.ids[i], 25))
+	for i := range upstreams {
+		harness.ids = append(harness.ids, fmt.Sprintf("search/planner-%04d/a", i))
+		opts = append(opts, pool.WithUpstream(harness.ids[i], 25))
 	}
-	rig.model = pool.New(opts...)
-	return rig
+	harness.model = pool.New(opts...)
+	return harness
 }
 
 // run passes n attempts through the pool and asks for the next wake as the event loop does.
-func (p *poolRig) run(n int) {
+func (p *poolHarness) run(n int) {
 	for range n {
 		p.seq++
 		now := clock.Millis(p.seq / 14)
@@ -160,21 +160,21 @@
 	}
 }
 
-func (c *capacityCosts) gates(r *Report, m meter) {
+func (c *capacityCosts) measureAdmission(r *Report, m meter) {
 	for _, running := range []int{16, 64, 256} {
-		gate := admission.New(admission.WithService(capacityService, 1<<20, 1<<20), admission.WithService("orders", 64, 64))
+		controller := admission.New(admission.WithService(capacityService, 1<<20, 1<<20), admission.WithService("orders", 64, 64))
 		n := 0
 		run := func(count int) {
 			for range count {
 				n++
 				now := clock.Millis(n / 10)
-				gate.Update(now, admission.ArrivalMsg{
+				controller.Update(now, admission.ArrivalMsg{
 					ID: fmt.Sprint(n), Rank: rank.Ordinary, Service: capacityService, Cost: int(targetGroups), Deadline: now + 1<<20,
 				})
 				if n > running {
-					gate.Update(now, admission.DoneMsg{ID: fmt.Sprint(n - running), ElapsedMs: 20})
+					controller.Update(now, admission.DoneMsg{ID: fmt.Sprint(n - running), ElapsedMs: 20})
 				}
-				gate.NextWake()
+				controller.NextWake()
 			}
 		}
 		run(2 * running)
--- a/experiment/capacity_table.go
+++ b/experiment/capacity_table.go
@@ -10,22 +10,22 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// tables measures what one change of the members costs, and the memory per upstream.
-func (c *capacityCosts) tables(r *Report, m meter, seed uint64) {
+// measureTables measures what one change of the members costs, and the memory per upstream.
+func (c *capacityCosts) measureTables(r *Report, m meter, seed uint64) {
 	for _, n := range []int{1000, int(targetUpstreams)} {
 		ups, _ := capacityUpstreams(n / 2)
-		grew, _ := grown(func() *upstream.Balancer {
+		growth, _ := heapGrowth(func() *upstream.Balancer {
 			return upstream.New(upstream.WithUpstreams(ups), upstream.WithSeed(seed))
 		})
-		c.bookBytes = grew / float64(n)
-		r.AddUnbounded(fmt.Sprintf("book memory of an upstream, %d upstreams", n), "bytes", 0, c.bookBytes)
+		c.balancerBytes = growth / float64(n)
+		r.AddUnbounded(fmt.Sprintf("book memory of an upstream, %d upstreams", n), "bytes", 0, c.balancerBytes)
 		for _, members := range []int{9, 100, 400, int(targetVMs)} {
-			c.table(r, m, ups, members)
+			c.measureTable(r, m, ups, members)
 		}
 	}
 }
 
-func (c *capacityCosts) table(r *Report, m meter, ups []upstream.Upstream, members int) {
+func (c *capacityCosts) measureTable(r *Report, m meter, ups []upstream.Upstream, members int) {
 	size := fmt.Sprintf(", %d VMs, %d upstreams", members, len(ups))
 	ids := make([]string, len(ups))
 	for i, u := range ups {
@@ -33,12 +33,12 @@
 	}
 	all := capacityMembers(members)
 	last := len(all) - 1
-	grew, t := grown(func() *vm.CarrierTable {
+	growth, t := heapGrowth(func() *vm.CarrierTable {
 		t := vm.NewCarrierTable(ids)
 		t.SetMembers(all)
 		return t
 	})
-	c.tableBytes = grew / float64(len(ids))
+	c.tableBytes = growth / float64(len(ids))
 	r.AddUnbounded("carrier table memory of an upstream"+size, "bytes", 0, c.tableBytes)
 	var moved, movedDC int
 	c.leave = m.measure(1, func() { moved = len(t.SetMembers(all[:last])) })
@@ -46,13 +46,13 @@
 	m.report(r, c.leave, "one VM leaves the carrier table", size)
 	m.report(r, c.join, "one VM joins the carrier table", size)
 	r.AddUnbounded("upstreams that change carriers when one VM leaves"+size, "", 0, float64(moved))
-	kept := all[:members-int(math.Ceil(float64(members)/dataCentres))]
-	c.leaveDC = m.measure(1, func() { movedDC = len(t.SetMembers(kept)) })
+	remaining := all[:members-int(math.Ceil(float64(members)/dataCentres))]
+	c.leaveDC = m.measure(1, func() { movedDC = len(t.SetMembers(remaining)) })
 	m.report(r, c.leaveDC, "one in nine VMs leave the carrier table", size)
 	r.AddUnbounded("upstreams that change carriers when one in nine VMs leave"+size, "", 0, float64(movedDC))
 	model := order.New(order.WithSelf(all[0], 1))
-	c.owners = m.measure(1, func() { model.Update(0, order.LiveVMsMsg{VMs: all}) })
-	m.report(r, c.owners, "order machine takes a new list of VMs", size)
+	c.vmListUpdate = m.measure(1, func() { model.Update(0, order.LiveVMsMsg{VMs: all}) })
+	m.report(r, c.vmListUpdate, "order machine takes a new list of VMs", size)
 }
 
 func capacityMembers(n int) []string {
@@ -63,24 +63,24 @@
 	return ids
 }
 
-// streams returns the streams of one of n VMs: one with each VM that carries an
+// peerStreams returns the streams of one of n VMs: one with each VM that carries an
 // upstream. With carriers placed at random, the chance that a VM carries none
 // is negligible when each carries about twelve.
-func streams(n float64) float64 {
-	carry := targetUpstreams * carriersEach / n
-	return (n - 1) * (1 - math.Exp(-carry))
+func peerStreams(n float64) float64 {
+	upstreamsPerVM := targetUpstreams * carriersPerUpstream / n
+	return (n - 1) * (1 - math.Exp(-upstreamsPerVM))
 }
 
-// statuses measures the status document that a VM sends to an operator's VM.
+// measureStatuses measures the status document that a VM sends to an operator's VM.
 // It holds no member list: the VM that asks has its own.
-func (c *capacityCosts) statuses(r *Report, m meter) {
+func (c *capacityCosts) measureStatuses(r *Report, m meter) {
 	for _, n := range FleetSizes {
 		st := vm.Status{VM: capacityMembers(n)[0], DataCentre: "dc-1", Preset: "ordinary"}
 		var data []byte
 		size := fmt.Sprintf(", %d VMs", n)
-		c.statusCost = m.measure(1, func() { data, _ = json.Marshal(st) })
+		c.status = m.measure(1, func() { data, _ = json.Marshal(st) })
 		c.statusBytes = float64(len(data))
-		m.report(r, c.statusCost, "encoding the status of a VM", size)
+		m.report(r, c.status, "encoding the status of a VM", size)
 		r.AddUnbounded("status of a VM"+size, "bytes", 0, c.statusBytes)
 		r.AddUnbounded("status of the whole fleet"+size, "bytes", 0, c.statusBytes*float64(n))
 	}
--- a/experiment/handover_test.go
+++ b/experiment/carrier_change_test.go
@@ -8,14 +8,14 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// TestHandover guards against connections beyond the limit of an upstream, and
+// TestCarrierChange guards against connections beyond the limit of an upstream, and
 // against queries that fail, while carriers change under load.
-func TestHandover(t *testing.T) {
+func TestCarrierChange(t *testing.T) {
 	const step = 8 * clock.Second
 	tests := []struct {
-		name  string
-		share float64 // load of each rank as a share of capacity
-		run   func(*experiment.Tier, func(clock.Millis))
+		name      string
+		loadRatio float64 // load of each rank as a share of capacity
+		run       func(*experiment.Tier, func(clock.Millis))
 	}{
 		{"planned stop and join", 0.2, func(tier *experiment.Tier, wait func(clock.Millis)) {
 			for _, id := range []string{"vm-2", "vm-5"} {
@@ -57,7 +57,7 @@
 			begin := tier.Loop.Now()
 			end := begin + 40*clock.Second
 			for _, r := range rank.All() {
-				load.Send(r, tt.share*tier.Capacity(), end)
+				load.Send(r, tt.loadRatio*tier.Capacity(), end)
 			}
 			peak := tier.TrackPeakConnections(end)
 			wait := func(d clock.Millis) { tier.Loop.RunUntil(tier.Loop.Now() + d) }
--- a/experiment/connections.go
+++ b/experiment/connections.go
@@ -29,34 +29,34 @@
 // connLoad is one load of the experiment. Share is the part of the total
 // capacity of all connections that the arrivals need.
 type connLoad struct {
-	name       string
-	share      float64
-	durationMs clock.Millis
-	lagMs      clock.Millis // lag of one VM's view while another leaves and joins; 0 for no change
+	name        string
+	utilization float64
+	durationMs  clock.Millis
+	lagMs       clock.Millis // lag of one VM's view while another leaves and joins; 0 for no change
 }
 
 func connLoads() []connLoad {
 	return []connLoad{
-		{name: "1%", share: 0.01, durationMs: 40 * clock.Second}, // longer than the idle timeout
-		{name: "30%", share: 0.30, durationMs: clock.Second},
-		{name: "60%", share: 0.60, durationMs: clock.Second},
-		{name: "80%", share: 0.80, durationMs: clock.Second},
-		{name: "60%, view lags 2 s", share: 0.60, durationMs: 5 * clock.Second, lagMs: 2 * clock.Second},
-		{name: "30%, view lags 4 s", share: 0.30, durationMs: 7 * clock.Second, lagMs: 4 * clock.Second},
+		{name: "1%", utilization: 0.01, durationMs: 40 * clock.Second}, // longer than the idle timeout
+		{name: "30%", utilization: 0.30, durationMs: clock.Second},
+		{name: "60%", utilization: 0.60, durationMs: clock.Second},
+		{name: "80%", utilization: 0.80, durationMs: clock.Second},
+		{name: "60%, view lags 2 s", utilization: 0.60, durationMs: 5 * clock.Second, lagMs: 2 * clock.Second},
+		{name: "30%, view lags 4 s", utilization: 0.30, durationMs: 7 * clock.Second, lagMs: 4 * clock.Second},
 	}
 }
 
-// connSub is one sub-request, drawn once so that both variants serve the same work.
-type connSub struct {
+// connSubrequest is one sub-request, drawn once so that both variants serve the same work.
+type connSubrequest struct {
 	replica   uint8
 	serviceMs uint16
 }
 
 // connArrival is one 20-way query.
 type connArrival struct {
-	at   clock.Millis
-	vm   int
-	subs [connGroups]connSub
+	at          clock.Millis
+	vm          int
+	subrequests [connGroups]connSubrequest
 }
 
 // Connections compares direct static shares of each upstream's connections
@@ -73,8 +73,8 @@
 }
 
 func reportConnections(report *Report, load connLoad, static, carriers connResult) {
-	report.AddUnbounded("sub-request p50 at "+load.name, "ms", static.subP50, carriers.subP50)
-	report.AddUnbounded("sub-request p99 at "+load.name, "ms", static.subP99, carriers.subP99)
+	report.AddUnbounded("sub-request p50 at "+load.name, "ms", static.subrequestP50, carriers.subrequestP50)
+	report.AddUnbounded("sub-request p99 at "+load.name, "ms", static.subrequestP99, carriers.subrequestP99)
 	report.AddUnbounded("query p50 at "+load.name, "ms", static.queryP50, carriers.queryP50)
 	report.AddUnbounded("query p99 at "+load.name, "ms", static.queryP99, carriers.queryP99)
 	report.AddUnbounded("sub-requests not answered at "+load.name, "per 1000", static.failed, carriers.failed)
@@ -100,7 +100,7 @@
 // it takes no callers.
 func connArrivals(rng *rand.Rand, load connLoad) []connArrival {
 	meanMs := connMedianMs * math.Exp(connSigma*connSigma/2)
-	perMs := load.share * connReplicas * connLimit / meanMs
+	perMs := load.utilization * connReplicas * connLimit / meanMs
 	var arrivals []connArrival
 	var weights [connVMs]float64
 	epoch := clock.Millis(-1)
@@ -113,32 +113,32 @@
 			}
 		}
 		vm := connDrawVM(rng, weights, load.lagMs > 0 && now >= connLeaveAt && now < connJoinAt)
-		arrivals = append(arrivals, connArrival{at: now, vm: vm, subs: connDrawSubs(rng)})
+		arrivals = append(arrivals, connArrival{at: now, vm: vm, subrequests: connDrawSubrequests(rng)})
 	}
 	return arrivals
 }
 
-func connDrawVM(rng *rand.Rand, weights [connVMs]float64, away bool) int {
-	if away {
+func connDrawVM(rng *rand.Rand, weights [connVMs]float64, excludeLeaving bool) int {
+	if excludeLeaving {
 		weights[connLeavingVM] = 0
 	}
 	total := 0.0
 	for _, w := range weights {
 		total += w
 	}
-	x := rng.Float64() * total
+	point := rng.Float64() * total
 	for i, w := range weights {
-		if x -= w; x < 0 {
+		if point -= w; point < 0 {
 			return i
 		}
 	}
 	return 0
 }
 
-func connDrawSubs(rng *rand.Rand) (subs [connGroups]connSub) {
+func connDrawSubrequests(rng *rand.Rand) (subs [connGroups]connSubrequest) {
 	for i := range subs {
 		ms := connMedianMs * math.Exp(connSigma*rng.NormFloat64())
-		subs[i] = connSub{replica: uint8(rng.IntN(connReplicas)), serviceMs: uint16(math.Ceil(ms))}
+		subs[i] = connSubrequest{replica: uint8(rng.IntN(connReplicas)), serviceMs: uint16(math.Ceil(ms))}
 	}
 	return subs
 }
--- a/experiment/connections_fleet.go
+++ b/experiment/connections_fleet.go
@@ -11,64 +11,64 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// connTries bounds how often a sub-request that was proved not run is sent again.
-const connTries = 3
+// connMaxAttempts bounds how often a sub-request that was proved not run is sent again.
+const connMaxAttempts = 3
 
 // connResult holds the figures of one variant at one load.
 type connResult struct {
-	subP50, subP99, queryP50, queryP99 float64
-	failed, opened                     float64 // per 1,000 sub-requests
-	maxOpen                            float64
+	subrequestP50, subrequestP99, queryP50, queryP99 float64
+	failed, opened                                   float64 // per 1,000 sub-requests
+	maxOpen                                          float64
 }
 
 // connFleet is one run of one variant.
 type connFleet struct {
-	loop      *Loop
-	carriers  bool
-	upstreams []string
-	vms       []*connVM
-	byName    map[string]*connVM
-	calls     map[uint64]*connCall
-	seq       uint64
-	subMs     *hdrhistogram.Histogram
-	queryMs   *hdrhistogram.Histogram
-	count     int
-	failed    int
-	maxOpen   int
+	loop            *Loop
+	carriers        bool
+	upstreams       []string
+	vms             []*connVM
+	byName          map[string]*connVM
+	calls           map[uint64]*connCall
+	seq             uint64
+	subrequestMs    *hdrhistogram.Histogram
+	queryMs         *hdrhistogram.Histogram
+	subrequestCount int
+	failed          int
+	maxOpen         int
 }
 
 // connVM is one VM with its pool.
 type connVM struct {
-	fleet  *connFleet
-	index  int
-	name   string
-	pool   *pool.Model
-	routes []connRoute
-	full   []bool // by upstream: a carrier with its whole limit
-	wake   clock.Millis
+	fleet     *connFleet
+	index     int
+	name      string
+	pool      *pool.Model
+	routes    []connRoute
+	fullLimit []bool // by upstream: a carrier with its whole limit
+	nextWake  clock.Millis
 }
 
 // connCall is one sub-request under way.
 type connCall struct {
-	query    *connQuery
-	vm       *connVM
-	upstream int
-	carrier  int // the VM that it was sent to
-	sub      connSub
-	tries    int
+	query      *connQuery
+	vm         *connVM
+	upstream   int
+	carrier    int // the VM that it was sent to
+	subrequest connSubrequest
+	attempts   int
 }
 
 // connQuery is one query under way.
 type connQuery struct {
-	at     clock.Millis
-	left   int
-	failed bool
+	arrivedAt clock.Millis
+	remaining int
+	failed    bool
 }
 
 func runConnections(load connLoad, arrivals []connArrival, carriers bool) connResult {
 	f := newConnFleet(carriers)
 	if load.lagMs > 0 && carriers {
-		f.scheduleChurn(load.lagMs)
+		f.scheduleLeaveAndJoin(load.lagMs)
 	}
 	for i := range arrivals {
 		a := &arrivals[i]
@@ -82,7 +82,7 @@
 	f := &connFleet{
 		loop: NewLoop(0), carriers: carriers,
 		byName: make(map[string]*connVM), calls: make(map[uint64]*connCall),
-		subMs: hdrhistogram.New(1, 60_000, 3), queryMs: hdrhistogram.New(1, 60_000, 3),
+		subrequestMs: hdrhistogram.New(1, 60_000, 3), queryMs: hdrhistogram.New(1, 60_000, 3),
 	}
 	for g := range connGroups {
 		for r := range connReplicas {
@@ -92,25 +92,25 @@
 	for i := range connVMs {
 		v := &connVM{fleet: f, index: i, name: fmt.Sprintf("vm%d", i), pool: pool.New()}
 		v.routes = make([]connRoute, len(f.upstreams))
-		v.full = make([]bool, len(f.upstreams))
+		v.fullLimit = make([]bool, len(f.upstreams))
 		f.vms = append(f.vms, v)
 		f.byName[v.name] = v
 	}
 	for _, v := range f.vms {
 		if carriers {
-			v.start(connMembers(-1))
+			v.setInitialMembers(connMembers(-1))
 		} else {
-			v.setStatic()
+			v.setStaticLimits()
 		}
 	}
 	return f
 }
 
 func (f *connFleet) arrive(a *connArrival) {
-	q := &connQuery{at: a.at, left: connGroups}
-	for g, sub := range a.subs {
-		f.count++
-		c := &connCall{query: q, vm: f.vms[a.vm], upstream: g*connReplicas + int(sub.replica), sub: sub}
+	q := &connQuery{arrivedAt: a.at, remaining: connGroups}
+	for g, sub := range a.subrequests {
+		f.subrequestCount++
+		c := &connCall{query: q, vm: f.vms[a.vm], upstream: g*connReplicas + int(sub.replica), subrequest: sub}
 		c.vm.send(c)
 	}
 }
@@ -122,17 +122,17 @@
 	k := route.pick()
 	// A VM that is no carrier any more refuses at once, so it would always have
 	// the least outstanding work.
-	if c.tries > 0 && route.vms[k] == c.carrier {
+	if c.attempts > 0 && route.vms[k] == c.carrier {
 		k = 1 - k
 	}
-	route.sent[k]++
+	route.outstanding[k]++
 	c.carrier = route.vms[k]
-	c.tries++
+	c.attempts++
 	f.seq++
 	f.calls[f.seq] = c
 	msg := pool.EnqueueMsg{From: v.name, Request: attempt.Request{
 		ID: attempt.ID{VM: v.name, Seq: f.seq}, Upstream: f.upstreams[c.upstream],
-		Rank: rank.Urgent, Deadline: c.query.at + connDeadlineMs,
+		Rank: rank.Urgent, Deadline: c.query.arrivedAt + connDeadlineMs,
 	}}
 	carrier := f.vms[c.carrier]
 	f.loop.After(v.hop(carrier), func() { carrier.update(msg) })
@@ -150,13 +150,13 @@
 		v.perform(c)
 	}
 	at, ok := v.pool.NextWake()
-	if !ok || (v.wake > 0 && v.wake <= at) {
+	if !ok || (v.nextWake > 0 && v.nextWake <= at) {
 		return
 	}
-	v.wake = at
+	v.nextWake = at
 	v.fleet.loop.At(at, func() {
-		if v.wake == at {
-			v.wake = 0
+		if v.nextWake == at {
+			v.nextWake = 0
 			v.update(pool.TickMsg{})
 		}
 	})
@@ -166,7 +166,7 @@
 	f := v.fleet
 	switch c := c.(type) {
 	case pool.DispatchCmd:
-		ms := clock.Millis(f.calls[c.ID.Seq].sub.serviceMs)
+		ms := clock.Millis(f.calls[c.ID.Seq].subrequest.serviceMs)
 		if c.NewConn {
 			ms += connOpenMs
 			f.countOpen(c.Upstream)
@@ -197,12 +197,12 @@
 	delete(f.calls, r.ID.Seq)
 	route := &v.routes[c.upstream]
 	for k, vm := range route.vms {
-		if vm == c.carrier && route.sent[k] > 0 {
-			route.sent[k]--
+		if vm == c.carrier && route.outstanding[k] > 0 {
+			route.outstanding[k]--
 			break
 		}
 	}
-	if r.Status == attempt.NotSent && c.tries < connTries && f.loop.Now() < c.query.at+connDeadlineMs {
+	if r.Status == attempt.NotSent && c.attempts < connMaxAttempts && f.loop.Now() < c.query.arrivedAt+connDeadlineMs {
 		v.send(c)
 		return
 	}
@@ -212,20 +212,20 @@
 // finish records a sub-request, and its query after the last one. Without an
 // answer either counts as its whole deadline.
 func (f *connFleet) finish(c *connCall, ok bool) {
-	took := f.loop.Now() - c.query.at
+	elapsed := f.loop.Now() - c.query.arrivedAt
 	if !ok {
 		f.failed++
 		c.query.failed = true
-		took = connDeadlineMs
+		elapsed = connDeadlineMs
 	}
-	_ = f.subMs.RecordValue(int64(took))
-	if c.query.left--; c.query.left > 0 {
+	_ = f.subrequestMs.RecordValue(int64(elapsed))
+	if c.query.remaining--; c.query.remaining > 0 {
 		return
 	}
 	if c.query.failed {
-		took = connDeadlineMs
+		elapsed = connDeadlineMs
 	}
-	_ = f.queryMs.RecordValue(int64(took))
+	_ = f.queryMs.RecordValue(int64(elapsed))
 }
 
 func (f *connFleet) result() connResult {
@@ -235,9 +235,9 @@
 			opened += v.pool.OpenedConns(upstream)
 		}
 	}
-	per := 1000 / float64(f.count)
+	per := 1000 / float64(f.subrequestCount)
 	return connResult{
-		subP50: float64(f.subMs.ValueAtQuantile(50)), subP99: float64(f.subMs.ValueAtQuantile(99)),
+		subrequestP50: float64(f.subrequestMs.ValueAtQuantile(50)), subrequestP99: float64(f.subrequestMs.ValueAtQuantile(99)),
 		queryP50: float64(f.queryMs.ValueAtQuantile(50)), queryP99: float64(f.queryMs.ValueAtQuantile(99)),
 		failed: float64(f.failed) * per, opened: float64(opened) * per, maxOpen: float64(f.maxOpen),
 	}
--- a/experiment/connections_view.go
+++ b/experiment/connections_view.go
@@ -16,38 +16,38 @@
 	connLeavingVM = 3
 	connLaggingVM = 8
 
-	connLeaveAt clock.Millis = 100
-	connJoinAt  clock.Millis = 2400
-	connSeenMs  clock.Millis = 200
+	connLeaveAt   clock.Millis = 100
+	connJoinAt    clock.Millis = 2400
+	connViewLagMs clock.Millis = 200
 
-	// connHandoverMs is the time from the announcement of a change to the change
+	// connCarrierChangeMs is the time from the announcement of a change to the change
 	// of carriers. It exceeds the usual lag of views, so that the VMs change over
 	// together and the old carriers serve until then.
-	connHandoverMs clock.Millis = 2200
+	connCarrierChangeMs clock.Millis = 2200
 
-	// connAskMs is how often a new carrier asks its predecessor whether it has
+	// connPollMs is how often a new carrier asks its predecessor whether it has
 	// closed its connections.
-	connAskMs clock.Millis = 10
+	connPollMs clock.Millis = 10
 
-	carriersEach = 2
-	carrierLimit = connLimit * 45 / 100
-	headroom     = connLimit - carriersEach*carrierLimit
+	carriersPerUpstream = 2
+	fullCarrierLimit    = connLimit * 45 / 100
+	carrierHeadroom     = connLimit - carriersPerUpstream*fullCarrierLimit
 )
 
 // connRoute is what one VM knows of the carriers of one upstream.
 type connRoute struct {
-	vms    [carriersEach]int
-	limits [carriersEach]int
-	sent   [carriersEach]int // outstanding from this VM
-	turn   int
+	vms         [carriersPerUpstream]int
+	limits      [carriersPerUpstream]int
+	outstanding [carriersPerUpstream]int // outstanding from this VM
+	tieBreak    int
 }
 
 // pick returns the carrier with the least outstanding work per connection.
 func (r *connRoute) pick() int {
-	a, b := r.sent[0]*r.limits[1], r.sent[1]*r.limits[0]
-	r.turn++
+	a, b := r.outstanding[0]*r.limits[1], r.outstanding[1]*r.limits[0]
+	r.tieBreak++
 	if a == b {
-		return r.turn % carriersEach
+		return r.tieBreak % carriersPerUpstream
 	}
 	if a < b {
 		return 0
@@ -56,20 +56,20 @@
 }
 
 // connCarriers returns the two members with the highest rendezvous hash.
-func connCarriers(upstream string, members []int) [carriersEach]int {
+func connCarriers(upstream string, members []int) [carriersPerUpstream]int {
 	ranked := slices.Clone(members)
 	score := func(vm int) uint64 { return xxhash.Sum64String(upstream + "#" + strconv.Itoa(vm)) }
 	slices.SortFunc(ranked, func(a, b int) int { return cmp.Compare(score(b), score(a)) })
-	return [carriersEach]int{ranked[0], ranked[1]}
+	return [carriersPerUpstream]int{ranked[0], ranked[1]}
 }
 
-// start sets the first view. Its carriers have their whole limit.
-func (v *connVM) start(members []int) {
+// setInitialMembers sets the first view. Its carriers have their whole limit.
+func (v *connVM) setInitialMembers(members []int) {
 	for i, upstream := range v.fleet.upstreams {
 		v.routes[i].vms = connCarriers(upstream, members)
 		for k, vm := range v.routes[i].vms {
-			v.routes[i].limits[k] = carrierLimit
-			v.full[i] = v.full[i] || vm == v.index
+			v.routes[i].limits[k] = fullCarrierLimit
+			v.fullLimit[i] = v.fullLimit[i] || vm == v.index
 		}
 		v.applyLimit(i)
 	}
@@ -80,25 +80,25 @@
 	for i, upstream := range v.fleet.upstreams {
 		old := v.routes[i]
 		route := connRoute{vms: connCarriers(upstream, members)}
-		replaced := connNotIn(old.vms, route.vms)
-		fresh := connNotIn(route.vms, old.vms)
+		removed := connDifference(old.vms, route.vms)
+		added := connDifference(route.vms, old.vms)
 		for k, vm := range route.vms {
-			route.limits[k] = carrierLimit
-			if slices.Contains(fresh, vm) && !v.fleet.vms[vm].full[i] {
-				route.limits[k] = headroom / len(fresh)
+			route.limits[k] = fullCarrierLimit
+			if slices.Contains(added, vm) && !v.fleet.vms[vm].fullLimit[i] {
+				route.limits[k] = carrierHeadroom / len(added)
 			}
 		}
 		v.routes[i] = route
-		v.full[i] = v.full[i] && slices.Contains(route.vms[:], v.index)
+		v.fullLimit[i] = v.fullLimit[i] && slices.Contains(route.vms[:], v.index)
 		v.applyLimit(i)
-		if n := slices.Index(fresh, v.index); n >= 0 {
-			v.takeOver(i, v.fleet.vms[replaced[n]])
+		if n := slices.Index(added, v.index); n >= 0 {
+			v.awaitPredecessor(i, v.fleet.vms[removed[n]])
 		}
 	}
 }
 
-// connNotIn returns the VMs of a that are not in b.
-func connNotIn(a, b [carriersEach]int) []int {
+// connDifference returns the VMs of a that are not in b.
+func connDifference(a, b [carriersPerUpstream]int) []int {
 	var out []int
 	for _, vm := range a {
 		if !slices.Contains(b[:], vm) {
@@ -108,23 +108,23 @@
 	return out
 }
 
-// takeOver gives v the whole limit of a carrier once its predecessor has
+// awaitPredecessor gives v the whole limit of a carrier once its predecessor has
 // closed its connections. Until then v uses only its part of the headroom, so
 // that no lag of views brings an upstream above its limit.
-func (v *connVM) takeOver(i int, from *connVM) {
+func (v *connVM) awaitPredecessor(i int, predecessor *connVM) {
 	upstream := v.fleet.upstreams[i]
 	if !slices.Contains(v.routes[i].vms[:], v.index) {
 		return
 	}
-	if from.pool.Limit(upstream) > 0 || from.pool.OpenConns(upstream) > 0 {
-		v.fleet.loop.After(connAskMs, func() { v.takeOver(i, from) })
+	if predecessor.pool.Limit(upstream) > 0 || predecessor.pool.OpenConns(upstream) > 0 {
+		v.fleet.loop.After(connPollMs, func() { v.awaitPredecessor(i, predecessor) })
 		return
 	}
-	v.full[i] = true
+	v.fullLimit[i] = true
 	for _, other := range v.fleet.vms {
 		for k, vm := range other.routes[i].vms {
 			if vm == v.index {
-				other.routes[i].limits[k] = carrierLimit
+				other.routes[i].limits[k] = fullCarrierLimit
 			}
 		}
 	}
@@ -142,33 +142,33 @@
 	v.update(pool.LimitMsg{Upstream: v.fleet.upstreams[i], Connections: limit})
 }
 
-// scheduleChurn lets one VM leave and join again. Each change is announced
+// scheduleLeaveAndJoin lets one VM leave and join again. Each change is announced
 // with the time at which the carriers change; a VM that learns of it later
 // follows at once.
-func (f *connFleet) scheduleChurn(lag clock.Millis) {
+func (f *connFleet) scheduleLeaveAndJoin(lag clock.Millis) {
 	all := connMembers(-1)
 	without := connMembers(connLeavingVM)
 	for i, v := range f.vms {
-		seen := connSeenMs
+		viewLag := connViewLagMs
 		if i == connLaggingVM {
-			seen = lag
+			viewLag = lag
 		}
-		after := max(seen, connHandoverMs)
-		f.loop.At(connLeaveAt+after, func() { v.setMembers(without) })
-		f.loop.At(connJoinAt+after, func() { v.setMembers(all) })
+		delay := max(viewLag, connCarrierChangeMs)
+		f.loop.At(connLeaveAt+delay, func() { v.setMembers(without) })
+		f.loop.At(connJoinAt+delay, func() { v.setMembers(all) })
 	}
 }
 
-// setStatic gives v its share of 25/9 connections of each upstream. The
+// setStaticLimits gives v its share of 25/9 connections of each upstream. The
 // remainder rotates over the VMs.
-func (v *connVM) setStatic() {
+func (v *connVM) setStaticLimits() {
 	for i, upstream := range v.fleet.upstreams {
-		share := connLimit / connVMs
+		connections := connLimit / connVMs
 		if (v.index+i)%connVMs < connLimit%connVMs {
-			share++
+			connections++
 		}
-		v.routes[i] = connRoute{vms: [carriersEach]int{v.index, v.index}, limits: [carriersEach]int{1, 1}}
-		v.update(pool.LimitMsg{Upstream: upstream, Connections: share})
+		v.routes[i] = connRoute{vms: [carriersPerUpstream]int{v.index, v.index}, limits: [carriersPerUpstream]int{1, 1}}
+		v.update(pool.LimitMsg{Upstream: upstream, Connections: connections})
 	}
 }
 
--- a/experiment/control.go
+++ b/experiment/control.go
@@ -13,19 +13,19 @@
 // Bounds and rates of section 1.7 of the design page. The rates are those of
 // the whole two-year fleet and are applied at every size.
 const (
-	controlBytes      = 3000.0
-	controlCore       = 3.9
-	controlMB         = 64.0
-	storeReads        = 2000.0
-	storeWrites       = 300.0
-	restartsPerDay    = 2700.0
-	failuresPerDay    = 38.0
-	changesPerDay     = 2300.0
-	reportsPerDay     = 2 * 2700.0 // upstreams restart like VMs; each is reported leaving and back
-	minutesPerDay     = 1440.0
-	controlMinutes    = 4
-	settleMs          = 2 * clock.Minute // the cold start is not part of the figures
-	baselineBeatBytes = 2 * (MessageOverheadBytes + 20)
+	maxControlBytes        = 3000.0
+	maxControlCorePercent  = 3.9
+	maxControlMB           = 64.0
+	maxStoreReads          = 2000.0
+	maxStoreWrites         = 300.0
+	restartsPerDay         = 2700.0
+	failuresPerDay         = 38.0
+	presetChangesPerDay    = 2300.0
+	leavingReportsPerDay   = 2 * 2700.0 // upstreams restart like VMs; each is reported leaving and back
+	minutesPerDay          = 1440.0
+	controlMinutes         = 4
+	settleMs               = 2 * clock.Minute // the cold start is not part of the figures
+	baselineHeartbeatBytes = 2 * (MessageOverheadBytes + 20)
 )
 
 // Control measures what membership and dissemination cost one VM under the
@@ -39,7 +39,7 @@
 	}
 	costs := make([]controlCost, len(sizes))
 	for i, n := range sizes {
-		costs[i] = controlOnce(seed, n, cpu)
+		costs[i] = measureControl(seed, n, cpu)
 		costs[i].report(&r, n, cpu != nil)
 	}
 	last := len(sizes) - 1
@@ -48,7 +48,7 @@
 		span := float64(sizes[last] - sizes[0])
 		r.Notes = append(r.Notes,
 			fmt.Sprintf("slope: %.3g bytes/s, %.3g messages/s, %.3g %% of a core, %.3g KB per further member",
-				(b.bytes-a.bytes)/span, (b.messages-a.messages)/span, (b.core-a.core)/span, 1000*(b.megabytes-a.megabytes)/span),
+				(b.bytes-a.bytes)/span, (b.messages-a.messages)/span, (b.corePercent-a.corePercent)/span, 1000*(b.megabytes-a.megabytes)/span),
 			"the baseline of bytes and messages is computed for pings between all pairs, not run")
 	}
 	return r
@@ -56,38 +56,38 @@
 
 // controlCost is the cost per VM, and of the whole fleet for the store.
 type controlCost struct {
-	bytes, maxBytes, messages, core, megabytes, reads, writes, waiting float64
-	agreed                                                             bool
+	bytes, maxBytes, messages, corePercent, megabytes, reads, writes, openWatches float64
+	converged                                                                     bool
 }
 
 func (c *controlCost) report(r *Report, n int, timed bool) {
 	size := fmt.Sprintf(", %d VMs", n)
-	all := float64(n - 1)
-	r.AtMost("sent by a VM"+size, "bytes/s", all*baselineBeatBytes, c.bytes, controlBytes)
-	r.AtMost("sent by the busiest VM"+size, "bytes/s", all*baselineBeatBytes, c.maxBytes, controlBytes)
-	r.AddUnbounded("messages of a VM"+size, "1/s", 2*all, c.messages)
+	otherVMs := float64(n - 1)
+	r.AtMost("sent by a VM"+size, "bytes/s", otherVMs*baselineHeartbeatBytes, c.bytes, maxControlBytes)
+	r.AtMost("sent by the busiest VM"+size, "bytes/s", otherVMs*baselineHeartbeatBytes, c.maxBytes, maxControlBytes)
+	r.AddUnbounded("messages of a VM"+size, "1/s", 2*otherVMs, c.messages)
 	if timed {
-		r.AtMost("processor time of a VM"+size, "% core", 0, c.core, controlCore)
+		r.AtMost("processor time of a VM"+size, "% core", 0, c.corePercent, maxControlCorePercent)
 	}
-	r.AtMost("memory of a VM"+size, "MB", 0, c.megabytes, controlMB)
-	r.AtMost("store reads and watches of the fleet"+size, "1/s", all, c.reads, storeReads)
-	r.AtMost("store writes of the fleet"+size, "1/s", 0, c.writes, storeWrites)
-	r.AddUnbounded("watches waiting at the end"+size, "", 0, c.waiting)
-	agreed := 0.0
-	if c.agreed {
-		agreed = 1
+	r.AtMost("memory of a VM"+size, "MB", 0, c.megabytes, maxControlMB)
+	r.AtMost("store reads and watches of the fleet"+size, "1/s", otherVMs, c.reads, maxStoreReads)
+	r.AtMost("store writes of the fleet"+size, "1/s", 0, c.writes, maxStoreWrites)
+	r.AddUnbounded("watches waiting at the end"+size, "", 0, c.openWatches)
+	converged := 0.0
+	if c.converged {
+		converged = 1
 	}
-	r.AtLeast("members agree at the end"+size, "", 0, agreed, 1)
+	r.AtLeast("members agree at the end"+size, "", 0, converged, 1)
 }
 
-func controlOnce(seed uint64, n int, cpu func() int64) controlCost {
+func measureControl(seed uint64, n int, cpu func() int64) controlCost {
 	before := heapBytes()
 	f := NewFleet(seed, n)
 	f.startAndJoin()
 	f.RunFor(settleMs)
 	f.CPU = cpu
-	for _, node := range f.VMs {
-		node.SentMessages, node.SentBytes, node.BusyNs = 0, 0, 0
+	for _, vm := range f.VMs {
+		vm.SentMessages, vm.SentBytes, vm.BusyNs = 0, 0, 0
 	}
 	f.Store.Reads, f.Store.Writes, f.Store.Watches = 0, 0, 0
 	span := controlMinutes * clock.Minute
@@ -95,7 +95,7 @@
 	f.RunFor(span)
 	c := f.cost(span)
 	c.megabytes = (heapBytes() - before) / float64(n) / 1e6
-	_, c.agreed = f.RunUntil(500, clock.Minute, f.Converged)
+	_, c.converged = f.RunUntil(500, clock.Minute, f.Converged)
 	return c
 }
 
@@ -119,33 +119,33 @@
 	}
 	vms := float64(len(f.VMs))
 	c.bytes, c.messages = bytes/vms/seconds, sent/vms/seconds
-	c.core = 100 * busy / vms / seconds / 1e9
+	c.corePercent = 100 * busy / vms / seconds / 1e9
 	c.reads = float64(f.Store.Reads+f.Store.Watches) / seconds
 	c.writes = float64(f.Store.Writes) / seconds
-	c.waiting = float64(f.Store.OpenWatches())
+	c.openWatches = float64(f.Store.OpenWatches())
 	return c
 }
 
 // churn schedules the events of span at even distances.
 func (f *Fleet) churn(span clock.Millis) {
-	f.every(span, restartsPerDay, func(int) { f.restartPlanned(f.someRunning()) })
-	f.every(span, failuresPerDay, func(int) {
-		n := f.someRunning()
+	f.scheduleEvenly(span, restartsPerDay, func(int) { f.restartGracefully(f.randomReady()) })
+	f.scheduleEvenly(span, failuresPerDay, func(int) {
+		n := f.randomReady()
 		f.Kill(n)
 		f.Loop.After(30*clock.Second, func() { f.Start(n) })
 	})
-	f.every(span, changesPerDay, func(i int) {
+	f.scheduleEvenly(span, presetChangesPerDay, func(i int) {
 		change := preset.Change{
 			ID: fmt.Sprintf("control-%d", i), Author: "experiment", Reason: "load", SwitchTo: []string{"peak", "ordinary"}[i%2],
 		}
-		f.StartChange(f.someRunning(), change, 5*clock.Second, func(preset.Result) {})
+		f.StartChange(f.randomReady(), change, 5*clock.Second, func(preset.Result) {})
 	})
-	f.every(span, reportsPerDay, func(i int) {
-		f.Deliver(f.someRunning(), fleet.UpstreamLeavingMsg{Upstream: upstreamID(i / 2), Leaving: i%2 == 0})
+	f.scheduleEvenly(span, leavingReportsPerDay, func(i int) {
+		f.Deliver(f.randomReady(), fleet.UpstreamLeavingMsg{Upstream: upstreamID(i / 2), Leaving: i%2 == 0})
 	})
 }
 
-func (f *Fleet) every(span clock.Millis, perDay float64, run func(i int)) {
+func (f *Fleet) scheduleEvenly(span clock.Millis, perDay float64, run func(i int)) {
 	count := int(math.Ceil(perDay / minutesPerDay * float64(span/clock.Minute)))
 	for i := range count {
 		// The last tenth stays free, so that restarts end within the span.
@@ -153,7 +153,7 @@
 	}
 }
 
-func (f *Fleet) someRunning() *FleetVM {
+func (f *Fleet) randomReady() *FleetVM {
 	for {
 		if n := f.VMs[f.rng.IntN(len(f.VMs))]; n.Running && n.Model.Ready() {
 			return n
@@ -161,8 +161,8 @@
 	}
 }
 
-// restartPlanned stops a VM as planned and starts it again.
-func (f *Fleet) restartPlanned(n *FleetVM) {
+// restartGracefully stops a VM as planned and starts it again.
+func (f *Fleet) restartGracefully(n *FleetVM) {
 	f.Deliver(n, fleet.StopMsg{})
 	f.Loop.After(3*clock.Second, func() { f.Kill(n) })
 	f.Loop.After(8*clock.Second, func() { f.Start(n) })
--- a/experiment/failures.go
+++ b/experiment/failures.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	rackVMs                     = 40 // the design page does not state the size of a rack
-	splitMs                     = 3 * clock.Minute
-	agreeStep      clock.Millis = 500
-	failuresLimit               = 15 * clock.Minute
-	secondsInMilli              = 1e3
+	rackVMs                      = 40 // the design page does not state the size of a rack
+	splitDurationMs              = 3 * clock.Minute
+	agreementStepMs clock.Millis = 500
+	agreementLimit               = 15 * clock.Minute
+	millisPerSecond              = 1e3
 )
 
 // Failures measures how long the VMs take to agree on who is alive after the
@@ -25,19 +25,19 @@
 		sizes = FleetSizes[1:3] // at 1,600 members the run takes more than four minutes
 	}
 	for _, n := range sizes {
-		failuresOnce(&r, seed, n)
+		measureFailures(&r, seed, n)
 	}
 	return r
 }
 
-func failuresOnce(r *Report, seed uint64, n int) {
+func measureFailures(r *Report, seed uint64, n int) {
 	size := fmt.Sprintf(", %d VMs", n)
 	f := NewFleet(seed, n)
 	f.startAndJoin()
 	f.RunFor(settleMs)
-	f.loseAndReturn(r, "rack of 40"+size, func(v *FleetVM) bool { return v.Index < rackVMs })
-	f.loseAndReturn(r, "data centre"+size, func(v *FleetVM) bool { return v.Index%int(dataCentres) == 0 })
-	f.split(r, size)
+	f.killAndRestart(r, "rack of 40"+size, func(v *FleetVM) bool { return v.Index < rackVMs })
+	f.killAndRestart(r, "data centre"+size, func(v *FleetVM) bool { return v.Index%int(dataCentres) == 0 })
+	f.splitRegion(r, size)
 	reverts := 0
 	for _, v := range f.VMs {
 		reverts += v.Reverts
@@ -45,15 +45,15 @@
 	r.AtMost("reverts on a VM"+size, "", 0, float64(reverts), 0)
 }
 
-// loseAndReturn kills the VMs that match at once and starts them again later.
-func (f *Fleet) loseAndReturn(r *Report, what string, match func(*FleetVM) bool) {
+// killAndRestart kills the VMs that match at once and starts them again later.
+func (f *Fleet) killAndRestart(r *Report, what string, match func(*FleetVM) bool) {
 	f.resetTraffic()
 	for _, v := range f.VMs {
 		if match(v) {
 			f.Kill(v)
 		}
 	}
-	took, busiest := f.agree(f.Converged)
+	took, busiest := f.measureUntil(f.Converged)
 	r.AddUnbounded("seen as dead by all, "+what, "s", 0, took)
 	r.AddUnbounded("sent by the busiest VM meanwhile, "+what, "bytes/s", 0, busiest)
 	f.resetTraffic()
@@ -62,39 +62,39 @@
 			f.Start(v)
 		}
 	}
-	took, busiest = f.agree(f.Converged)
+	took, busiest = f.measureUntil(f.Converged)
 	r.AddUnbounded("seen as back by all, "+what, "s", 0, took)
 	r.AddUnbounded("sent by the busiest VM on return, "+what, "bytes/s", 0, busiest)
 	f.RunFor(settleMs)
 }
 
-// split cuts region 0 from the others and the store, changes the preset on the
+// splitRegion cuts region 0 from the others and the store, changes the preset on the
 // other side, and heals the links.
-func (f *Fleet) split(r *Report, size string) {
+func (f *Fleet) splitRegion(r *Report, size string) {
 	f.LinkCut = func(a, b *FleetVM) bool { return (a.Region == 0) != (b.Region == 0) }
 	f.Store.Unreachable = func(v *FleetVM) bool { return v.Region == 0 }
 	// Watches that region 0 holds end with the links.
 	f.Store.Fail()
 	f.Store.Down = false
 	begin := f.Loop.Now()
-	took, _ := f.agree(f.sidesAgree)
+	took, _ := f.measureUntil(f.sidesAgree)
 	r.AddUnbounded("each side sees only itself after a region split"+size, "s", 0, took)
 	var revision uint64
 	change := preset.Change{ID: "split", Author: "experiment", Reason: "region split", SwitchTo: "peak"}
 	f.StartChange(f.VMs[1], change, 10*clock.Second, func(res preset.Result) { revision = res.Record.Revision })
 	f.RunUntil(1, clock.Second, func() bool { return revision > 0 })
 	inForce := func(v *FleetVM) bool { return v.Model.Record().Revision >= revision }
-	reached, _ := f.RunUntil(10, failuresLimit, func() bool {
+	reached, _ := f.RunUntil(10, agreementLimit, func() bool {
 		return f.All(func(v *FleetVM) bool { return v.Region == 0 || inForce(v) })
 	})
 	r.AtMost("change in force on the side of the store"+size, "ms", 0, float64(reached), spreadBoundMs)
-	f.RunFor(max(0, begin+splitMs-f.Loop.Now()))
+	f.RunFor(max(0, begin+splitDurationMs-f.Loop.Now()))
 	f.LinkCut, f.Store.Unreachable = nil, nil
 	f.resetTraffic()
-	healed, _ := f.RunUntil(10, failuresLimit, func() bool { return f.All(inForce) })
+	healed, _ := f.RunUntil(10, agreementLimit, func() bool { return f.All(inForce) })
 	r.AddUnbounded("change in force everywhere after healing"+size, "ms", 0, float64(healed))
-	took, busiest := f.agree(f.Converged)
-	r.AddUnbounded("all agree after healing"+size, "s", 0, took+float64(healed)/secondsInMilli)
+	took, busiest := f.measureUntil(f.Converged)
+	r.AddUnbounded("all agree after healing"+size, "s", 0, took+float64(healed)/millisPerSecond)
 	r.AddUnbounded("sent by the busiest VM after healing"+size, "bytes/s", 0, busiest)
 }
 
@@ -110,14 +110,14 @@
 	})
 }
 
-// agree waits until ok holds and returns the seconds taken and the bytes a
+// measureUntil waits until ok holds and returns the seconds taken and the bytes a
 // second that the busiest VM sent.
-func (f *Fleet) agree(ok func() bool) (seconds, busiest float64) {
-	took, done := f.RunUntil(agreeStep, failuresLimit, ok)
+func (f *Fleet) measureUntil(ok func() bool) (seconds, busiest float64) {
+	took, done := f.RunUntil(agreementStepMs, agreementLimit, ok)
 	if !done {
 		return math.Inf(1), math.Inf(1)
 	}
-	seconds = float64(took) / secondsInMilli
+	seconds = float64(took) / millisPerSecond
 	for _, v := range f.VMs {
 		busiest = max(busiest, float64(v.SentBytes)/max(seconds, 1))
 	}
--- a/experiment/fleet.go
+++ b/experiment/fleet.go
@@ -16,8 +16,8 @@
 
 // Delays between VMs: within a region about 1 ms, between regions as between distant sites.
 const (
-	nearMs clock.Millis = 1
-	farMs  clock.Millis = 30
+	sameRegionMs  clock.Millis = 1
+	crossRegionMs clock.Millis = 30
 )
 
 // Fleet runs one fleet.Model per VM in virtual time, with a fake network and store.
@@ -50,11 +50,11 @@
 	AppliedAt      clock.Millis
 	Leaving        map[upstream.ID]bool
 
-	revision uint64       // of this process
-	highest  uint64       // of all processes
-	until    clock.Millis // paused until this time
-	wake     clock.Millis
-	life     int // raised by each start and stop, so that old callbacks are ignored
+	revision        uint64       // of this process
+	highestRevision uint64       // of all processes
+	pausedUntil     clock.Millis // paused until this time
+	nextWake        clock.Millis
+	generation      int // raised by each start and stop, so that old callbacks are ignored
 }
 
 // NewFleet returns n stopped VMs in 3 regions with 3 data centres each.
@@ -64,25 +64,25 @@
 	}
 	f.Store = NewKV(f.Loop, rand.New(rand.NewPCG(seed, 77)))
 	for i := range n {
-		node := &FleetVM{Index: i, Region: i % 3, VM: fleet.VM{
+		vm := &FleetVM{Index: i, Region: i % 3, VM: fleet.VM{
 			ID: fmt.Sprintf("vm-%04d", i), Address: fmt.Sprintf("10.%d.%d.%d:7400", i%3, i/250, i%250),
 			DataCentre: fmt.Sprintf("dc-%d", i%9),
 		}}
-		f.VMs = append(f.VMs, node)
-		f.ByID[node.VM.ID] = node
+		f.VMs = append(f.VMs, vm)
+		f.ByID[vm.VM.ID] = vm
 	}
 	return f
 }
 
 // Start starts a new process on a VM that is not running.
 func (f *Fleet) Start(n *FleetVM) {
-	n.life++
-	n.Running, n.revision, n.wake, n.until = true, 0, 0, 0
+	n.generation++
+	n.Running, n.revision, n.nextWake, n.pausedUntil = true, 0, 0, 0
 	n.VM.Incarnation = uint64(f.Loop.Now())
 	n.Leaving = make(map[upstream.ID]bool)
 	opts := append([]fleet.Option{fleet.WithSelf(n.VM), fleet.WithSeed(f.rng.Uint64())}, f.Options...)
 	n.Model = fleet.New(opts...)
-	f.Deliver(n, fleet.ListedVMsMsg{VMs: f.roster()})
+	f.Deliver(n, fleet.ListedVMsMsg{VMs: f.vmList()})
 }
 
 // StartAll starts every VM within the given time.
@@ -94,18 +94,18 @@
 
 // Kill ends the process of a VM at once.
 func (f *Fleet) Kill(n *FleetVM) {
-	n.life++
+	n.generation++
 	n.Running = false
 }
 
 // Pause stops a VM from running for d. Messages wait for it.
-func (f *Fleet) Pause(n *FleetVM, d clock.Millis) { n.until = f.Loop.Now() + d }
+func (f *Fleet) Pause(n *FleetVM, d clock.Millis) { n.pausedUntil = f.Loop.Now() + d }
 
 // Paused reports whether n is paused.
-func (f *Fleet) Paused(n *FleetVM) bool { return f.Loop.Now() < n.until }
+func (f *Fleet) Paused(n *FleetVM) bool { return f.Loop.Now() < n.pausedUntil }
 
-// roster is the VM list: every VM of the fleet, whether it runs or not.
-func (f *Fleet) roster() []fleet.VM {
+// vmList is the VM list: every VM of the fleet, whether it runs or not.
+func (f *Fleet) vmList() []fleet.VM {
 	list := make([]fleet.VM, len(f.VMs))
 	for i, n := range f.VMs {
 		list[i] = n.VM
@@ -119,9 +119,9 @@
 		return
 	}
 	if f.Paused(n) {
-		life := n.life
-		f.Loop.At(n.until, func() {
-			if n.life == life {
+		generation := n.generation
+		f.Loop.At(n.pausedUntil, func() {
+			if n.generation == generation {
 				f.Deliver(n, msg)
 			}
 		})
@@ -138,19 +138,19 @@
 	for _, c := range cmds {
 		f.perform(n, c)
 	}
-	f.arm(n)
+	f.scheduleWake(n)
 }
 
-func (f *Fleet) arm(n *FleetVM) {
+func (f *Fleet) scheduleWake(n *FleetVM) {
 	at, ok := n.Model.NextWake()
-	if !ok || n.wake != 0 && n.wake <= at && n.wake > f.Loop.Now() {
+	if !ok || n.nextWake != 0 && n.nextWake <= at && n.nextWake > f.Loop.Now() {
 		return
 	}
-	n.wake = max(at, f.Loop.Now()+1)
-	due, life := n.wake, n.life
+	n.nextWake = max(at, f.Loop.Now()+1)
+	due, generation := n.nextWake, n.generation
 	f.Loop.At(due, func() {
-		if n.life == life && n.wake == due {
-			n.wake = 0
+		if n.generation == generation && n.nextWake == due {
+			n.nextWake = 0
 			f.Deliver(n, fleet.TickMsg{})
 		}
 	})
@@ -161,9 +161,9 @@
 	case fleet.SendCmd:
 		f.send(n, c)
 	case fleet.StoreCmd:
-		life := n.life
+		generation := n.generation
 		f.Store.Call(n, c.Request, func(r store.Reply) {
-			if n.life == life {
+			if n.generation == generation {
 				f.Deliver(n, fleet.StoreMsg{Reply: r})
 			}
 		})
@@ -177,10 +177,10 @@
 func (n *FleetVM) apply(now clock.Millis, rec preset.Record) {
 	if rec.Revision < n.revision {
 		n.Reverts++
-	} else if rec.Revision < n.highest {
+	} else if rec.Revision < n.highestRevision {
 		n.OlderRevisions++
 	}
-	n.highest = max(n.highest, rec.Revision)
+	n.highestRevision = max(n.highestRevision, rec.Revision)
 	n.revision, n.AppliedAt = rec.Revision, now
 }
 
@@ -194,9 +194,9 @@
 	if to == nil || f.rng.Float64()*100 < f.LossPercent || f.LinkCut != nil && f.LinkCut(from, to) {
 		return
 	}
-	delay := nearMs
+	delay := sameRegionMs
 	if from.Region != to.Region {
-		delay = farMs
+		delay = crossRegionMs
 	}
 	f.Loop.After(delay+clock.Millis(f.rng.Int64N(int64(delay)+1)), func() {
 		f.Deliver(to, fleet.PeerMsg{From: from.VM.ID, Payload: c.Payload})
--- a/experiment/fleet_test.go
+++ b/experiment/fleet_test.go
@@ -6,7 +6,7 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-func check(t *testing.T, r experiment.Report) {
+func checkBounds(t *testing.T, r experiment.Report) {
 	t.Helper()
 	for _, f := range r.Figures {
 		if !f.OK {
@@ -24,7 +24,7 @@
 		histories = 60
 	}
 	r := experiment.Presets(1, histories)
-	check(t, r)
+	checkBounds(t, r)
 	for _, f := range r.Figures {
 		if f.Name == "accepted changes lost" && f.Baseline == 0 {
 			t.Error("the baseline, unconditional writes, lost no change: the check cannot fail")
@@ -35,17 +35,17 @@
 // TestSpread guards against changes and reports that reach a VM too late.
 func TestSpread(t *testing.T) {
 	t.Parallel()
-	check(t, experiment.Spread(1, sizes()...))
+	checkBounds(t, experiment.Spread(1, fleetSizes()...))
 }
 
 // TestControl guards against control traffic, memory and store calls that grow with the fleet.
-func TestControl(t *testing.T) { check(t, experiment.Control(1, nil, sizes()...)) }
+func TestControl(t *testing.T) { checkBounds(t, experiment.Control(1, nil, fleetSizes()...)) }
 
 // TestFailures guards against a revert or a late change while regions are split.
-func TestFailures(t *testing.T) { check(t, experiment.Failures(1, 100)) }
+func TestFailures(t *testing.T) { checkBounds(t, experiment.Failures(1, 100)) }
 
-// sizes leaves the largest fleet to the command: it takes a minute of processor time.
-func sizes() []int {
+// fleetSizes leaves the largest fleet to the command: it takes a minute of processor time.
+func fleetSizes() []int {
 	if testing.Short() {
 		return []int{9}
 	}
--- a/experiment/flood.go
+++ b/experiment/flood.go
@@ -9,21 +9,21 @@
 
 // Shape of the flood experiments.
 const (
-	floodFactor = 5.0
-	floodMs     = 3 * clock.Second
-	floodSettle = 3 * clock.Second // adaptation before the window that counts
-	floodDrain  = 60 * clock.Second
-	// otherShare is what each rank that does not flood asks for, as a share of
+	floodFactor   = 5.0
+	floodMs       = 3 * clock.Second
+	floodWarmUpMs = 3 * clock.Second // adaptation before the window that counts
+	floodDrainMs  = 60 * clock.Second
+	// otherLoad is what each rank that does not flood asks for, as a share of
 	// capacity. It lies above every floor, so that floors are really needed.
-	otherShare = 0.4
-	// lightShare is the load of a rank without any contention.
-	lightShare = 0.1
+	otherLoad = 0.4
+	// lightLoad is the load of a rank without any contention.
+	lightLoad = 0.1
 )
 
 // Capacity returns the queries per second that the connections of the tier can
 // carry: each query takes one connection of each group for its service time.
 func (t *Tier) Capacity() float64 {
-	up := t.Upstreams[t.ids[0]]
+	up := t.Upstreams[t.upstreamIDs[0]]
 	meanMs := up.MedianMs*math.Exp(up.Sigma*up.Sigma/2) + 2*float64(tierHopMs)
 	usable := float64(2*(t.Config.Connections*45/100)) * float64(t.Config.Replicas)
 	return usable / meanMs * float64(clock.Second)
@@ -31,11 +31,11 @@
 
 // flood is one run: the shares of capacity that each rank asks for.
 type flood struct {
-	tier     *Tier
-	load     *TierLoad
-	capacity float64
-	finished rank.Table[int] // complete answers given in the window
-	open     int             // requests without an answer long after the load ended
+	tier       *Tier
+	load       *TierLoad
+	capacity   float64
+	finished   rank.Table[int] // complete answers given in the window
+	unanswered int             // requests without an answer long after the load ended
 }
 
 // runFlood sends each rank at its share of capacity, counts the requests of a
@@ -43,11 +43,11 @@
 func runFlood(cfg TierConfig, shares rank.Table[float64]) *flood {
 	t := NewTier(cfg)
 	f := &flood{tier: t, load: NewTierLoad(t, cfg.Seed), capacity: t.Capacity()}
-	end := t.Loop.Now() + floodSettle + floodMs
+	end := t.Loop.Now() + floodWarmUpMs + floodMs
 	for _, r := range rank.All() {
 		f.load.Send(r, shares.At(r)*f.capacity, end)
 	}
-	t.Loop.RunUntil(t.Loop.Now() + floodSettle)
+	t.Loop.RunUntil(t.Loop.Now() + floodWarmUpMs)
 	f.load.Reset()
 	t.Loop.RunUntil(end)
 	for _, r := range rank.All() {
@@ -57,42 +57,42 @@
 	return f
 }
 
-// perSecond returns how many queries of a rank are answered whole per second
+// completePerSecond returns how many queries of a rank are answered whole per second
 // of the window. It counts answers by the time at which they are given: the
 // queue of patient work holds more than a window, so most of its answers in the
 // window are to requests sent before.
-func (f *flood) perSecond(r rank.Rank) float64 {
+func (f *flood) completePerSecond(r rank.Rank) float64 {
 	return float64(f.finished.At(r)) / float64(floodMs/clock.Second)
 }
 
 func (f *flood) goodput() float64 {
 	sum := 0.0
 	for _, r := range rank.All() {
-		sum += f.perSecond(r)
+		sum += f.completePerSecond(r)
 	}
 	return sum
 }
 
-// floor returns the queries per second that a rank is guaranteed.
-func (f *flood) floor(r rank.Rank) float64 {
+// floorPerSecond returns the queries per second that a rank is guaranteed.
+func (f *flood) floorPerSecond(r rank.Rank) float64 {
 	p, _ := f.tier.Config.Record.FindPreset(f.tier.Config.Record.InForce)
 	return f.capacity * p.Policy(r).FloorPercent / 100
 }
 
 // runBoth runs the shares with the gate and with an open gate.
 func runBoth(cfg TierConfig, shares rank.Table[float64]) (on, off *flood) {
-	return runFlood(cfg, shares), runFlood(openGate(cfg), shares)
+	return runFlood(cfg, shares), runFlood(withoutAdmissionControl(cfg), shares)
 }
 
 // drain lets every open request end and counts those that are still open.
 func (f *flood) drain() {
-	f.tier.Loop.RunUntil(f.tier.Loop.Now() + floodDrain)
+	f.tier.Loop.RunUntil(f.tier.Loop.Now() + floodDrainMs)
 	for _, r := range rank.All() {
-		f.open += f.load.Result(r).Open
+		f.unanswered += f.load.Result(r).Open
 	}
 }
 
-func openGate(cfg TierConfig) TierConfig {
+func withoutAdmissionControl(cfg TierConfig) TierConfig {
 	cfg.NoAdmissionControl = true
 	return cfg
 }
@@ -102,8 +102,8 @@
 func FloodPatient(seed uint64) Report {
 	report := Report{Name: "flood-patient", Seed: seed}
 	cfg := DefaultTier(seed)
-	quiet := runFlood(cfg, rank.NewTable(lightShare, lightShare, 0))
-	shares := rank.NewTable(lightShare, otherShare, floodFactor)
+	quiet := runFlood(cfg, rank.NewTable(lightLoad, lightLoad, 0))
+	shares := rank.NewTable(lightLoad, otherLoad, floodFactor)
 	on, off := runBoth(cfg, shares)
 	unloaded := quiet.load.Result(rank.Urgent).P99()
 	report.AtMost("urgent p99 against unloaded", "ratio",
@@ -111,16 +111,16 @@
 	report.AtMost("urgent refused", "queries",
 		float64(off.load.Result(rank.Urgent).Refused), float64(on.load.Result(rank.Urgent).Refused), 0)
 	report.AtLeast("ordinary throughput against its floor", "ratio",
-		off.perSecond(rank.Ordinary)/off.floor(rank.Ordinary), on.perSecond(rank.Ordinary)/on.floor(rank.Ordinary), 1)
+		off.completePerSecond(rank.Ordinary)/off.floorPerSecond(rank.Ordinary), on.completePerSecond(rank.Ordinary)/on.floorPerSecond(rank.Ordinary), 1)
 	report.AddUnbounded("goodput against capacity", "ratio", off.goodput()/off.capacity, on.goodput()/on.capacity)
-	report.AtMost("accepted requests still open after the flood", "queries", float64(off.open), float64(on.open), 0)
-	report.AtMost("patient failed or partial", "queries", unanswered(off, rank.Patient), unanswered(on, rank.Patient), 0)
+	report.AtMost("accepted requests still open after the flood", "queries", float64(off.unanswered), float64(on.unanswered), 0)
+	report.AtMost("patient failed or partial", "queries", notComplete(off, rank.Patient), notComplete(on, rank.Patient), 0)
 	report.AtMost("violations", "answers", float64(len(off.load.Violations())), float64(len(on.load.Violations())), 0)
 	return report
 }
 
-// unanswered counts queries that were accepted but not answered whole.
-func unanswered(f *flood, r rank.Rank) float64 {
+// notComplete counts queries that were accepted but not answered whole.
+func notComplete(f *flood, r rank.Rank) float64 {
 	return float64(f.load.Result(r).Failed + f.load.Result(r).Partial)
 }
 
@@ -129,15 +129,15 @@
 func FloodUrgent(seed uint64) Report {
 	report := Report{Name: "flood-urgent", Seed: seed}
 	cfg := DefaultTier(seed)
-	shares := rank.NewTable(floodFactor, otherShare, otherShare)
+	shares := rank.NewTable(floodFactor, otherLoad, otherLoad)
 	on, off := runBoth(cfg, shares)
 	report.AtLeast("goodput against capacity", "ratio", off.goodput()/off.capacity, on.goodput()/on.capacity, 0.9)
 	for _, r := range []rank.Rank{rank.Ordinary, rank.Patient} {
 		report.AtLeast(r.String()+" throughput against its floor", "ratio",
-			off.perSecond(r)/off.floor(r), on.perSecond(r)/on.floor(r), 0.9)
+			off.completePerSecond(r)/off.floorPerSecond(r), on.completePerSecond(r)/on.floorPerSecond(r), 0.9)
 	}
 	report.AtMost("answered urgent queries that are not complete", "queries",
-		unanswered(off, rank.Urgent), unanswered(on, rank.Urgent), 0)
+		notComplete(off, rank.Urgent), notComplete(on, rank.Urgent), 0)
 	report.AddUnbounded("urgent p99", "ms", off.load.Result(rank.Urgent).P99(), on.load.Result(rank.Urgent).P99())
 	report.AtMost("violations", "answers", float64(len(off.load.Violations())), float64(len(on.load.Violations())), 0)
 	return report
@@ -151,13 +151,13 @@
 	each := floodFactor / rank.Count
 	shares := rank.NewTable(each, each, each)
 	on, off := runBoth(cfg, shares)
-	report.AtMost("sub-requests sent for queries without an answer", "percent", off.wasted(), on.wasted(), 1)
+	report.AtMost("sub-requests sent for queries without an answer", "percent", off.wastedPercent(), on.wastedPercent(), 1)
 	report.AddUnbounded("goodput against capacity", "ratio", off.goodput()/off.capacity, on.goodput()/on.capacity)
 	return report
 }
 
-// wasted returns the percentage of sub-requests that served refused or failed queries.
-func (f *flood) wasted() float64 {
+// wastedPercent returns the percentage of sub-requests that served refused or failed queries.
+func (f *flood) wastedPercent() float64 {
 	wasted, all := 0, 0
 	for _, r := range rank.All() {
 		wasted += f.load.Result(r).WastedAttempts
--- a/experiment/flood_test.go
+++ b/experiment/flood_test.go
@@ -28,14 +28,14 @@
 		for seed := uint64(1); seed <= last; seed++ {
 			t.Run(fmt.Sprintf("%s/seed-%d", tt.name, seed), func(t *testing.T) {
 				t.Parallel()
-				again := make(chan experiment.Report, 1)
+				repeated := make(chan experiment.Report, 1)
 				repeats := seed == 1 && !testing.Short()
 				if repeats {
-					go func() { again <- tt.run(seed) }()
+					go func() { repeated <- tt.run(seed) }()
 				}
 				r := tt.run(seed)
-				checkFlood(t, r)
-				if repeats && !reflect.DeepEqual(r, <-again) {
+				logAndCheckBounds(t, r)
+				if repeats && !reflect.DeepEqual(r, <-repeated) {
 					t.Error("two runs with one seed differ")
 				}
 			})
@@ -43,7 +43,7 @@
 	}
 }
 
-func checkFlood(t *testing.T, r experiment.Report) {
+func logAndCheckBounds(t *testing.T, r experiment.Report) {
 	t.Helper()
 	var out strings.Builder
 	if err := r.Write(&out); err != nil {
--- a/experiment/kv.go
+++ b/experiment/kv.go
@@ -7,7 +7,7 @@
 	"lentillink.example/lentillink/store"
 )
 
-const storeMs clock.Millis = 3 // usual delay of the fake store, each way
+const storeDelayMs clock.Millis = 3 // usual delay of the fake store, each way
 
 // KV is a fake configuration store in virtual time that holds one key.
 type KV struct {
@@ -23,12 +23,12 @@
 	Unconditional bool // writes succeed whatever revision they expect; for baselines
 
 	entry   store.Entry
-	watches []waiting
+	watches []openWatch
 	loop    *Loop
 	rng     *rand.Rand
 }
 
-type waiting struct {
+type openWatch struct {
 	after uint64
 	tag   uint64
 	reply func(store.Reply)
@@ -45,27 +45,27 @@
 
 // Call performs r and calls done, which may never happen if the answer is lost.
 func (k *KV) Call(caller *FleetVM, r store.Request, done func(store.Reply)) {
-	k.count(r.Op)
+	k.countCall(r.Op)
 	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
 	k.loop.After(k.delay(), func() {
 		if k.Down || k.Unreachable != nil && k.Unreachable(caller) {
 			reply.Kind = store.KindUnavailable
-			k.loop.After(storeMs, func() { done(reply) })
+			k.loop.After(storeDelayMs, func() { done(reply) })
 			return
 		}
 		if r.Op == store.OpWatch && k.entry.Revision <= r.Revision {
-			k.watches = append(k.watches, waiting{r.Revision, r.Tag, func(reply store.Reply) {
+			k.watches = append(k.watches, openWatch{r.Revision, r.Tag, func(reply store.Reply) {
 				reply.Requester, reply.Tag, reply.Op = r.Requester, r.Tag, r.Op
-				k.answer(reply, done)
+				k.reply(reply, done)
 			}})
 			return
 		}
-		reply.Kind, reply.Entry = k.run(r)
-		k.answer(reply, done)
+		reply.Kind, reply.Entry = k.apply(r)
+		k.reply(reply, done)
 	})
 }
 
-func (k *KV) run(r store.Request) (store.Kind, store.Entry) {
+func (k *KV) apply(r store.Request) (store.Kind, store.Entry) {
 	if r.Op != store.OpSwap {
 		return store.KindOK, k.entry
 	}
@@ -85,7 +85,7 @@
 	return store.KindOK, entry
 }
 
-func (k *KV) answer(r store.Reply, done func(store.Reply)) {
+func (k *KV) reply(r store.Reply, done func(store.Reply)) {
 	if k.rng.Float64()*100 < k.LostReplyPercent {
 		r.Kind, r.Entry = store.KindUnknown, store.Entry{}
 	}
@@ -102,10 +102,10 @@
 }
 
 func (k *KV) delay() clock.Millis {
-	return storeMs + clock.Millis(k.rng.Int64N(int64(k.ExtraDelayMs)+1))
+	return storeDelayMs + clock.Millis(k.rng.Int64N(int64(k.ExtraDelayMs)+1))
 }
 
-func (k *KV) count(op store.Op) {
+func (k *KV) countCall(op store.Op) {
 	switch op {
 	case store.OpGet:
 		k.Reads++
--- a/experiment/leaving_test.go
+++ b/experiment/leaving_test.go
@@ -17,19 +17,19 @@
 	t.Parallel()
 	const id = "search/g03/1"
 	for name, tc := range map[string]struct {
-		lies     func(sinceMs clock.Millis) bool // whether the endpoint hides the drain
-		restarts bool                            // the upstream stops before it takes work again
-		want     bool                            // whether work returns
+		hidesLeaving func(sinceMs clock.Millis) bool // whether the endpoint hides the drain
+		restarted    bool                            // the upstream stops before it takes work again
+		want         bool                            // whether work returns
 	}{
-		"endpoint always lies": {lies: func(clock.Millis) bool { return true }},
-		"endpoint lies later":  {lies: func(ms clock.Millis) bool { return ms > 5*clock.Second }},
-		"upstream restarts":    {lies: func(clock.Millis) bool { return false }, restarts: true, want: true},
+		"endpoint always lies": {hidesLeaving: func(clock.Millis) bool { return true }},
+		"endpoint lies later":  {hidesLeaving: func(ms clock.Millis) bool { return ms > 5*clock.Second }},
+		"upstream restarts":    {hidesLeaving: func(clock.Millis) bool { return false }, restarted: true, want: true},
 	} {
 		cfg := experiment.DefaultTier(1)
 		var tier *experiment.Tier
 		var start clock.Millis
 		cfg.Hooks.MapLoad = func(_ upstream.ID, load upstream.Load) upstream.Load {
-			load.Leaving = load.Leaving && !tc.lies(tier.Loop.Now()-start)
+			load.Leaving = load.Leaving && !tc.hidesLeaving(tier.Loop.Now()-start)
 			return load
 		}
 		tier = experiment.NewTier(cfg)
@@ -45,7 +45,7 @@
 		if got := received; got != 0 {
 			t.Errorf("%s: got %d requests from 3 s to 23 s after it began to leave, want 0", name, got)
 		}
-		up.Dead = tc.restarts
+		up.Dead = tc.restarted
 		tier.Loop.RunUntil(start + 29*clock.Second)
 		up.Dead, up.Leaving = false, false
 		received = 0
--- a/experiment/loop.go
+++ b/experiment/loop.go
@@ -15,9 +15,9 @@
 }
 
 type event struct {
-	at  clock.Millis
-	seq uint64
-	run func()
+	at       clock.Millis
+	seq      uint64
+	callback func()
 }
 
 // NewLoop returns a loop that starts at now.
@@ -29,7 +29,7 @@
 // At schedules run; a time in the past means now.
 func (l *Loop) At(at clock.Millis, run func()) {
 	l.seq++
-	heap.Push(&l.events, event{at: max(at, l.now), seq: l.seq, run: run})
+	heap.Push(&l.events, event{at: max(at, l.now), seq: l.seq, callback: run})
 }
 
 // After schedules run d from now.
@@ -40,7 +40,7 @@
 	for len(l.events) > 0 && l.events[0].at <= end {
 		next := heap.Pop(&l.events).(event)
 		l.now = next.at
-		next.run()
+		next.callback()
 	}
 	l.now = max(l.now, end)
 }
--- a/experiment/matrix_cell.go
+++ b/experiment/matrix_cell.go
@@ -17,10 +17,10 @@
 
 // Times of a cell.
 const (
-	cellSteadyMs = 1 * clock.Second
-	cellSwitchMs = 300 * clock.Millis(1) // after the load is steady
-	cellLoadMs   = 7 * clock.Second
-	cellDrainMs  = 25 * clock.Second // covers the longest deadline and the store's longest retry pause
+	cellWarmUpMs       = 1 * clock.Second
+	cellPresetChangeMs = 300 * clock.Millis(1) // after the load is steady
+	cellLoadMs         = 7 * clock.Second
+	cellDrainMs        = 25 * clock.Second // covers the longest deadline and the store's longest retry pause
 )
 
 // CellOptions put a test double with a built-in fault around the cores of a cell.
@@ -56,65 +56,65 @@
 // OK reports whether the cell ran as meant and nothing was violated.
 func (r *CellResult) OK() bool { return len(r.Violations) == 0 && r.Problem == "" }
 
-// strike is one fault that waits for its step.
-type strike struct {
-	fault   fault
-	step    step
-	reached bool
-	began   bool
-	hits    func() int // how often the fault had an effect
-	effects int        // of faults that count as they go
-	vm      string     // that the fault concerns
+// faultInjection is one fault that waits for its step.
+type faultInjection struct {
+	fault        fault
+	step         step
+	reached      bool
+	injected     bool
+	countEffects func() int // how often the fault had an effect
+	effects      int        // of faults that count as they go
+	vm           string     // that the fault concerns
 }
 
 // cell is one run.
 type cell struct {
-	name    string
-	opts    CellOptions
-	tier    *Tier
-	load    *cellLoad
-	ledger  *ledger
-	check   checker
-	changes *switcher
-	rng     *rand.Rand
-	strikes []*strike
-	faults  faultState
-	trace   []string
+	name        string
+	opts        CellOptions
+	tier        *Tier
+	load        *cellLoad
+	upstreamLog *upstreamLog
+	check       checker
+	presets     *presetDriver
+	rng         *rand.Rand
+	injections  []*faultInjection
+	faults      faultState
+	trace       []string
 
-	armed    bool
-	heal     clock.Millis
-	heldBack map[string]bool // VMs that a fault kept from hearing of changes
-	owners   [order.NumPartitions]string
-	replies  map[uint32]int
-	loseNext bool
-	lostKey  string
-	stopping map[string]int // planned stops that have not drained, by VM: its process number and one
+	matching        bool
+	healTime        clock.Millis
+	delayedVMs      map[string]bool // VMs that a fault kept from hearing of changes
+	partitionOwners [order.NumPartitions]string
+	replyCounts     map[uint32]int
+	loseNextReply   bool
+	lostReplyKey    string
+	stopping        map[string]int // planned stops that have not drained, by VM: its process number and one
 }
 
 // RunCell runs the cell "fault/step", or several joined by "+", in one Tier.
 func RunCell(seed uint64, name string, opts CellOptions) (CellResult, error) {
-	strikes, err := parseCell(name)
+	injections, err := parseCell(name)
 	if err != nil {
 		return CellResult{}, err
 	}
-	if why := impossible(strikes); why != "" {
-		return CellResult{Cell: name, Impossible: why}, nil
+	if reason := impossible(injections); reason != "" {
+		return CellResult{Cell: name, Impossible: reason}, nil
 	}
-	c := newCell(seed, name, strikes, opts)
+	c := newCell(seed, name, injections, opts)
 	c.run()
 	return c.result(), nil
 }
 
-func parseCell(name string) ([]*strike, error) {
-	var list []*strike
-	for _, part := range strings.Split(name, "+") {
-		f, s, ok := strings.Cut(part, "/")
+func parseCell(name string) ([]*faultInjection, error) {
+	var list []*faultInjection
+	for _, single := range strings.Split(name, "+") {
+		f, s, ok := strings.Cut(single, "/")
 		fault, found := findFault(f)
 		step, known := findStep(s)
 		if !ok || !found || !known {
-			return nil, fmt.Errorf("cell %q is not FAULT/STEP", part)
+			return nil, fmt.Errorf("cell %q is not FAULT/STEP", single)
 		}
-		list = append(list, &strike{fault: fault, step: step})
+		list = append(list, &faultInjection{fault: fault, step: step})
 	}
 	return list, nil
 }
@@ -138,37 +138,37 @@
 	return rec
 }
 
-func newCell(seed uint64, name string, strikes []*strike, opts CellOptions) *cell {
+func newCell(seed uint64, name string, injections []*faultInjection, opts CellOptions) *cell {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%d %s", seed, name)
-	own := h.Sum64()
+	cellSeed := h.Sum64()
 	c := &cell{
-		name: name, opts: opts, strikes: strikes, rng: rand.New(rand.NewPCG(own, 301)),
-		heldBack: make(map[string]bool), replies: make(map[uint32]int), stopping: make(map[string]int),
+		name: name, opts: opts, injections: injections, rng: rand.New(rand.NewPCG(cellSeed, 301)),
+		delayedVMs: make(map[string]bool), replyCounts: make(map[uint32]int), stopping: make(map[string]int),
 	}
 	cfg := TierConfig{
-		Seed: own, VMs: 7, Groups: 4, Replicas: 2, Connections: 10, MedianMs: 30, Record: matrixRecord(), OrderGroups: 2,
+		Seed: cellSeed, VMs: 7, Groups: 4, Replicas: 2, Connections: 10, MedianMs: 30, Record: matrixRecord(), OrderGroups: 2,
 	}
 	cfg.Hooks = TierHooks{
-		BeforeUpdate: c.before, AfterUpdate: c.after, MapCmd: c.commands, DeliverReply: c.reply,
-		MapLoad: c.loadReport, MapVMList: c.roster, LinkCut: c.cut,
+		BeforeUpdate: c.beforeUpdate, AfterUpdate: c.afterUpdate, MapCmd: c.mapCmd, DeliverReply: c.deliverReply,
+		MapLoad: c.mapLoad, MapVMList: c.mapVMList, LinkCut: c.linkCut,
 	}
-	c.changes = newSwitcher(c)
+	c.presets = newPresetDriver(c)
 	c.tier = NewTier(cfg)
-	c.load = newCellLoad(c.tier, own)
-	c.ledger = newLedger(c.tier)
-	c.tier.Store.LoseReply = c.loseAnswer
-	c.watchUpstreams()
+	c.load = newCellLoad(c.tier, cellSeed)
+	c.upstreamLog = newUpstreamLog(c.tier)
+	c.tier.Store.LoseReply = c.loseReply
+	c.observeReplies()
 	return c
 }
 
-// watchUpstreams recognises the steps at which a reply leaves an upstream.
-func (c *cell) watchUpstreams() {
-	for _, id := range c.tier.ids {
+// observeReplies recognises the steps at which a reply leaves an upstream.
+func (c *cell) observeReplies() {
+	for _, id := range c.tier.upstreamIDs {
 		up := c.tier.Upstreams[id]
 		up.CompleteReply = func(req attempt.Request, r *attempt.Reply) {
-			c.ledger.answer(req, r)
-			c.observe(moment{vm: req.ID.VM, served: &req})
+			c.upstreamLog.completeReply(req, r)
+			c.observe(observation{vm: req.ID.VM, replyTo: &req})
 		}
 	}
 }
@@ -176,121 +176,121 @@
 func (c *cell) run() {
 	loop := c.tier.Loop
 	start := loop.Now()
-	steady := start + cellSteadyMs
-	end := steady + cellLoadMs
-	lazy := false
-	for _, s := range c.strikes {
-		lazy = lazy || s.step.lazy
+	warmedUp := start + cellWarmUpMs
+	end := warmedUp + cellLoadMs
+	holdOrders := false
+	for _, s := range c.injections {
+		holdOrders = holdOrders || s.step.holdOrders
 	}
 	for _, r := range rank.All() {
 		c.load.stream(cellQueryRate, end, func() { c.load.query(r) })
 	}
-	if !lazy {
+	if !holdOrders {
 		c.load.stream(cellOrderRate, end, c.load.order)
 	}
-	loop.RunUntil(steady)
-	c.armed = true
-	for _, s := range c.strikes {
+	loop.RunUntil(warmedUp)
+	c.matching = true
+	for _, s := range c.injections {
 		if s.step.prepare != nil {
 			s.step.prepare(c)
 		}
 	}
-	if lazy {
+	if holdOrders {
 		c.load.stream(cellOrderRate, end, c.load.order)
 	}
-	loop.After(cellSwitchMs, func() { c.changes.start(c.anyVM(), "peak") })
+	loop.After(cellPresetChangeMs, func() { c.presets.start(c.randomVM(), "peak") })
 	loop.RunUntil(end)
 	loop.RunUntil(max(end, c.healAt()) + cellDrainMs)
 	c.finish()
 }
 
 func (c *cell) finish() {
-	c.check.requests(c.load.requests, c.ledger)
-	c.changes.finish()
-	for id, life := range c.stopping {
-		if n := c.tier.byID[id]; n.life == life-1 && !n.dead {
+	c.check.requests(c.load.requests, c.upstreamLog)
+	c.presets.finish()
+	for id, generation := range c.stopping {
+		if n := c.tier.byID[id]; n.generation == generation-1 && !n.dead {
 			c.check.fail(InvariantPlannedStop, "%s has not drained %d ms after the load ended", id, cellDrainMs)
 		}
 	}
-	if len(c.strikes) == 1 && c.strikes[0].fault.name == faultVMStopped {
-		c.check.uncut(c.load.requests)
+	if len(c.injections) == 1 && c.injections[0].fault.name == faultVMStopped {
+		c.check.plannedStop(c.load.requests)
 	}
 }
 
 func (c *cell) result() CellResult {
-	r := CellResult{Cell: c.name, Violations: c.check.found, Trace: c.trace, Answers: c.load.answers()}
-	for _, s := range c.strikes {
+	r := CellResult{Cell: c.name, Violations: c.check.violations, Trace: c.trace, Answers: c.load.outcomes()}
+	for _, s := range c.injections {
 		switch {
 		case !s.reached:
 			r.Problem = "step " + s.step.name + " was not reached"
-		case !s.began:
+		case !s.injected:
 			r.Problem = "fault " + s.fault.name + " found nothing to strike"
-		case s.effects == 0 && (s.hits == nil || s.hits() == 0):
+		case s.effects == 0 && (s.countEffects == nil || s.countEffects() == 0):
 			r.Problem = "fault " + s.fault.name + " had no effect"
 		}
 	}
-	if len(c.strikes) > 1 {
+	if len(c.injections) > 1 {
 		r.Masked, r.Problem = r.Problem, ""
 	}
 	return r
 }
 
 // observe starts the faults whose step has come.
-func (c *cell) observe(m moment) {
-	if c.armed {
-		for _, s := range c.strikes {
+func (c *cell) observe(m observation) {
+	if c.matching {
+		for _, s := range c.injections {
 			if !s.reached && s.step.match(c, m) {
 				s.reached = true
-				c.tier.Loop.After(s.step.delay, func() { c.begin(s, m) })
+				c.tier.Loop.After(s.step.delay, func() { c.injectFault(s, m) })
 			}
 		}
 	}
-	if msg, to, ok := claimOf(m); ok {
-		c.owners[msg.ID.Partition()] = to
+	if msg, to, ok := sentClaim(m); ok {
+		c.partitionOwners[msg.ID.Partition()] = to
 	}
 }
 
-func (c *cell) begin(s *strike, m moment) {
+func (c *cell) injectFault(s *faultInjection, m observation) {
 	s.vm = m.vm
 	if n := c.tier.byID[s.vm]; n == nil || n.dead {
-		s.vm = c.anyVM()
+		s.vm = c.randomVM()
 	}
-	c.note("%s strikes at %s, vm %s", s.fault.name, s.step.name, s.vm)
-	heal := s.fault.strike(c, s, m)
-	s.began = true
-	until := c.tier.Loop.Now() + s.fault.lasts()
-	c.heal = max(c.heal, until)
+	c.tracef("%s strikes at %s, vm %s", s.fault.name, s.step.name, s.vm)
+	heal := s.fault.inject(c, s, m)
+	s.injected = true
+	until := c.tier.Loop.Now() + s.fault.duration()
+	c.healTime = max(c.healTime, until)
 	c.tier.Loop.At(until, func() {
-		c.note("%s heals", s.fault.name)
+		c.tracef("%s heals", s.fault.name)
 		if heal != nil {
 			heal()
 		}
 	})
 }
 
-func (c *cell) healAt() clock.Millis { return c.heal }
+func (c *cell) healAt() clock.Millis { return c.healTime }
 
-func (c *cell) note(format string, args ...any) {
+func (c *cell) tracef(format string, args ...any) {
 	c.trace = append(c.trace, fmt.Sprintf("%6d ", c.tier.Loop.Now()-tierStart)+fmt.Sprintf(format, args...))
 }
 
-func (c *cell) anyVM() string {
+func (c *cell) randomVM() string {
 	for {
-		n := c.tier.nodes[c.rng.IntN(len(c.tier.nodes))]
+		n := c.tier.vms[c.rng.IntN(len(c.tier.vms))]
 		if !n.dead && c.stopping[n.self.ID] == 0 {
 			return n.self.ID
 		}
 	}
 }
 
-func (c *cell) loseAnswer(r store.Request) bool {
-	if c.loseNext && isHead(r) {
-		c.loseNext, c.lostKey = false, r.Key
+func (c *cell) loseReply(r store.Request) bool {
+	if c.loseNextReply && isHeadRequest(r) {
+		c.loseNextReply, c.lostReplyKey = false, r.Key
 		return true
 	}
 	lost := false
-	for _, lose := range c.faults.loseAnswer {
-		lost = (*lose)() || lost
+	for _, matches := range c.faults.loseReply {
+		lost = (*matches)() || lost
 	}
 	return lost
 }
--- a/experiment/matrix_check.go
+++ b/experiment/matrix_check.go
@@ -32,61 +32,61 @@
 
 // checker collects the violations of one cell.
 type checker struct {
-	found []Violation
+	violations []Violation
 }
 
 func (c *checker) fail(invariant, format string, args ...any) {
-	c.found = append(c.found, Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
+	c.violations = append(c.violations, Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
 // requests checks every answer of a run that has ended.
-func (c *checker) requests(list []*request, g *ledger) {
+func (c *checker) requests(list []*request, log *upstreamLog) {
 	for _, q := range list {
 		c.answered(q)
 		for _, cmd := range q.answers {
 			switch a := cmd.(type) {
 			case vm.AnswerQueryCmd:
-				c.query(q, a.Answer, g)
+				c.query(q, a.Answer, log)
 			case vm.AnswerOrderCmd:
-				c.order(q, a.Answer, g)
+				c.order(q, a.Answer, log)
 			}
 		}
 	}
 	for _, q := range list {
-		if q.order && g.orders[q.id] > 1 {
-			c.fail(InvariantAtMostOnce, "order %s ran %d times", q.id, g.orders[q.id])
+		if q.order && log.orders[q.id] > 1 {
+			c.fail(InvariantAtMostOnce, "order %s ran %d times", q.id, log.orders[q.id])
 		}
 	}
-	for _, l := range g.late {
+	for _, l := range log.lateRequests {
 		c.fail(InvariantLeaving, "%s", l)
 	}
 }
 
 func (c *checker) answered(q *request) {
 	switch {
-	case q.lost:
+	case q.disconnected:
 	case len(q.answers) == 0:
-		c.fail(InvariantAnswered, "%s sent to %s at %d was never answered", q.body, q.vm, q.sent)
+		c.fail(InvariantAnswered, "%s sent to %s at %d was never answered", q.body, q.vm, q.sentAt)
 	case len(q.answers) > 1:
 		c.fail(InvariantOwnAnswer, "%s was answered %d times", q.body, len(q.answers))
-	case q.at > q.due:
-		c.fail(InvariantAnswered, "%s of %s was answered %d ms late by %s", q.body, q.rank, q.at-q.due, q.vm)
+	case q.answeredAt > q.deadline:
+		c.fail(InvariantAnswered, "%s of %s was answered %d ms late by %s", q.body, q.rank, q.answeredAt-q.deadline, q.vm)
 	}
 }
 
-func (c *checker) query(q *request, a vm.QueryAnswer, g *ledger) {
+func (c *checker) query(q *request, a vm.QueryAnswer, log *upstreamLog) {
 	if q.order || a.ID != q.id {
 		c.fail(InvariantOwnAnswer, "%s received the answer to %s", q.body, a.ID)
 		return
 	}
-	if a.Execution == attempt.NotExecuted && g.runs[q.body] > 0 {
-		c.fail(InvariantNotRun, "%s: ran no, but an upstream began it %d times", q.body, g.runs[q.body])
+	if a.Execution == attempt.NotExecuted && log.runs[q.body] > 0 {
+		c.fail(InvariantNotRun, "%s: ran no, but an upstream began it %d times", q.body, log.runs[q.body])
 	}
 	if a.Outcome != vm.Complete && a.Outcome != vm.Partial {
 		return
 	}
 	c.rows(q, a)
-	c.coverage(q, a, g)
+	c.coverage(q, a, log)
 }
 
 func (c *checker) rows(q *request, a vm.QueryAnswer) {
@@ -106,7 +106,7 @@
 
 // coverage checks that the covered keys were really served at the snapshot, and
 // that every row in them arrived.
-func (c *checker) coverage(q *request, a vm.QueryAnswer, g *ledger) {
+func (c *checker) coverage(q *request, a vm.QueryAnswer, log *upstreamLog) {
 	var missing coverage.Set
 	for _, gap := range a.Missing {
 		missing.Add(gap)
@@ -121,13 +121,13 @@
 	for _, row := range a.Rows {
 		rows[row.Key]++
 	}
-	served := g.served[q.body][a.Snapshot]
+	served := log.served[q.body][a.Snapshot]
 	for _, covered := range missing.Missing(coverage.Range{To: a.Expected}) {
 		if served == nil || len(served.Missing(covered)) > 0 {
 			c.fail(InvariantTrueCoverage, "%s claims keys %d to %d, which no upstream served", q.body, covered.From, covered.To)
 			return
 		}
-		for k := (covered.From + rowEvery - 1) / rowEvery * rowEvery; k < covered.To; k += rowEvery {
+		for k := (covered.From + rowInterval - 1) / rowInterval * rowInterval; k < covered.To; k += rowInterval {
 			switch {
 			case rows[k] == 0:
 				c.fail(InvariantTrueCoverage, "%s claims key %d but has no row of it", q.body, k)
@@ -140,16 +140,16 @@
 	}
 }
 
-func (c *checker) order(q *request, a vm.OrderAnswer, g *ledger) {
+func (c *checker) order(q *request, a vm.OrderAnswer, log *upstreamLog) {
 	if !q.order || a.ID != q.id {
 		c.fail(InvariantOwnAnswer, "%s received the answer to order %s", q.body, a.ID)
 		return
 	}
 	switch {
-	case a.Execution == attempt.NotExecuted && g.runs[q.body] > 0:
-		c.fail(InvariantNotRun, "%s: ran no (%s), but it ran %d times", q.body, a.Reason, g.runs[q.body])
-	case a.Outcome == order.OutcomeDone && g.runs[q.body] != 1:
-		c.fail(InvariantAtMostOnce, "%s is called done and ran %d times", q.body, g.runs[q.body])
+	case a.Execution == attempt.NotExecuted && log.runs[q.body] > 0:
+		c.fail(InvariantNotRun, "%s: ran no (%s), but it ran %d times", q.body, a.Reason, log.runs[q.body])
+	case a.Outcome == order.OutcomeDone && log.runs[q.body] != 1:
+		c.fail(InvariantAtMostOnce, "%s is called done and ran %d times", q.body, log.runs[q.body])
 	case a.Outcome == order.OutcomeDone && string(a.Body) != "done "+q.body:
 		c.fail(InvariantOwnAnswer, "%s received the body %q", q.body, a.Body)
 	}
--- a/experiment/matrix_check_test.go
+++ b/experiment/matrix_check_test.go
@@ -12,10 +12,10 @@
 	"lentillink.example/lentillink/vm"
 )
 
-type commands = func(id string, cmd vm.Cmd) []vm.Cmd
+type cmdMapper = func(id string, cmd vm.Cmd) []vm.Cmd
 
 // eachQuery changes the answers to queries.
-func eachQuery(change func(*vm.QueryAnswer)) commands {
+func eachQuery(change func(*vm.QueryAnswer)) cmdMapper {
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
 		if a, ok := cmd.(vm.AnswerQueryCmd); ok {
 			a.Answer.Rows = slices.Clone(a.Answer.Rows)
@@ -27,7 +27,7 @@
 }
 
 // eachOrder changes the answers to orders.
-func eachOrder(change func(*vm.OrderAnswer)) commands {
+func eachOrder(change func(*vm.OrderAnswer)) cmdMapper {
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
 		if a, ok := cmd.(vm.AnswerOrderCmd); ok {
 			change(&a.Answer)
@@ -50,13 +50,13 @@
 	}
 }
 
-func claimWhole(a *vm.QueryAnswer) {
+func claimComplete(a *vm.QueryAnswer) {
 	if a.Outcome == vm.Partial {
 		a.Outcome, a.Covered, a.Missing = vm.Complete, a.Expected, nil
 	}
 }
 
-func claimLess(a *vm.QueryAnswer) {
+func claimMissing(a *vm.QueryAnswer) {
 	if a.Outcome == vm.Complete {
 		a.Missing = []coverage.Range{{From: 0, To: 10}}
 	}
@@ -73,20 +73,20 @@
 	}
 }
 
-func doubleRow(a *vm.QueryAnswer) {
+func duplicateRow(a *vm.QueryAnswer) {
 	if len(a.Rows) > 0 {
 		a.Rows = append(a.Rows, a.Rows[0])
 	}
 }
 
-func loseRow(a *vm.QueryAnswer) {
+func dropRow(a *vm.QueryAnswer) {
 	if len(a.Rows) > 0 {
 		a.Rows = a.Rows[1:]
 	}
 }
 
-// exchange gives each of two answers to the caller of the other.
-func exchange(rows bool) commands {
+// exchangeAnswers gives each of two answers to the caller of the other.
+func exchangeAnswers(rows bool) cmdMapper {
 	var first *vm.AnswerQueryCmd
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
 		a, ok := cmd.(vm.AnswerQueryCmd)
@@ -108,13 +108,13 @@
 	}
 }
 
-func queryUnknownToNo(a *vm.QueryAnswer) {
+func queryUnknownToNotExecuted(a *vm.QueryAnswer) {
 	if a.Outcome == vm.Failed {
 		a.Execution = attempt.NotExecuted
 	}
 }
 
-func orderUnknownToNo(a *vm.OrderAnswer) {
+func orderUnknownToNotExecuted(a *vm.OrderAnswer) {
 	if a.Outcome == order.OutcomeUnknown {
 		a.Outcome, a.Execution = order.OutcomeRefused, attempt.NotExecuted
 	}
@@ -127,7 +127,7 @@
 }
 
 // ignoreLeaving sends a copy of the work of its other replica to a leaving upstream.
-func ignoreLeaving() commands {
+func ignoreLeaving() cmdMapper {
 	leaving := ""
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
 		switch m := cmd.(type) {
@@ -147,7 +147,7 @@
 }
 
 // dropOne loses the tenth answer.
-func dropOne() commands {
+func dropOne() cmdMapper {
 	n := 0
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
 		if _, ok := cmd.(vm.AnswerQueryCmd); ok {
@@ -161,24 +161,24 @@
 }
 
 // delayOne holds one urgent answer back until many more commands have followed.
-func delayOne() commands {
-	var held vm.Cmd
+func delayOne() cmdMapper {
+	var delayed vm.Cmd
 	n := 0
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
 		n++
-		if a, ok := cmd.(vm.AnswerQueryCmd); ok && held == nil && n > 1000 {
-			held, n = a, 0
+		if a, ok := cmd.(vm.AnswerQueryCmd); ok && delayed == nil && n > 1000 {
+			delayed, n = a, 0
 			return nil
 		}
-		if held != nil && n == 20_000 {
-			return []vm.Cmd{cmd, held}
+		if delayed != nil && n == 20_000 {
+			return []vm.Cmd{cmd, delayed}
 		}
 		return []vm.Cmd{cmd}
 	}
 }
 
-// cutAtStop loses what a stopping VM still has to answer, or makes it unknown.
-func cutAtStop(drop bool) commands {
+// failAtStop loses what a stopping VM still has to answer, or makes it unknown.
+func failAtStop(drop bool) cmdMapper {
 	stopping := ""
 	return func(id string, cmd vm.Cmd) []vm.Cmd {
 		if e, ok := cmd.(vm.EventCmd); ok && e.Event.Kind == timeline.DrainStarted {
@@ -205,10 +205,10 @@
 	}
 }
 
-type presetView = func(id, name string, revision uint64) (string, uint64)
+type presetMapper = func(id, name string, revision uint64) (string, uint64)
 
 // revert puts revision 1 back in force on one VM after it has had revision 2 for a while.
-func revert() presetView {
+func revert() presetMapper {
 	seen := 0
 	return func(id, name string, revision uint64) (string, uint64) {
 		if id != "vm-2" || revision < 2 {
@@ -221,14 +221,14 @@
 	}
 }
 
-func stuck(id, name string, revision uint64) (string, uint64) {
+func staleRevision(id, name string, revision uint64) (string, uint64) {
 	if id == "vm-2" && revision > 1 {
 		return "ordinary", 1
 	}
 	return name, revision
 }
 
-func another(id, name string, revision uint64) (string, uint64) {
+func otherPreset(id, name string, revision uint64) (string, uint64) {
 	if id == "vm-2" && revision > 1 {
 		return "maintenance", revision
 	}
@@ -239,35 +239,35 @@
 func TestMatrixCheckersCatch(t *testing.T) {
 	const quiet, cut, stop = "upstream-cold/query-sent", "reply-cut/query-sent", "vm-stopped/query-sent"
 	tests := map[string]struct {
-		cell   string
-		double experiment.CellOptions
-		want   string
+		cell    string
+		options experiment.CellOptions
+		want    string
 	}{
 		"order dispatched twice":       {quiet, experiment.CellOptions{MapCmd: duplicateDispatch}, experiment.InvariantAtMostOnce},
 		"row of another version":       {quiet, experiment.CellOptions{MapCmd: eachQuery(changeRowVersion)}, experiment.InvariantOneSnapshot},
-		"full coverage claimed":        {cut, experiment.CellOptions{MapCmd: eachQuery(claimWhole)}, experiment.InvariantTrueCoverage},
-		"coverage does not add up":     {quiet, experiment.CellOptions{MapCmd: eachQuery(claimLess)}, experiment.InvariantTrueCoverage},
+		"full coverage claimed":        {cut, experiment.CellOptions{MapCmd: eachQuery(claimComplete)}, experiment.InvariantTrueCoverage},
+		"coverage does not add up":     {quiet, experiment.CellOptions{MapCmd: eachQuery(claimMissing)}, experiment.InvariantTrueCoverage},
 		"keys that nobody served":      {quiet, experiment.CellOptions{MapCmd: eachQuery(otherSnapshot)}, experiment.InvariantTrueCoverage},
-		"row lost":                     {quiet, experiment.CellOptions{MapCmd: eachQuery(loseRow)}, experiment.InvariantTrueCoverage},
-		"row doubled":                  {quiet, experiment.CellOptions{MapCmd: eachQuery(doubleRow)}, experiment.InvariantOwnAnswer},
-		"answers exchanged":            {quiet, experiment.CellOptions{MapCmd: exchange(false)}, experiment.InvariantOwnAnswer},
-		"rows exchanged":               {quiet, experiment.CellOptions{MapCmd: exchange(true)}, experiment.InvariantOwnAnswer},
+		"row lost":                     {quiet, experiment.CellOptions{MapCmd: eachQuery(dropRow)}, experiment.InvariantTrueCoverage},
+		"row doubled":                  {quiet, experiment.CellOptions{MapCmd: eachQuery(duplicateRow)}, experiment.InvariantOwnAnswer},
+		"answers exchanged":            {quiet, experiment.CellOptions{MapCmd: exchangeAnswers(false)}, experiment.InvariantOwnAnswer},
+		"rows exchanged":               {quiet, experiment.CellOptions{MapCmd: exchangeAnswers(true)}, experiment.InvariantOwnAnswer},
 		"body of another order":        {quiet, experiment.CellOptions{MapCmd: eachOrder(otherBody)}, experiment.InvariantOwnAnswer},
-		"unknown order called not run": {cut, experiment.CellOptions{MapCmd: eachOrder(orderUnknownToNo)}, experiment.InvariantNotRun},
-		"failed query called not run":  {cut, experiment.CellOptions{MapCmd: eachQuery(queryUnknownToNo)}, experiment.InvariantNotRun},
+		"unknown order called not run": {cut, experiment.CellOptions{MapCmd: eachOrder(orderUnknownToNotExecuted)}, experiment.InvariantNotRun},
+		"failed query called not run":  {cut, experiment.CellOptions{MapCmd: eachQuery(queryUnknownToNotExecuted)}, experiment.InvariantNotRun},
 		"revision lowered":             {quiet, experiment.CellOptions{MapPreset: revert()}, experiment.InvariantNoRevert},
-		"revision not in force":        {quiet, experiment.CellOptions{MapPreset: stuck}, experiment.InvariantPresetInForce},
-		"two presets at one revision":  {quiet, experiment.CellOptions{MapPreset: another}, experiment.InvariantOnePreset},
+		"revision not in force":        {quiet, experiment.CellOptions{MapPreset: staleRevision}, experiment.InvariantPresetInForce},
+		"two presets at one revision":  {quiet, experiment.CellOptions{MapPreset: otherPreset}, experiment.InvariantOnePreset},
 		"work for a leaving upstream":  {"upstream-leaving/query-sent", experiment.CellOptions{MapCmd: ignoreLeaving()}, experiment.InvariantLeaving},
 		"answer dropped":               {quiet, experiment.CellOptions{MapCmd: dropOne()}, experiment.InvariantAnswered},
 		"answer late":                  {quiet, experiment.CellOptions{MapCmd: delayOne()}, experiment.InvariantAnswered},
-		"requests dropped at a stop":   {stop, experiment.CellOptions{MapCmd: cutAtStop(true)}, experiment.InvariantPlannedStop},
-		"requests cut at a stop":       {stop, experiment.CellOptions{MapCmd: cutAtStop(false)}, experiment.InvariantPlannedStop},
+		"requests dropped at a stop":   {stop, experiment.CellOptions{MapCmd: failAtStop(true)}, experiment.InvariantPlannedStop},
+		"requests cut at a stop":       {stop, experiment.CellOptions{MapCmd: failAtStop(false)}, experiment.InvariantPlannedStop},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got, err := experiment.RunCell(1, tt.cell, tt.double)
+			got, err := experiment.RunCell(1, tt.cell, tt.options)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/experiment/matrix_fault.go
+++ b/experiment/matrix_fault.go
@@ -14,48 +14,48 @@
 
 // fault is one kind of fault. strike starts it and returns what heals it.
 type fault struct {
-	name   string
-	ms     clock.Millis // how long it lasts, 0 for faultMs
-	strike func(*cell, *strike, moment) func()
+	name       string
+	durationMs clock.Millis // how long it lasts, 0 for faultMs
+	inject     func(*cell, *faultInjection, observation) func()
 }
 
-func (f *fault) lasts() clock.Millis {
-	if f.ms > 0 {
-		return f.ms
+func (f *fault) duration() clock.Millis {
+	if f.durationMs > 0 {
+		return f.durationMs
 	}
 	return faultMs
 }
 
 func faults() []fault {
 	return []fault{
-		{name: "straggler", strike: straggler},
-		{name: "replica-lost", strike: replicaLost},
-		{name: "repartition", strike: repartition},
-		{name: "index-change", strike: indexChange},
-		{name: "flood-urgent", strike: flooding(rank.Urgent)},
-		{name: "flood-ordinary", strike: flooding(rank.Ordinary)},
-		{name: "flood-patient", strike: flooding(rank.Patient)},
-		{name: "store-down", strike: storeDown},
-		{name: "store-slow", strike: storeSlow},
-		{name: "store-answer-lost", strike: storeAnswerLost},
-		{name: "lease-lapsed", ms: lapseMs, strike: leaseLapsed},
-		{name: "roster-stale", strike: rosterStale},
-		{name: "roster-missing", strike: rosterMissing},
-		{name: "roster-extra", strike: rosterExtra},
-		{name: "vm-killed", strike: vmKilled},
-		{name: "vm-paused", strike: vmPaused},
-		{name: faultVMStopped, strike: vmStopped},
-		{name: "link-cut-one-way", strike: linkCut(false)},
-		{name: "link-cut-both-ways", strike: linkCut(true)},
-		{name: "upstream-leaving", ms: 5 * clock.Second, strike: upstreamLeaving},
-		{name: "upstream-cold", strike: upstreamCold},
-		{name: "upstream-shedding", strike: upstreamShedding},
-		{name: "upstream-lying", strike: upstreamLying},
-		{name: "reply-late", strike: replyLate},
-		{name: "reply-crossed", strike: replyCrossed},
-		{name: "reply-cut", strike: replyCut},
-		{name: "reply-doubled", strike: replyDoubled},
-		{name: "operators-racing", strike: operatorsRacing},
+		{name: "straggler", inject: straggler},
+		{name: "replica-lost", inject: replicaLost},
+		{name: "repartition", inject: repartition},
+		{name: "index-change", inject: indexChange},
+		{name: "flood-urgent", inject: flooding(rank.Urgent)},
+		{name: "flood-ordinary", inject: flooding(rank.Ordinary)},
+		{name: "flood-patient", inject: flooding(rank.Patient)},
+		{name: "store-down", inject: storeDown},
+		{name: "store-slow", inject: storeSlow},
+		{name: "store-answer-lost", inject: storeReplyLost},
+		{name: "lease-lapsed", durationMs: leaseLapseMs, inject: leaseLapsed},
+		{name: "roster-stale", inject: vmListStale},
+		{name: "roster-missing", inject: vmListMissing},
+		{name: "roster-extra", inject: vmListExtra},
+		{name: "vm-killed", inject: vmKilled},
+		{name: "vm-paused", inject: vmPaused},
+		{name: faultVMStopped, inject: vmStopped},
+		{name: "link-cut-one-way", inject: linkCut(false)},
+		{name: "link-cut-both-ways", inject: linkCut(true)},
+		{name: "upstream-leaving", durationMs: 5 * clock.Second, inject: upstreamLeaving},
+		{name: "upstream-cold", inject: upstreamCold},
+		{name: "upstream-shedding", inject: upstreamShedding},
+		{name: "upstream-lying", inject: upstreamLying},
+		{name: "reply-late", inject: replyLate},
+		{name: "reply-crossed", inject: replyCrossed},
+		{name: "reply-cut", inject: replyCut},
+		{name: "reply-doubled", inject: replyDoubled},
+		{name: "operators-racing", inject: operatorsRacing},
 	}
 }
 
@@ -70,9 +70,9 @@
 
 // impossible says why the steps cannot occur together with the faults. Every
 // step comes before its fault in a cell, so no single cell is impossible.
-func impossible(strikes []*strike) string {
+func impossible(injections []*faultInjection) string {
 	var prepared []string
-	for _, s := range strikes {
+	for _, s := range injections {
 		if strings.HasPrefix(s.step.name, "preset-") || s.step.prepare == nil {
 			continue
 		}
--- a/experiment/matrix_fault_reply.go
+++ b/experiment/matrix_fault_reply.go
@@ -8,26 +8,26 @@
 // replyFaultPercent is the share of replies that a reply fault concerns.
 const replyFaultPercent = 20
 
-// corrupt applies a fault to a share of the replies of upstreams that ran the work.
-func (c *cell) corrupt(s *strike, apply func(attempt.Request, attempt.Reply, func(attempt.Reply))) func() {
-	inner := c.faults.reply
-	c.faults.reply = func(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
+// changeReplies applies a fault to a share of the replies of upstreams that ran the work.
+func (c *cell) changeReplies(s *faultInjection, apply func(attempt.Request, attempt.Reply, func(attempt.Reply))) func() {
+	previous := c.faults.deliverReply
+	c.faults.deliverReply = func(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
 		if r.Status == attempt.OK && c.rng.IntN(100) < replyFaultPercent {
 			s.effects++
 			apply(req, r, deliver)
 			return
 		}
-		if inner != nil {
-			inner(req, r, deliver)
+		if previous != nil {
+			previous(req, r, deliver)
 			return
 		}
 		deliver(r)
 	}
-	return func() { c.faults.reply = inner }
+	return func() { c.faults.deliverReply = previous }
 }
 
-func replyLate(c *cell, s *strike, _ moment) func() {
-	return c.corrupt(s, func(_ attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
+func replyLate(c *cell, s *faultInjection, _ observation) func() {
+	return c.changeReplies(s, func(_ attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
 		c.tier.Loop.After(100+clock.Millis(c.rng.Int64N(4000)), func() { deliver(r) })
 	})
 }
@@ -38,18 +38,18 @@
 
 // replyCrossed exchanges two replies. The adapter reports both as mismatched;
 // as a further trial of the core, the exchanged replies arrive as well.
-func replyCrossed(c *cell, s *strike, _ moment) func() {
-	type held struct {
+func replyCrossed(c *cell, s *faultInjection, _ observation) func() {
+	type pendingReply struct {
 		reply   attempt.Reply
 		deliver func(attempt.Reply)
 	}
-	var first *held
-	return c.corrupt(s, func(_ attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
+	var first *pendingReply
+	return c.changeReplies(s, func(_ attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
 		if first == nil {
-			first = &held{r, deliver}
-			own := first
+			first = &pendingReply{r, deliver}
+			pending := first
 			c.tier.Loop.After(200, func() {
-				if first == own { // no partner came
+				if first == pending { // no partner came
 					first = nil
 					deliver(r)
 				}
@@ -67,8 +67,8 @@
 
 // replyCut loses the end of a reply: the adapter reports it as mismatched, or
 // whole rows and ranges are missing.
-func replyCut(c *cell, s *strike, _ moment) func() {
-	return c.corrupt(s, func(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
+func replyCut(c *cell, s *faultInjection, _ observation) func() {
+	return c.changeReplies(s, func(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
 		if req.Kind == attempt.Order || c.rng.IntN(2) == 0 {
 			deliver(mismatched(r))
 			return
@@ -78,8 +78,8 @@
 	})
 }
 
-func replyDoubled(c *cell, s *strike, _ moment) func() {
-	return c.corrupt(s, func(_ attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
+func replyDoubled(c *cell, s *faultInjection, _ observation) func() {
+	return c.changeReplies(s, func(_ attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
 		deliver(r)
 		deliver(r)
 		c.tier.Loop.After(clock.Millis(c.rng.Int64N(500)), func() { deliver(r) })
--- a/experiment/matrix_fault_upstream.go
+++ b/experiment/matrix_fault_upstream.go
@@ -13,55 +13,55 @@
 
 // target returns the upstream that the moment concerns, or one of the service
 // that the step concerns.
-func (c *cell) target(s *strike, m moment) (string, *Upstream) {
+func (c *cell) target(s *faultInjection, m observation) (string, *Upstream) {
 	id := ""
 	if d, ok := m.cmd.(vm.DispatchCmd); ok {
 		id = d.Request.Upstream
 	}
-	if m.served != nil {
-		id = m.served.Upstream
+	if m.replyTo != nil {
+		id = m.replyTo.Upstream
 	}
 	for prefix := "search/"; id == ""; {
 		if s.step.orders {
 			prefix = "orders/"
 		}
-		if try := c.tier.ids[c.rng.IntN(len(c.tier.ids))]; strings.HasPrefix(try, prefix) {
-			id = try
+		if candidate := c.tier.upstreamIDs[c.rng.IntN(len(c.tier.upstreamIDs))]; strings.HasPrefix(candidate, prefix) {
+			id = candidate
 		}
 	}
-	c.note("fault %s concerns %s", s.fault.name, id)
+	c.tracef("fault %s concerns %s", s.fault.name, id)
 	return id, c.tier.Upstreams[id]
 }
 
-// countReceived counts the requests that reach an upstream from now on.
-func countReceived(s *strike, up *Upstream) {
-	inner := up.OnReceive
+// countRequests counts the requests that reach an upstream from now on.
+func countRequests(s *faultInjection, up *Upstream) {
+	previous := up.OnReceive
 	up.OnReceive = func(r attempt.Request) {
 		s.effects++
-		inner(r)
+		previous(r)
 	}
 }
 
-func straggler(c *cell, s *strike, m moment) func() {
+func straggler(c *cell, s *faultInjection, m observation) func() {
 	_, up := c.target(s, m)
 	up.SlowFactor = 10
-	countReceived(s, up)
+	countRequests(s, up)
 	return func() { up.SlowFactor = 1 }
 }
 
-func replicaLost(c *cell, s *strike, m moment) func() {
+func replicaLost(c *cell, s *faultInjection, m observation) func() {
 	_, up := c.target(s, m)
 	up.Dead = true
-	countReceived(s, up)
+	countRequests(s, up)
 	return func() { up.Dead = false }
 }
 
 // repartition moves keys from one group to the next. Its replicas learn of the
 // new shard map one after another.
-func repartition(c *cell, s *strike, _ moment) func() {
+func repartition(c *cell, s *faultInjection, _ observation) func() {
 	const moved = 40
 	g := c.rng.IntN(c.tier.Config.Groups - 1)
-	for i, id := range c.tier.ids {
+	for i, id := range c.tier.upstreamIDs {
 		group, replica := i/c.tier.Config.Replicas, i%c.tier.Config.Replicas
 		up := c.tier.Upstreams[id]
 		if group != g && group != g+1 || !strings.HasPrefix(id, "search/") {
@@ -76,7 +76,7 @@
 				keys.From -= moved
 			}
 			up.Ranges, up.Epoch = []coverage.Range{keys}, up.Epoch+1
-			countReceived(s, up)
+			countRequests(s, up)
 		})
 	}
 	return nil
@@ -84,8 +84,8 @@
 
 // indexChange loads a new snapshot on one upstream after another and drops the
 // old one.
-func indexChange(c *cell, s *strike, _ moment) func() {
-	for _, id := range c.tier.ids {
+func indexChange(c *cell, s *faultInjection, _ observation) func() {
+	for _, id := range c.tier.upstreamIDs {
 		up := c.tier.Upstreams[id]
 		if len(up.HeldVersions) == 0 {
 			continue
@@ -96,48 +96,48 @@
 		c.tier.Loop.After(loaded, func() { up.HeldVersions = []uint64{latest, latest + 1} })
 		c.tier.Loop.After(dropped, func() {
 			up.HeldVersions = []uint64{latest + 1}
-			countReceived(s, up)
+			countRequests(s, up)
 		})
 	}
 	return nil
 }
 
-func upstreamLeaving(c *cell, s *strike, m moment) func() {
+func upstreamLeaving(c *cell, s *faultInjection, m observation) func() {
 	id, up := c.target(s, m)
 	up.Leaving = true
-	c.ledger.leaving[id] = c.tier.Loop.Now()
-	c.faults.seen = append(c.faults.seen, func(_ string, cmd vm.Cmd) {
+	c.upstreamLog.leavingSince[id] = c.tier.Loop.Now()
+	c.faults.onCmd = append(c.faults.onCmd, func(_ string, cmd vm.Cmd) {
 		if e, ok := cmd.(vm.EventCmd); ok && e.Event.Kind == timeline.UpstreamLeaving && e.Event.Upstream == id {
 			s.effects++
 		}
 	})
 	return func() {
 		up.Leaving = false
-		delete(c.ledger.leaving, id)
+		delete(c.upstreamLog.leavingSince, id)
 	}
 }
 
-func upstreamCold(c *cell, s *strike, m moment) func() {
+func upstreamCold(c *cell, s *faultInjection, m observation) func() {
 	_, up := c.target(s, m)
 	up.ColdUntil = c.tier.Loop.Now() + faultMs
-	countReceived(s, up)
+	countRequests(s, up)
 	return nil
 }
 
-func upstreamShedding(c *cell, s *strike, m moment) func() {
+func upstreamShedding(c *cell, s *faultInjection, m observation) func() {
 	_, up := c.target(s, m)
 	up.Workers, up.ShedAbove = 1, 1
-	countReceived(s, up)
+	countRequests(s, up)
 	return func() { up.Workers, up.ShedAbove = 0, 0 }
 }
 
 // upstreamLying is slow and sheds load while its load endpoint says that all is
 // well and names snapshots that it does not hold.
-func upstreamLying(c *cell, s *strike, m moment) func() {
+func upstreamLying(c *cell, s *faultInjection, m observation) func() {
 	id, up := c.target(s, m)
 	up.SlowFactor, up.Workers, up.ShedAbove = 6, 4, 2
-	heal := c.faults.load.add(func(of upstream.ID, load upstream.Load) upstream.Load {
-		if string(of) == id {
+	heal := c.faults.mapLoad.add(func(polled upstream.ID, load upstream.Load) upstream.Load {
+		if string(polled) == id {
 			s.effects++
 			load = upstream.Load{Healthy: true, HeldVersions: []uint64{1, 99}}
 		}
--- a/experiment/matrix_fault_vm.go
+++ b/experiment/matrix_fault_vm.go
@@ -9,11 +9,11 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// lapseMs exceeds every timeout of a VM, the longest being that of a store call.
-const lapseMs = 12 * clock.Second
+// leaseLapseMs exceeds every timeout of a VM, the longest being that of a store call.
+const leaseLapseMs = 12 * clock.Second
 
-func flooding(r rank.Rank) func(*cell, *strike, moment) func() {
-	return func(c *cell, s *strike, _ moment) func() {
+func flooding(r rank.Rank) func(*cell, *faultInjection, observation) func() {
+	return func(c *cell, s *faultInjection, _ observation) func() {
 		c.load.stream(cellFloodRate, c.tier.Loop.Now()+faultMs/2, func() {
 			s.effects++
 			c.load.query(r)
@@ -22,26 +22,26 @@
 	}
 }
 
-func storeDown(c *cell, s *strike, _ moment) func() {
-	st := c.tier.Store
-	st.Down = true
-	before := st.Failed
-	s.hits = func() int { return st.Failed - before }
-	return func() { st.Down = false }
+func storeDown(c *cell, s *faultInjection, _ observation) func() {
+	store := c.tier.Store
+	store.Down = true
+	before := store.Failed
+	s.countEffects = func() int { return store.Failed - before }
+	return func() { store.Down = false }
 }
 
-func storeSlow(c *cell, s *strike, _ moment) func() {
-	st := c.tier.Store
-	st.ExtraDelayMs = 700
-	before := st.Reads + st.Writes
-	s.hits = func() int { return st.Reads + st.Writes - before }
-	return func() { st.ExtraDelayMs = 0 }
+func storeSlow(c *cell, s *faultInjection, _ observation) func() {
+	store := c.tier.Store
+	store.ExtraDelayMs = 700
+	before := store.Reads + store.Writes
+	s.countEffects = func() int { return store.Reads + store.Writes - before }
+	return func() { store.ExtraDelayMs = 0 }
 }
 
-// storeAnswerLost loses answers to writes, at least one even if it comes after the fault's time.
-func storeAnswerLost(c *cell, s *strike, _ moment) func() {
+// storeReplyLost loses answers to writes, at least one even if it comes after the fault's time.
+func storeReplyLost(c *cell, s *faultInjection, _ observation) func() {
 	healed := false
-	c.faults.loseAnswer.add(func() bool {
+	c.faults.loseReply.add(func() bool {
 		lost := s.effects == 0 || !healed && c.rng.IntN(2) == 0
 		if lost {
 			s.effects++
@@ -52,8 +52,8 @@
 }
 
 // leaseLapsed pauses a claim owner or a watcher past every timeout.
-func leaseLapsed(c *cell, s *strike, m moment) func() {
-	if _, to, ok := claimOf(m); ok && !c.tier.byID[to].dead {
+func leaseLapsed(c *cell, s *faultInjection, m observation) func() {
+	if _, to, ok := sentClaim(m); ok && !c.tier.byID[to].dead {
 		s.vm = to
 	}
 	if !s.step.orders {
@@ -61,43 +61,43 @@
 			s.vm = watchers[c.rng.IntN(len(watchers))]
 		}
 	}
-	c.pause(s, lapseMs)
+	c.pause(s, leaseLapseMs)
 	return nil
 }
 
-func vmPaused(c *cell, s *strike, _ moment) func() {
+func vmPaused(c *cell, s *faultInjection, _ observation) func() {
 	c.pause(s, 2*clock.Second)
 	return nil
 }
 
-func (c *cell) pause(s *strike, d clock.Millis) {
-	c.heldBack[s.vm] = true
+func (c *cell) pause(s *faultInjection, d clock.Millis) {
+	c.delayedVMs[s.vm] = true
 	n := c.tier.byID[s.vm]
-	before := n.held
-	s.hits = func() int { return n.held - before }
+	before := n.delayedMsgs
+	s.countEffects = func() int { return n.delayedMsgs - before }
 	c.tier.Pause(s.vm, d)
-	c.load.paused(s.vm, c.tier.Loop.Now()+d)
-	c.note("%s paused for %d ms", s.vm, d)
+	c.load.extendDeadlines(s.vm, c.tier.Loop.Now()+d)
+	c.tracef("%s paused for %d ms", s.vm, d)
 }
 
-func vmKilled(c *cell, s *strike, _ moment) func() {
-	c.heldBack[s.vm] = true
+func vmKilled(c *cell, s *faultInjection, _ observation) func() {
+	c.delayedVMs[s.vm] = true
 	c.kill(s.vm)
-	s.replaced(c)
+	s.countReplacement(c)
 	return nil
 }
 
-func vmStopped(c *cell, s *strike, _ moment) func() {
+func vmStopped(c *cell, s *faultInjection, _ observation) func() {
 	c.stop(s.vm)
-	s.replaced(c)
+	s.countReplacement(c)
 	return nil
 }
 
-// replaced counts a new process of the VM that is ready as the effect.
-func (s *strike) replaced(c *cell) {
+// countReplacement counts a new process of the VM that is ready as the effect.
+func (s *faultInjection) countReplacement(c *cell) {
 	n := c.tier.byID[s.vm]
 	before := n.self.Incarnation
-	s.hits = func() int {
+	s.countEffects = func() int {
 		if ready, _ := n.core.Ready(); n.dead || !ready || n.self.Incarnation == before {
 			return 0
 		}
@@ -106,21 +106,21 @@
 }
 
 // linkCut loses every message between two VMs, in one direction or both.
-func linkCut(both bool) func(*cell, *strike, moment) func() {
-	return func(c *cell, s *strike, m moment) func() {
+func linkCut(both bool) func(*cell, *faultInjection, observation) func() {
+	return func(c *cell, s *faultInjection, m observation) func() {
 		peer := ""
 		if p, ok := m.cmd.(vm.SendPeerCmd); ok && p.To != s.vm {
 			peer = p.To
 		}
 		for peer == "" || peer == s.vm {
-			peer = c.tier.nodes[c.rng.IntN(len(c.tier.nodes))].self.ID
+			peer = c.tier.vms[c.rng.IntN(len(c.tier.vms))].self.ID
 		}
-		c.note("link from %s to %s cut, both ways: %t", s.vm, peer, both)
+		c.tracef("link from %s to %s cut, both ways: %t", s.vm, peer, both)
 		cut := [][2]string{{s.vm, peer}}
 		if both {
 			cut = append(cut, [2]string{peer, s.vm})
 		}
-		return c.faults.cut.add(func(from, to string) bool {
+		return c.faults.linkCut.add(func(from, to string) bool {
 			lost := slices.Contains(cut, [2]string{from, to})
 			if lost {
 				s.effects++
@@ -130,48 +130,48 @@
 	}
 }
 
-func (c *cell) lagging(s *strike, change func([]fleet.VM) []fleet.VM) func() {
-	return c.faults.roster.add(func(list []fleet.VM) []fleet.VM {
+func (c *cell) changeVMList(s *faultInjection, change func([]fleet.VM) []fleet.VM) func() {
+	return c.faults.mapVMList.add(func(list []fleet.VM) []fleet.VM {
 		s.effects++
 		return change(slices.Clone(list))
 	})
 }
 
-// rosterStale shows the list of before, while a VM is replaced.
-func rosterStale(c *cell, s *strike, _ moment) func() {
+// vmListStale shows the list of before, while a VM is replaced.
+func vmListStale(c *cell, s *faultInjection, _ observation) func() {
 	var old []fleet.VM
-	for _, n := range c.tier.nodes {
+	for _, n := range c.tier.vms {
 		v := n.self
 		v.Incarnation = 0
 		old = append(old, v)
 	}
-	c.heldBack[s.vm] = true
+	c.delayedVMs[s.vm] = true
 	c.kill(s.vm)
-	return c.lagging(s, func([]fleet.VM) []fleet.VM { return old })
+	return c.changeVMList(s, func([]fleet.VM) []fleet.VM { return old })
 }
 
-func rosterMissing(c *cell, s *strike, _ moment) func() {
-	return c.lagging(s, func(list []fleet.VM) []fleet.VM {
+func vmListMissing(c *cell, s *faultInjection, _ observation) func() {
+	return c.changeVMList(s, func(list []fleet.VM) []fleet.VM {
 		return slices.DeleteFunc(list, func(v fleet.VM) bool { return v.ID == s.vm })
 	})
 }
 
-func rosterExtra(c *cell, s *strike, _ moment) func() {
-	return c.lagging(s, func(list []fleet.VM) []fleet.VM {
+func vmListExtra(c *cell, s *faultInjection, _ observation) func() {
+	return c.changeVMList(s, func(list []fleet.VM) []fleet.VM {
 		return append(list, fleet.VM{ID: "vm-99", Address: "10.0.0.99:1", DataCentre: "dc-1"})
 	})
 }
 
 // operatorsRacing starts two changes against the store at once.
-func operatorsRacing(c *cell, s *strike, _ moment) func() {
-	other, first := c.anyVM(), len(c.changes.changes)
+func operatorsRacing(c *cell, s *faultInjection, _ observation) func() {
+	other, first := c.randomVM(), len(c.presets.changes)
 	for _, to := range []struct{ vm, preset string }{{s.vm, "maintenance"}, {other, "peak"}} {
-		c.changes.start(to.vm, to.preset)
+		c.presets.start(to.vm, to.preset)
 	}
-	s.hits = func() int {
+	s.countEffects = func() int {
 		ended := 0
-		for _, ch := range c.changes.changes[first:] {
-			if ch.at != 0 {
+		for _, ch := range c.presets.changes[first:] {
+			if ch.decidedAt != 0 {
 				ended++
 			}
 		}
--- a/experiment/matrix_hooks.go
+++ b/experiment/matrix_hooks.go
@@ -16,116 +16,116 @@
 
 // add switches an effect on and returns what switches it off.
 func (c *chain[F]) add(f F) func() {
-	own := &f
-	*c = append(*c, own)
+	entry := &f
+	*c = append(*c, entry)
 	return func() {
-		*c = slices.DeleteFunc(*c, func(other *F) bool { return other == own })
+		*c = slices.DeleteFunc(*c, func(other *F) bool { return other == entry })
 	}
 }
 
 // faultState is what the faults have switched on. The zero values are healthy.
 type faultState struct {
-	reply      func(attempt.Request, attempt.Reply, func(attempt.Reply))
-	load       chain[func(upstream.ID, upstream.Load) upstream.Load]
-	roster     chain[func([]fleet.VM) []fleet.VM]
-	loseAnswer chain[func() bool]
-	cut        chain[func(from, to string) bool]
-	seen       []func(string, vm.Cmd)
+	deliverReply func(attempt.Request, attempt.Reply, func(attempt.Reply))
+	mapLoad      chain[func(upstream.ID, upstream.Load) upstream.Load]
+	mapVMList    chain[func([]fleet.VM) []fleet.VM]
+	loseReply    chain[func() bool]
+	linkCut      chain[func(from, to string) bool]
+	onCmd        []func(string, vm.Cmd)
 }
 
-func (c *cell) before(id string, msg vm.Msg) {
-	c.observe(moment{vm: id, msg: msg})
+func (c *cell) beforeUpdate(id string, msg vm.Msg) {
+	c.observe(observation{vm: id, msg: msg})
 }
 
-func (c *cell) after(id string, core *vm.Core) {
+func (c *cell) afterUpdate(id string, core *vm.Core) {
 	if c.tier != nil {
-		c.changes.observe(id, core)
+		c.presets.checkRevision(id, core)
 	}
 }
 
-func (c *cell) commands(id string, cmd vm.Cmd) []vm.Cmd {
+func (c *cell) mapCmd(id string, cmd vm.Cmd) []vm.Cmd {
 	list := []vm.Cmd{cmd}
 	if c.opts.MapCmd != nil {
 		list = c.opts.MapCmd(id, cmd)
 	}
 	for _, cmd := range list {
-		c.observe(moment{vm: id, cmd: cmd})
-		for _, see := range c.faults.seen {
-			see(id, cmd)
+		c.observe(observation{vm: id, cmd: cmd})
+		for _, observe := range c.faults.onCmd {
+			observe(id, cmd)
 		}
 		switch a := cmd.(type) {
 		case vm.AnswerQueryCmd:
-			c.load.receive(a.CallID, a)
+			c.load.recordAnswer(a.CallID, a)
 		case vm.AnswerOrderCmd:
-			c.load.receive(a.CallID, a)
+			c.load.recordAnswer(a.CallID, a)
 		}
 	}
 	return list
 }
 
-func (c *cell) reply(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
-	if c.faults.reply != nil {
-		c.faults.reply(req, r, deliver)
+func (c *cell) deliverReply(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
+	if c.faults.deliverReply != nil {
+		c.faults.deliverReply(req, r, deliver)
 		return
 	}
 	deliver(r)
 }
 
-func (c *cell) loadReport(id upstream.ID, load upstream.Load) upstream.Load {
-	for _, change := range c.faults.load {
+func (c *cell) mapLoad(id upstream.ID, load upstream.Load) upstream.Load {
+	for _, change := range c.faults.mapLoad {
 		load = (*change)(id, load)
 	}
 	return load
 }
 
-func (c *cell) roster(_ string, list []fleet.VM) []fleet.VM {
-	for _, change := range c.faults.roster {
+func (c *cell) mapVMList(_ string, list []fleet.VM) []fleet.VM {
+	for _, change := range c.faults.mapVMList {
 		list = (*change)(list)
 	}
 	return list
 }
 
-func (c *cell) cut(from, to string) bool {
+func (c *cell) linkCut(from, to string) bool {
 	cut := false
-	for _, drops := range c.faults.cut {
-		cut = (*drops)(from, to) || cut
+	for _, isCut := range c.faults.linkCut {
+		cut = (*isCut)(from, to) || cut
 	}
 	return cut
 }
 
 // stop begins the planned stop of a VM and replaces it once it has drained.
 func (c *cell) stop(id string) {
-	life := c.tier.byID[id].life
-	c.stopping[id] = life + 1
-	c.note("%s begins its planned stop", id)
+	generation := c.tier.byID[id].generation
+	c.stopping[id] = generation + 1
+	c.tracef("%s begins its planned stop", id)
 	c.tier.Stop(id, func(took clock.Millis) {
-		c.note("%s drained in %d ms", id, took)
+		c.tracef("%s drained in %d ms", id, took)
 		delete(c.stopping, id)
-		c.load.killed(id, life) // a request that a drained VM has not answered was cut
-		c.check.cut(c.load.requests, id, life)
+		c.load.disconnect(id, generation) // a request that a drained VM has not answered was cut
+		c.check.drained(c.load.requests, id, generation)
 		c.tier.Loop.After(clock.Second, func() { c.tier.Replace(id) })
 	})
 }
 
 // kill ends a VM at once and replaces it two seconds later.
 func (c *cell) kill(id string) {
-	c.load.killed(id, c.tier.byID[id].life)
+	c.load.disconnect(id, c.tier.byID[id].generation)
 	c.tier.Kill(id)
 	c.tier.Loop.After(2*clock.Second, func() { c.tier.Replace(id) })
 }
 
-// cut checks that a VM that ended its planned stop has answered every request.
-func (c *checker) cut(list []*request, id string, life int) {
+// drained checks that a VM that ended its planned stop has answered every request.
+func (c *checker) drained(list []*request, id string, generation int) {
 	for _, q := range list {
-		if q.vm == id && q.life == life && len(q.answers) == 0 {
+		if q.vm == id && q.generation == generation && len(q.answers) == 0 {
 			c.fail(InvariantPlannedStop, "%s was not answered before %s ended its planned stop", q.body, id)
 		}
 	}
 }
 
-// uncut checks a run in which nothing but a planned stop happened: no request
+// plannedStop checks a run in which nothing but a planned stop happened: no request
 // may end without a known result.
-func (c *checker) uncut(list []*request) {
+func (c *checker) plannedStop(list []*request) {
 	for _, q := range list {
 		for _, cmd := range q.answers {
 			switch a := cmd.(type) {
--- a/experiment/matrix_load.go
+++ b/experiment/matrix_load.go
@@ -17,23 +17,23 @@
 	repeatPercent  = 35               // orders that are sent again through another VM
 	repeatWithinMs = 2 * clock.Second // after the first
 	balancerLagMs  = 500              // until the balancer sees that a VM is not ready
-	answerGraceMs  = 100 * clock.Millis(1)
+	answerMarginMs = 100 * clock.Millis(1)
 )
 
 // request is one request of a caller and what became of it.
 type request struct {
-	call    uint64
-	id      string
-	vm      string
-	life    int
-	order   bool
-	rank    rank.Rank
-	body    string // names the call, so that a run can be traced to it
-	sent    clock.Millis
-	due     clock.Millis // an answer is late after this
-	answers []vm.Cmd
-	at      clock.Millis
-	lost    bool // its VM was killed
+	callID       uint64
+	id           string
+	vm           string
+	generation   int
+	order        bool
+	rank         rank.Rank
+	body         string // names the call, so that a run can be traced to it
+	sentAt       clock.Millis
+	deadline     clock.Millis // an answer is late after this
+	answers      []vm.Cmd
+	answeredAt   clock.Millis
+	disconnected bool // its VM was killed
 }
 
 // cellLoad sends the requests of one cell through a balancer.
@@ -41,22 +41,22 @@
 	tier     *Tier
 	rng      *rand.Rand
 	requests []*request
-	byCall   map[uint64]*request
-	routed   []string // VMs that the balancer uses
+	byCallID map[uint64]*request
+	readyVMs []string // VMs that the balancer uses
 	answered func(*request, vm.Cmd)
 }
 
 func newCellLoad(t *Tier, seed uint64) *cellLoad {
-	l := &cellLoad{tier: t, rng: rand.New(rand.NewPCG(seed, 501)), byCall: make(map[uint64]*request)}
+	l := &cellLoad{tier: t, rng: rand.New(rand.NewPCG(seed, 501)), byCallID: make(map[uint64]*request)}
 	l.pollReady()
 	return l
 }
 
 func (l *cellLoad) pollReady() {
-	l.routed = l.routed[:0]
-	for _, n := range l.tier.nodes {
+	l.readyVMs = l.readyVMs[:0]
+	for _, n := range l.tier.vms {
 		if ready, _ := n.core.Ready(); ready && !n.dead {
-			l.routed = append(l.routed, n.self.ID)
+			l.readyVMs = append(l.readyVMs, n.self.ID)
 		}
 	}
 	l.tier.Loop.After(balancerLagMs, l.pollReady)
@@ -78,18 +78,18 @@
 	step()
 }
 
-// pick chooses a VM as the balancer would; a broken connection is tried elsewhere.
-func (l *cellLoad) pick(not string) *tierNode {
+// pickVM chooses a VM as the balancer would; a broken connection is tried elsewhere.
+func (l *cellLoad) pickVM(exclude string) *tierVM {
 	for range 20 {
-		if len(l.routed) == 0 {
+		if len(l.readyVMs) == 0 {
 			break
 		}
-		n := l.tier.byID[l.routed[l.rng.IntN(len(l.routed))]]
-		if !n.dead && n.self.ID != not {
+		n := l.tier.byID[l.readyVMs[l.rng.IntN(len(l.readyVMs))]]
+		if !n.dead && n.self.ID != exclude {
 			return n
 		}
 	}
-	for _, n := range l.tier.nodes {
+	for _, n := range l.tier.vms {
 		if !n.dead {
 			return n
 		}
@@ -98,80 +98,80 @@
 }
 
 func (l *cellLoad) query(r rank.Rank) {
-	if n := l.pick(""); n != nil {
+	if n := l.pickVM(""); n != nil {
 		l.send(n, &request{rank: r})
 	}
 }
 
 // order submits a new order and sometimes repeats it through another VM.
 func (l *cellLoad) order() {
-	n := l.pick("")
+	n := l.pickVM("")
 	if n == nil {
 		return
 	}
 	all := rank.All()
 	r := all[l.rng.IntN(len(all))]
-	id := fmt.Sprintf("%d-%d", l.tier.Loop.Now(), l.tier.calls)
+	id := fmt.Sprintf("%d-%d", l.tier.Loop.Now(), l.tier.lastCallID)
 	first := n.self.ID
 	l.send(n, &request{rank: r, order: true, id: id})
 	for l.rng.IntN(100) < repeatPercent {
-		after := clock.Millis(l.rng.Int64N(int64(repeatWithinMs)))
-		l.tier.Loop.After(after, func() {
-			if other := l.pick(first); other != nil {
+		delay := clock.Millis(l.rng.Int64N(int64(repeatWithinMs)))
+		l.tier.Loop.After(delay, func() {
+			if other := l.pickVM(first); other != nil {
 				l.send(other, &request{rank: r, order: true, id: id})
 			}
 		})
 	}
 }
 
-func (l *cellLoad) send(n *tierNode, q *request) {
+func (l *cellLoad) send(n *tierVM, q *request) {
 	t := l.tier
-	t.calls++
-	q.call, q.vm, q.life, q.sent = t.calls, n.self.ID, n.life, t.Loop.Now()
+	t.lastCallID++
+	q.callID, q.vm, q.generation, q.sentAt = t.lastCallID, n.self.ID, n.generation, t.Loop.Now()
 	if q.id == "" {
-		q.id = fmt.Sprintf("q%d", q.call)
+		q.id = fmt.Sprintf("q%d", q.callID)
 	}
-	q.body = fmt.Sprintf("%s/%d", q.id, q.call)
+	q.body = fmt.Sprintf("%s/%d", q.id, q.callID)
 	l.requests = append(l.requests, q)
-	l.byCall[q.call] = q
-	cur := t.Config.Record.CurrentPreset()
-	q.due = max(q.sent, n.resume) + cur.Policy(q.rank).DeadlineMs + answerGraceMs
+	l.byCallID[q.callID] = q
+	current := t.Config.Record.CurrentPreset()
+	q.deadline = max(q.sentAt, n.pausedUntil) + current.Policy(q.rank).DeadlineMs + answerMarginMs
 	if q.order {
 		n.update(vm.OrderMsg{
-			CallID: q.call, ID: q.id, Rank: q.rank, Service: "orders",
+			CallID: q.callID, ID: q.id, Rank: q.rank, Service: "orders",
 			Group: fmt.Sprintf("d%02d", l.rng.IntN(t.Config.OrderGroups)), Body: []byte(q.body),
 		})
 		return
 	}
-	n.update(vm.QueryMsg{CallID: q.call, ID: q.id, Rank: q.rank, Service: "search", Body: []byte(q.body), MinCoverage: -1})
+	n.update(vm.QueryMsg{CallID: q.callID, ID: q.id, Rank: q.rank, Service: "search", Body: []byte(q.body), MinCoverage: -1})
 }
 
-// receive notes an answer that a VM sends to a caller.
-func (l *cellLoad) receive(call uint64, cmd vm.Cmd) {
-	q := l.byCall[call]
+// recordAnswer notes an answer that a VM sends to a caller.
+func (l *cellLoad) recordAnswer(callID uint64, cmd vm.Cmd) {
+	q := l.byCallID[callID]
 	if q == nil {
 		return
 	}
 	q.answers = append(q.answers, cmd)
 	if len(q.answers) == 1 {
-		q.at = l.tier.Loop.Now()
+		q.answeredAt = l.tier.Loop.Now()
 	}
 	if l.answered != nil {
 		l.answered(q, cmd)
 	}
 }
 
-// killed marks the requests that a killed VM cannot answer any more. Their
+// disconnect marks the requests that a killed VM cannot answer any more. Their
 // callers see a broken connection, and repeat orders elsewhere.
-func (l *cellLoad) killed(id string, life int) {
+func (l *cellLoad) disconnect(id string, generation int) {
 	for _, q := range l.requests {
-		if q.vm != id || q.life != life || len(q.answers) > 0 {
+		if q.vm != id || q.generation != generation || len(q.answers) > 0 {
 			continue
 		}
-		q.lost = true
+		q.disconnected = true
 		if q.order {
 			l.tier.Loop.After(50, func() {
-				if other := l.pick(id); other != nil {
+				if other := l.pickVM(id); other != nil {
 					l.send(other, &request{rank: q.rank, order: true, id: q.id})
 				}
 			})
@@ -179,20 +179,20 @@
 	}
 }
 
-// paused gives the requests of a paused VM the time of the pause.
-func (l *cellLoad) paused(id string, until clock.Millis) {
+// extendDeadlines gives the requests of a paused VM the time of the pause.
+func (l *cellLoad) extendDeadlines(id string, until clock.Millis) {
 	for _, q := range l.requests {
 		if q.vm == id && len(q.answers) == 0 {
-			q.due = max(q.due, until+answerGraceMs)
+			q.deadline = max(q.deadline, until+answerMarginMs)
 		}
 	}
 }
 
-// answers counts the requests by how they ended.
-func (l *cellLoad) answers() map[string]int {
+// outcomes counts the requests by how they ended.
+func (l *cellLoad) outcomes() map[string]int {
 	count := make(map[string]int)
 	for _, q := range l.requests {
-		if q.lost {
+		if q.disconnected {
 			count["lost"]++
 		}
 		for _, cmd := range q.answers {
--- a/experiment/matrix_test.go
+++ b/experiment/matrix_test.go
@@ -33,7 +33,7 @@
 // Guards against a failure that cannot be rerun from its seed and cell.
 func TestMatrixRepeats(t *testing.T) {
 	names := []string{"vm-killed/order-attempt-sent", "reply-crossed/query-sent", "link-cut-both-ways/owner-change+store-down/preset-write"}
-	print := func() string {
+	render := func() string {
 		var out bytes.Buffer
 		for _, name := range names {
 			report := experiment.MatrixReport{Seed: 3, Cells: experiment.RunCells(3, []string{name})}
@@ -43,7 +43,7 @@
 		}
 		return out.String()
 	}
-	first, second := print(), print()
+	first, second := render(), render()
 	if first != second {
 		t.Errorf("got\n%s\nwant\n%s", second, first)
 	}
--- a/experiment/orders.go
+++ b/experiment/orders.go
@@ -9,12 +9,12 @@
 
 // ordersConfig describes one run of order machines.
 type ordersConfig struct {
-	seed    uint64
-	orders  int
-	faults  bool
-	perSec  int
-	options []order.Option
-	wrap    func(orderMachine) orderMachine // nil, or a faulty double around each machine
+	seed            uint64
+	orders          int
+	faults          bool
+	ordersPerSecond int
+	options         []order.Option
+	wrapMachine     func(orderMachine) orderMachine // nil, or a faulty double around each machine
 }
 
 // orderMachine is the part of order.Model that a run uses.
@@ -23,8 +23,8 @@
 	NextWake() (clock.Millis, bool)
 }
 
-// ordersPerSec is the rate of new orders in a run.
-const ordersPerSec = 1000
+// ordersPerSecond is the rate of new orders in a run.
+const ordersPerSecond = 1000
 
 // baselineOrders caps the baseline and the runs without faults. One write per
 // claim falls behind for good after a slow period of the store, which makes a
@@ -34,9 +34,9 @@
 // maxWritesPerOrder is the bound on store writes under this rate.
 const maxWritesPerOrder = 0.5
 
-// unbatched returns the options under which each claim is one write at once.
+// unbatchedOptions returns the options under which each claim is one write at once.
 // The small head keeps the run fast; it adds one segment write to about 230 claims.
-func unbatched() []order.Option {
+func unbatchedOptions() []order.Option {
 	return []order.Option{
 		order.WithMaxBatch(1), order.WithWriteInterval(0), order.WithDoneMarks(false), order.WithSealThreshold(8 << 10),
 	}
@@ -47,39 +47,39 @@
 // baseline writes one claim per order at the same rate and density of faults,
 // over at most baselineOrders.
 func Orders(seed uint64, n int) Report {
-	cfg := ordersConfig{seed: seed, orders: n, perSec: ordersPerSec, faults: true, options: headOptions(n)}
+	cfg := ordersConfig{seed: seed, orders: n, ordersPerSecond: ordersPerSecond, faults: true, options: sealOptions(n)}
 	value := runOrders(cfg)
-	cfg.options, cfg.orders = unbatched(), min(n, baselineOrders)
+	cfg.options, cfg.orders = unbatchedOptions(), min(n, baselineOrders)
 	base := runOrders(cfg)
 
-	calm := ordersConfig{seed: seed, orders: min(n, baselineOrders), perSec: ordersPerSec, options: headOptions(n)}
-	calmValue := runOrders(calm)
-	calm.options = unbatched()
-	calmBase := runOrders(calm)
+	faultless := ordersConfig{seed: seed, orders: min(n, baselineOrders), ordersPerSecond: ordersPerSecond, options: sealOptions(n)}
+	faultlessValue := runOrders(faultless)
+	faultless.options = unbatchedOptions()
+	faultlessBase := runOrders(faultless)
 
 	report := Report{Name: "orders", Seed: seed}
 	for _, rule := range orderRules {
-		report.AtMost(string(rule), "count", float64(base.broken[rule]), float64(value.broken[rule]), 0)
+		report.AtMost(string(rule), "count", float64(base.violations[rule]), float64(value.violations[rule]), 0)
 	}
 	report.AtMost("lost, holder alive and no attempt lost", "orders", float64(base.lostUnexplained), float64(value.lostUnexplained), 0)
 	report.AtMost("store writes per order", "writes", base.writesPerOrder, value.writesPerOrder, maxWritesPerOrder)
-	report.AtMost("store writes per order, no faults", "writes", calmBase.writesPerOrder, calmValue.writesPerOrder, maxWritesPerOrder)
+	report.AtMost("store writes per order, no faults", "writes", faultlessBase.writesPerOrder, faultlessValue.writesPerOrder, maxWritesPerOrder)
 	report.AddUnbounded("lost, holder killed or attempt lost", "orders", float64(base.lost), float64(value.lost))
 	for _, c := range lossCauses {
 		report.AddUnbounded("lost, "+string(c), "orders", float64(base.lostBy[c]), float64(value.lostBy[c]))
 	}
-	report.AddUnbounded("run once", "orders", float64(base.run), float64(value.run))
+	report.AddUnbounded("run once", "orders", float64(base.executed), float64(value.executed))
 	report.AddUnbounded("submissions", "count", float64(base.submissions), float64(value.submissions))
-	report.AddUnbounded("added latency p50, no faults", "ms", calmBase.p50, calmValue.p50)
-	report.AddUnbounded("added latency p99, no faults", "ms", calmBase.p99, calmValue.p99)
+	report.AddUnbounded("added latency p50, no faults", "ms", faultlessBase.p50, faultlessValue.p50)
+	report.AddUnbounded("added latency p99, no faults", "ms", faultlessBase.p99, faultlessValue.p99)
 	report.AddUnbounded("added latency p50", "ms", base.p50, value.p50)
 	report.AddUnbounded("added latency p99", "ms", base.p99, value.p99)
 	report.Notes = append(report.Notes, fmt.Sprintf("faults injected: %s", value.faults))
 	return report
 }
 
-// headOptions makes short runs seal segments too.
-func headOptions(n int) []order.Option {
+// sealOptions makes short runs seal segments too.
+func sealOptions(n int) []order.Option {
 	if n >= 50000 {
 		return nil
 	}
--- a/experiment/orders_carry.go
+++ b/experiment/orders_attempt.go
@@ -20,7 +20,7 @@
 	return upstream.ID(fmt.Sprintf("%s/%s/%d", orderService, group, replica))
 }
 
-func (r *ordersRun) pick(_ clock.Millis, _, group string, exclude []upstream.ID) (upstream.ID, bool) {
+func (r *ordersRun) pickUpstream(_ clock.Millis, _, group string, exclude []upstream.ID) (upstream.ID, bool) {
 	first := r.rng.IntN(orderReplicas)
 	for i := range orderReplicas {
 		id := orderUpstream(group, (first+i)%orderReplicas)
@@ -31,12 +31,12 @@
 	return "", false
 }
 
-// carry takes an attempt to its upstream and its reply back, exactly once.
-func (r *ordersRun) carry(vm *orderVM, req attempt.Request) {
+// sendAttempt takes an attempt to its upstream and its reply back, exactly once.
+func (r *ordersRun) sendAttempt(vm *orderVM, req attempt.Request) {
 	replied := false
 	reply := func(rep attempt.Reply) {
 		if replied { // the timeout was reported first
-			r.check.attemptLost(req.OrderID)
+			r.checker.recordLostAttempt(req.OrderID)
 			return
 		}
 		replied = true
@@ -49,7 +49,7 @@
 		reply(attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.TimedOut})
 	})
 	delay := clock.Millis(1)
-	if r.faulty() {
+	if r.faultsActive() {
 		switch r.rng.IntN(300) {
 		case 0:
 			r.loop.After(1, func() {
@@ -57,7 +57,7 @@
 			})
 			return
 		case 1: // the request is lost
-			r.check.attemptLost(req.OrderID)
+			r.checker.recordLostAttempt(req.OrderID)
 			return
 		case 2:
 			delay += clock.Millis(r.rng.IntN(2500))
@@ -77,16 +77,16 @@
 	u := r.upstreams[req.Upstream]
 	before := u.Executions(req.OrderID)
 	u.Serve(req, func(rep attempt.Reply) {
-		if !r.faulty() {
+		if !r.faultsActive() {
 			r.loop.After(1, func() { reply(rep) })
 			return
 		}
 		switch r.rng.IntN(300) {
 		case 0: // the reply is lost
-			r.check.attemptLost(req.OrderID)
+			r.checker.recordLostAttempt(req.OrderID)
 		case 1:
 			r.loop.After(1, func() { reply(attempt.Reply{ID: req.ID, Upstream: req.Upstream, Status: attempt.Failed}) })
-			r.check.attemptLost(req.OrderID)
+			r.checker.recordLostAttempt(req.OrderID)
 		case 2:
 			r.loop.After(1+clock.Millis(r.rng.IntN(1000)), func() { reply(rep) })
 		default:
@@ -94,6 +94,6 @@
 		}
 	})
 	if u.Executions(req.OrderID) > before {
-		r.check.ranAt(req)
+		r.checker.recordRun(req)
 	}
 }
--- a/experiment/orders_check.go
+++ b/experiment/orders_check.go
@@ -13,63 +13,65 @@
 type orderRule string
 
 const (
-	ruleRunsTwice   orderRule = "run twice"
-	ruleWrongNo     orderRule = "wrong ran: no"
-	ruleSentAfterNo orderRule = "sent after ran: no"
-	ruleWrongYes    orderRule = "wrong ran: yes"
-	ruleNoClaim     orderRule = "already_submitted without a claim"
-	ruleUnclaimed   orderRule = "sent without a claim in the store"
-	ruleTwoSends    orderRule = "sent again without proof of not run"
-	ruleAnswers     orderRule = "submission not answered exactly once"
+	ruleExecutedTwice        orderRule = "run twice"
+	ruleFalseNotExecuted     orderRule = "wrong ran: no"
+	ruleSentAfterNotExecuted orderRule = "sent after ran: no"
+	ruleFalseExecuted        orderRule = "wrong ran: yes"
+	ruleRepeatWithoutClaim   orderRule = "already_submitted without a claim"
+	ruleSentWithoutClaim     orderRule = "sent without a claim in the store"
+	ruleResentWithoutProof   orderRule = "sent again without proof of not run"
+	ruleAnswerCount          orderRule = "submission not answered exactly once"
 )
 
 var orderRules = []orderRule{
-	ruleRunsTwice, ruleWrongNo, ruleSentAfterNo, ruleWrongYes, ruleNoClaim, ruleUnclaimed, ruleTwoSends, ruleAnswers,
+	ruleExecutedTwice, ruleFalseNotExecuted, ruleSentAfterNotExecuted, ruleFalseExecuted, ruleRepeatWithoutClaim, ruleSentWithoutClaim, ruleResentWithoutProof, ruleAnswerCount,
 }
 
 // orderChecker sees what callers, the store and upstreams see. It knows nothing
 // of the state of the machines: a submission is told by its body.
 type orderChecker struct {
-	subs       []*orderSubmission
-	runs       map[string]int
-	uncertain  map[string]bool // ids of which an attempt or its reply was lost
-	claimed    map[order.Hash]clock.Millis
-	tokens     map[order.Hash]bool
-	sentUnder  map[order.Hash]bool // tokens under which an attempt was sent
-	broken     map[orderRule]int
-	firstSends []clock.Millis // time from submission to first send
+	submissions     []*orderSubmission
+	runs            map[string]int
+	lostAttempts    map[string]bool // ids of which an attempt or its reply was lost
+	claimedAt       map[order.Hash]clock.Millis
+	durableTokens   map[order.Hash]bool
+	sentTokens      map[order.Hash]bool // tokens under which an attempt was sent
+	violations      map[orderRule]int
+	firstSendDelays []clock.Millis // time from submission to first send
 }
 
 // orderSubmission is one delivery of an order to one VM.
 type orderSubmission struct {
-	order    int
-	id       string
-	vm       *orderVM
-	at       clock.Millis
-	sends    int
-	runs     int
-	answers  int
-	answer   order.Answer
-	answerAt clock.Millis
+	caller      int
+	id          string
+	vm          *orderVM
+	submittedAt clock.Millis
+	sends       int
+	runs        int
+	answers     int
+	answer      order.Answer
+	answeredAt  clock.Millis
 }
 
 func newOrderChecker() *orderChecker {
 	return &orderChecker{
-		runs: make(map[string]int), uncertain: make(map[string]bool),
-		claimed: make(map[order.Hash]clock.Millis), tokens: make(map[order.Hash]bool),
-		sentUnder: make(map[order.Hash]bool),
-		broken:    make(map[orderRule]int),
+		runs: make(map[string]int), lostAttempts: make(map[string]bool),
+		claimedAt: make(map[order.Hash]clock.Millis), durableTokens: make(map[order.Hash]bool),
+		sentTokens: make(map[order.Hash]bool),
+		violations: make(map[orderRule]int),
 	}
 }
 
-func orderBody(call uint64) []byte { return binary.BigEndian.AppendUint64(nil, call) }
+func orderBody(callID uint64) []byte { return binary.BigEndian.AppendUint64(nil, callID) }
 
-func (c *orderChecker) ofBody(b []byte) *orderSubmission { return c.subs[binary.BigEndian.Uint64(b)] }
+func (c *orderChecker) submissionOf(b []byte) *orderSubmission {
+	return c.submissions[binary.BigEndian.Uint64(b)]
+}
 
-func (c *orderChecker) attemptLost(id string) { c.uncertain[id] = true }
+func (c *orderChecker) recordLostAttempt(id string) { c.lostAttempts[id] = true }
 
-// wrote records the claims that a write of a head made durable.
-func (c *orderChecker) wrote(now clock.Millis, key string, value []byte) {
+// recordWrite records the claims that a write of a head made durable.
+func (c *orderChecker) recordWrite(now clock.Millis, key string, value []byte) {
 	if !strings.HasSuffix(key, "/head") {
 		return
 	}
@@ -78,44 +80,44 @@
 		panic(err)
 	}
 	for _, claim := range head.Claims {
-		if c.tokens[claim.Token] {
+		if c.durableTokens[claim.Token] {
 			continue
 		}
-		c.tokens[claim.Token] = true
-		if _, ok := c.claimed[claim.ID]; !ok {
-			c.claimed[claim.ID] = now
+		c.durableTokens[claim.Token] = true
+		if _, ok := c.claimedAt[claim.ID]; !ok {
+			c.claimedAt[claim.ID] = now
 		}
 	}
 }
 
-func (c *orderChecker) sent(now clock.Millis, cmd order.SendCmd) {
-	s := c.ofBody(cmd.Request.Body)
+func (c *orderChecker) recordSend(now clock.Millis, cmd order.SendCmd) {
+	s := c.submissionOf(cmd.Request.Body)
 	if s.sends == 0 {
-		c.firstSends = append(c.firstSends, now-s.at)
+		c.firstSendDelays = append(c.firstSendDelays, now-s.submittedAt)
 	}
 	s.sends++
 	token := cmd.Token.Hash()
-	c.sentUnder[token] = true
-	if !c.tokens[token] {
-		c.broken[ruleUnclaimed]++
+	c.sentTokens[token] = true
+	if !c.durableTokens[token] {
+		c.violations[ruleSentWithoutClaim]++
 	}
 	if s.runs > 0 {
-		c.broken[ruleTwoSends]++
+		c.violations[ruleResentWithoutProof]++
 	}
 	if s.answers > 0 && s.answer.Execution == attempt.NotExecuted {
-		c.broken[ruleSentAfterNo]++
+		c.violations[ruleSentAfterNotExecuted]++
 	}
 }
 
-func (c *orderChecker) ranAt(req attempt.Request) {
-	c.ofBody(req.Body).runs++
+func (c *orderChecker) recordRun(req attempt.Request) {
+	c.submissionOf(req.Body).runs++
 	c.runs[req.OrderID]++
 }
 
-func (c *orderChecker) answered(now clock.Millis, a order.Answer) *orderSubmission {
-	s := c.subs[a.CallID]
+func (c *orderChecker) recordAnswer(now clock.Millis, a order.Answer) *orderSubmission {
+	s := c.submissions[a.CallID]
 	s.answers++
-	s.answer, s.answerAt = a, now
+	s.answer, s.answeredAt = a, now
 	return s
 }
 
@@ -123,12 +125,12 @@
 func (c *orderChecker) finish() {
 	for _, runs := range c.runs {
 		if runs > 1 {
-			c.broken[ruleRunsTwice]++
+			c.violations[ruleExecutedTwice]++
 		}
 	}
-	for _, s := range c.subs {
+	for _, s := range c.submissions {
 		if s.answers > 1 || s.answers == 0 && !s.vm.dead {
-			c.broken[ruleAnswers]++
+			c.violations[ruleAnswerCount]++
 		}
 		if s.answers > 0 {
 			c.checkAnswer(s)
@@ -140,17 +142,17 @@
 	switch s.answer.Execution {
 	case attempt.NotExecuted:
 		if s.runs > 0 {
-			c.broken[ruleWrongNo]++
+			c.violations[ruleFalseNotExecuted]++
 		}
 	case attempt.Executed:
 		if c.runs[s.id] == 0 || s.answer.Outcome == order.OutcomeDone && s.runs == 0 {
-			c.broken[ruleWrongYes]++
+			c.violations[ruleFalseExecuted]++
 		}
 	}
 	if s.answer.Outcome != order.OutcomeAlreadySubmitted {
 		return
 	}
-	if at, ok := c.claimed[order.HashOf(s.id)]; !ok || at > s.answerAt {
-		c.broken[ruleNoClaim]++
+	if at, ok := c.claimedAt[order.HashOf(s.id)]; !ok || at > s.answeredAt {
+		c.violations[ruleRepeatWithoutClaim]++
 	}
 }
--- a/experiment/orders_claims.go
+++ b/experiment/orders_claims.go
@@ -7,16 +7,16 @@
 func (r *ordersRun) finalClaims() map[order.Hash]order.Claim {
 	claims := make(map[order.Hash]order.Claim)
 	for n := range order.NumPartitions {
-		head := r.decode(order.HeadKey(n))
+		head := r.loadClaims(order.HeadKey(n))
 		for _, ref := range head.Segments {
-			addClaims(claims, r.decode(order.SegmentKey(n, ref.Number)))
+			addClaims(claims, r.loadClaims(order.SegmentKey(n, ref.Number)))
 		}
 		addClaims(claims, head)
 	}
 	return claims
 }
 
-func (r *ordersRun) decode(key string) order.Head {
+func (r *ordersRun) loadClaims(key string) order.Head {
 	head, err := order.DecodeHead(r.store.entries[key].Value)
 	if err != nil {
 		panic(err)
@@ -50,18 +50,18 @@
 // else may release the claim of a killed holder, because the holder may have sent.
 func (r *ordersRun) losses() map[order.Hash]lossCause {
 	dead := make(map[order.Hash]bool)
-	for _, vm := range r.dead {
-		for seq := range vm.submits {
+	for _, vm := range r.deadVMs {
+		for seq := range vm.submissions {
 			dead[order.Token{VM: vm.name, Incarnation: vm.incarnation, Seq: seq + 1}.Hash()] = true
 		}
 	}
 	causes := make(map[order.Hash]lossCause)
-	for id := range r.check.uncertain {
+	for id := range r.checker.lostAttempts {
 		causes[order.HashOf(id)] = lossReleased
 	}
 	for id, c := range r.finalClaims() {
 		switch {
-		case dead[c.Token] && !r.check.sentUnder[c.Token]:
+		case dead[c.Token] && !r.checker.sentTokens[c.Token]:
 			causes[id] = lossBeforeSend
 		case dead[c.Token]:
 			causes[id] = lossAfterSend
--- a/experiment/orders_interval.go
+++ b/experiment/orders_interval.go
@@ -25,7 +25,7 @@
 func OrderInterval(seed uint64) Report {
 	report := Report{Name: "order-interval", Seed: seed}
 	for _, rate := range orderRates {
-		cfg := ordersConfig{seed: seed, orders: min(rate*intervalRunSeconds, intervalOrders), perSec: rate, options: unbatched()}
+		cfg := ordersConfig{seed: seed, orders: min(rate*intervalRunSeconds, intervalOrders), ordersPerSecond: rate, options: unbatchedOptions()}
 		base := runOrders(cfg)
 		for _, d := range orderIntervals {
 			cfg.options = []order.Option{order.WithWriteInterval(d)}
--- a/experiment/orders_mutant_test.go
+++ b/experiment/orders_mutant_test.go
@@ -12,23 +12,23 @@
 // drop commands.
 type faultyMachine struct {
 	orderMachine
-	subs  map[string]order.SubmitMsg // by id
-	extra uint64
-	fault func(m *faultyMachine, now clock.Millis, msg order.Msg, cmds []order.Cmd) []order.Cmd
+	submissions   map[string]order.SubmitMsg // by id
+	extraAttempts uint64
+	fault         func(m *faultyMachine, now clock.Millis, msg order.Msg, cmds []order.Cmd) []order.Cmd
 }
 
 func (m *faultyMachine) Update(now clock.Millis, msg order.Msg) []order.Cmd {
 	if msg, ok := msg.(order.SubmitMsg); ok {
-		m.subs[msg.ID] = msg
+		m.submissions[msg.ID] = msg
 	}
 	return m.fault(m, now, msg, m.orderMachine.Update(now, msg))
 }
 
 // attempt builds a SendCmd that the correct machine did not ask for.
 func (m *faultyMachine) attempt(s order.SubmitMsg, token order.Token) order.SendCmd {
-	m.extra++
+	m.extraAttempts++
 	return order.SendCmd{Token: token, Request: attempt.Request{
-		ID: attempt.ID{VM: "double", Seq: m.extra}, Upstream: string(orderUpstream(s.Group, 0)),
+		ID: attempt.ID{VM: "double", Seq: m.extraAttempts}, Upstream: string(orderUpstream(s.Group, 0)),
 		Kind: attempt.Order, OrderID: s.ID, Body: s.Body, Deadline: s.Deadline,
 	}}
 }
@@ -63,14 +63,14 @@
 func retryUnknown(m *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	for _, cmd := range cmds {
 		if a, ok := cmd.(order.AnswerCmd); ok && a.Answer.Outcome == order.OutcomeUnknown {
-			cmds = append(cmds, m.attempt(m.subs[a.Answer.ID], order.Token{}))
+			cmds = append(cmds, m.attempt(m.submissions[a.Answer.ID], order.Token{}))
 		}
 	}
 	return cmds
 }
 
-// unknownAsNo answers an uncertain order as not run.
-func unknownAsNo(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
+// unknownAsNotExecuted answers an uncertain order as not run.
+func unknownAsNotExecuted(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	return answers(cmds, func(a *order.Answer) bool {
 		if a.Outcome != order.OutcomeUnknown {
 			return false
@@ -84,7 +84,7 @@
 func sendAfterDeadline(m *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	for _, cmd := range cmds {
 		if a, ok := cmd.(order.AnswerCmd); ok && a.Answer.Reason == order.ReasonDeadline {
-			cmds = append(cmds, m.attempt(m.subs[a.Answer.ID], order.Token{}))
+			cmds = append(cmds, m.attempt(m.submissions[a.Answer.ID], order.Token{}))
 		}
 	}
 	return cmds
@@ -147,33 +147,33 @@
 		want  []orderRule
 	}{
 		{"none", func(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd { return cmds }, nil},
-		{"send on submit", sendOnSubmit, []orderRule{ruleRunsTwice, ruleUnclaimed, ruleTwoSends}},
-		{"confirm before the write is known", confirmAtOnce, []orderRule{ruleRunsTwice, ruleUnclaimed}},
-		{"retry after an unknown reply", retryUnknown, []orderRule{ruleRunsTwice, ruleTwoSends}},
-		{"unknown answered as not run", unknownAsNo, []orderRule{ruleWrongNo}},
-		{"send after the deadline", sendAfterDeadline, []orderRule{ruleSentAfterNo, ruleWrongNo}},
-		{"unknown answered as run", unknownAsDone, []orderRule{ruleWrongYes}},
-		{"refusal answered as a repeat", refusedAsRepeat, []orderRule{ruleNoClaim}},
-		{"answered twice", answerTwice, []orderRule{ruleAnswers}},
+		{"send on submit", sendOnSubmit, []orderRule{ruleExecutedTwice, ruleSentWithoutClaim, ruleResentWithoutProof}},
+		{"confirm before the write is known", confirmAtOnce, []orderRule{ruleExecutedTwice, ruleSentWithoutClaim}},
+		{"retry after an unknown reply", retryUnknown, []orderRule{ruleExecutedTwice, ruleResentWithoutProof}},
+		{"unknown answered as not run", unknownAsNotExecuted, []orderRule{ruleFalseNotExecuted}},
+		{"send after the deadline", sendAfterDeadline, []orderRule{ruleSentAfterNotExecuted, ruleFalseNotExecuted}},
+		{"unknown answered as run", unknownAsDone, []orderRule{ruleFalseExecuted}},
+		{"refusal answered as a repeat", refusedAsRepeat, []orderRule{ruleRepeatWithoutClaim}},
+		{"answered twice", answerTwice, []orderRule{ruleAnswerCount}},
 		{"claims never released", dropRelease, []orderRule{lost}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg := ordersConfig{seed: 3, orders: 5000, perSec: ordersPerSec, faults: true, options: headOptions(5000)}
-			cfg.wrap = func(m orderMachine) orderMachine {
-				return &faultyMachine{orderMachine: m, subs: make(map[string]order.SubmitMsg), fault: tt.fault}
+			cfg := ordersConfig{seed: 3, orders: 5000, ordersPerSecond: ordersPerSecond, faults: true, options: sealOptions(5000)}
+			cfg.wrapMachine = func(m orderMachine) orderMachine {
+				return &faultyMachine{orderMachine: m, submissions: make(map[string]order.SubmitMsg), fault: tt.fault}
 			}
 			res := runOrders(cfg)
 			if res.lostUnexplained > 0 {
-				res.broken[lost] = res.lostUnexplained
+				res.violations[lost] = res.lostUnexplained
 			}
 			for _, rule := range tt.want {
-				if res.broken[rule] == 0 {
-					t.Errorf("%q: got 0 violations, want some; all: %v", rule, res.broken)
+				if res.violations[rule] == 0 {
+					t.Errorf("%q: got 0 violations, want some; all: %v", rule, res.violations)
 				}
 			}
-			if len(tt.want) == 0 && len(res.broken) > 0 {
-				t.Errorf("got %v, want no violation", res.broken)
+			if len(tt.want) == 0 && len(res.violations) > 0 {
+				t.Errorf("got %v, want no violation", res.violations)
 			}
 		})
 	}
--- a/experiment/orders_run.go
+++ b/experiment/orders_run.go
@@ -18,11 +18,11 @@
 	rng         *rand.Rand
 	store       *orderStore
 	upstreams   map[string]*Upstream
-	names       []string
+	vmNames     []string
 	vms         map[string]*orderVM // current incarnation by name
-	dead        []*orderVM
-	cuts        map[[2]string]clock.Millis
-	check       *orderChecker
+	deadVMs     []*orderVM
+	cutUntil    map[[2]string]clock.Millis
+	checker     *orderChecker
 	callers     []orderCaller
 	faultsEnd   clock.Millis
 	faultCounts []int
@@ -30,8 +30,8 @@
 
 // ordersResult is what one run measured.
 type ordersResult struct {
-	broken          map[orderRule]int
-	run             int
+	violations      map[orderRule]int
+	executed        int
 	lost            int // never run, and an attempt was lost or the claim's holder was killed
 	lostBy          map[lossCause]int
 	lostUnexplained int
@@ -43,10 +43,10 @@
 
 const (
 	ordersStart clock.Millis = 1_700_000_000_000
-	// ordersTail lets callers repeat and releases end after the faults.
-	ordersTail = 90 * clock.Second
-	minVMs     = 7
-	vmSpread   = 3 // 7 to 9 VMs
+	// ordersTailMs lets callers repeat and releases end after the faults.
+	ordersTailMs = 90 * clock.Second
+	minVMs       = 7
+	vmSpread     = 3 // 7 to 9 VMs
 )
 
 func replyMsg(r attempt.Reply) order.Msg { return order.AttemptReplyMsg{Reply: r} }
@@ -57,10 +57,10 @@
 		r.scheduleFaults()
 	}
 	for i := range cfg.orders {
-		r.loop.At(ordersStart+clock.Millis(i*1000/cfg.perSec), func() { r.arrive(i) })
+		r.loop.At(ordersStart+clock.Millis(i*1000/cfg.ordersPerSecond), func() { r.submitNew(i) })
 	}
-	r.loop.RunUntil(r.faultsEnd + ordersTail)
-	r.check.finish()
+	r.loop.RunUntil(r.faultsEnd + ordersTailMs)
+	r.checker.finish()
 	return r.result()
 }
 
@@ -70,15 +70,15 @@
 		cfg: cfg, loop: loop, rng: newOrdersRNG(cfg.seed, 1),
 		store:     newOrderStore(loop, newOrdersRNG(cfg.seed, 2)),
 		upstreams: make(map[string]*Upstream), vms: make(map[string]*orderVM),
-		cuts: make(map[[2]string]clock.Millis), check: newOrderChecker(),
+		cutUntil: make(map[[2]string]clock.Millis), checker: newOrderChecker(),
 		callers:     make([]orderCaller, cfg.orders),
-		faultsEnd:   ordersStart + clock.Millis(cfg.orders*1000/cfg.perSec),
+		faultsEnd:   ordersStart + clock.Millis(cfg.orders*1000/cfg.ordersPerSecond),
 		faultCounts: make([]int, len(orderFaults)),
 	}
 	if cfg.faults {
-		r.store.lostShare = 0.01
+		r.store.lostReplyRatio = 0.01
 	}
-	r.store.wrote = func(key string, value []byte) { r.check.wrote(loop.Now(), key, value) }
+	r.store.onWrite = func(key string, value []byte) { r.checker.recordWrite(loop.Now(), key, value) }
 	for g := range orderGroups {
 		for i := range orderReplicas {
 			id := string(orderUpstream(orderGroup(g), i))
@@ -86,23 +86,23 @@
 		}
 	}
 	for i := range minVMs + int(cfg.seed%vmSpread) {
-		r.names = append(r.names, fmt.Sprintf("vm%d", i))
+		r.vmNames = append(r.vmNames, fmt.Sprintf("vm%d", i))
 	}
-	for _, name := range r.names {
+	for _, name := range r.vmNames {
 		r.startVM(name, 1)
 	}
-	for _, name := range r.names {
-		r.vms[name].deliver(order.LiveVMsMsg{VMs: r.names})
+	for _, name := range r.vmNames {
+		r.vms[name].deliver(order.LiveVMsMsg{VMs: r.vmNames})
 	}
 	return r
 }
 
-// faulty reports whether faults may still happen.
-func (r *ordersRun) faulty() bool { return r.cfg.faults && r.loop.Now() < r.faultsEnd }
+// faultsActive reports whether faults may still happen.
+func (r *ordersRun) faultsActive() bool { return r.cfg.faults && r.loop.Now() < r.faultsEnd }
 
 func (r *ordersRun) result() ordersResult {
 	res := ordersResult{
-		broken: r.check.broken, submissions: len(r.check.subs), faults: r.faultSummary(),
+		violations: r.checker.violations, submissions: len(r.checker.submissions), faults: r.faultSummary(),
 		writesPerOrder: float64(r.store.writes) / float64(r.cfg.orders),
 	}
 	res.lostBy = make(map[lossCause]int)
@@ -111,8 +111,8 @@
 		id := r.callers[i].id
 		cause := losses[order.HashOf(id)]
 		switch {
-		case r.check.runs[id] > 0:
-			res.run++
+		case r.checker.runs[id] > 0:
+			res.executed++
 		case cause != "":
 			res.lost++
 			res.lostBy[cause]++
@@ -120,11 +120,11 @@
 			res.lostUnexplained++
 		}
 	}
-	sends := r.check.firstSends
-	slices.Sort(sends)
-	if len(sends) > 0 {
-		res.p50 = float64(sends[len(sends)/2])
-		res.p99 = float64(sends[len(sends)*99/100])
+	delays := r.checker.firstSendDelays
+	slices.Sort(delays)
+	if len(delays) > 0 {
+		res.p50 = float64(delays[len(delays)/2])
+		res.p99 = float64(delays[len(delays)*99/100])
 	}
 	return res
 }
--- a/experiment/orders_store.go
+++ b/experiment/orders_store.go
@@ -10,15 +10,15 @@
 // orderStore is a fake configuration store in virtual time. A write takes
 // effect once, in one order for all keys; its answer may be late or lost.
 type orderStore struct {
-	loop      *Loop
-	rng       *rand.Rand
-	entries   map[string]store.Entry
-	revision  uint64
-	downUntil clock.Millis
-	slowUntil clock.Millis
-	lostShare float64 // share of calls whose answer is lost
-	writes    int
-	wrote     func(key string, value []byte)
+	loop           *Loop
+	rng            *rand.Rand
+	entries        map[string]store.Entry
+	revision       uint64
+	downUntil      clock.Millis
+	slowUntil      clock.Millis
+	lostReplyRatio float64 // share of calls whose answer is lost
+	writes         int
+	onWrite        func(key string, value []byte)
 }
 
 const (
@@ -27,25 +27,25 @@
 )
 
 func newOrderStore(loop *Loop, rng *rand.Rand) *orderStore {
-	return &orderStore{loop: loop, rng: rng, entries: make(map[string]store.Entry), wrote: func(string, []byte) {}}
+	return &orderStore{loop: loop, rng: rng, entries: make(map[string]store.Entry), onWrite: func(string, []byte) {}}
 }
 
-// do performs one call and reports its result to done.
-func (s *orderStore) do(r store.Request, done func(store.Reply)) {
+// call performs one call and reports its result to done.
+func (s *orderStore) call(r store.Request, done func(store.Reply)) {
 	if r.Op == store.OpSwap {
 		s.writes++
 	}
 	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
 	if s.loop.Now() < s.downUntil {
-		s.refuse(reply, done)
+		s.fail(reply, done)
 		return
 	}
 	latency := 2 + clock.Millis(s.rng.IntN(4))
 	if s.loop.Now() < s.slowUntil {
 		latency *= storeSlowdown
 	}
-	if s.rng.Float64() < s.lostShare {
-		s.lose(r, reply, latency, done)
+	if s.rng.Float64() < s.lostReplyRatio {
+		s.loseReply(r, reply, latency, done)
 		return
 	}
 	s.loop.After(latency/2, func() {
@@ -54,8 +54,8 @@
 	})
 }
 
-// refuse fails a call during an outage, quickly or by a timeout.
-func (s *orderStore) refuse(reply store.Reply, done func(store.Reply)) {
+// fail fails a call during an outage, quickly or by a timeout.
+func (s *orderStore) fail(reply store.Reply, done func(store.Reply)) {
 	reply.Kind = store.KindUnavailable
 	wait := clock.Millis(2)
 	if s.rng.IntN(3) == 0 {
@@ -64,8 +64,8 @@
 	s.loop.After(wait, func() { done(reply) })
 }
 
-// lose reports an unknown result. The call takes effect before it, after it, or never.
-func (s *orderStore) lose(r store.Request, reply store.Reply, latency clock.Millis, done func(store.Reply)) {
+// loseReply reports an unknown result. The call takes effect before it, after it, or never.
+func (s *orderStore) loseReply(r store.Request, reply store.Reply, latency clock.Millis, done func(store.Reply)) {
 	switch s.rng.IntN(4) {
 	case 0:
 	case 1:
@@ -90,7 +90,7 @@
 		s.revision++
 		entry = store.Entry{Key: r.Key, Value: r.Value, Revision: s.revision}
 		s.entries[r.Key] = entry
-		s.wrote(r.Key, r.Value)
+		s.onWrite(r.Key, r.Value)
 	case store.OpDelete:
 		delete(s.entries, r.Key)
 	}
--- a/experiment/orders_vm.go
+++ b/experiment/orders_vm.go
@@ -19,8 +19,8 @@
 	stopping    bool
 	pausedUntil clock.Millis
 	inbox       []order.Msg
-	wake        clock.Millis
-	submits     uint64
+	nextWake    clock.Millis
+	submissions uint64
 }
 
 func (r *ordersRun) startVM(name string, incarnation uint64) *orderVM {
@@ -28,15 +28,15 @@
 	seq := uint64(0)
 	opts := []order.Option{
 		order.WithSelf(name, incarnation),
-		order.WithPicker(r.pick),
+		order.WithPicker(r.pickUpstream),
 		order.WithAttemptID(func() attempt.ID {
 			seq++
 			return attempt.ID{VM: name, Incarnation: incarnation, Seq: seq}
 		}),
 	}
 	vm.machine = order.New(append(opts, r.cfg.options...)...)
-	if r.cfg.wrap != nil {
-		vm.machine = r.cfg.wrap(vm.machine)
+	if r.cfg.wrapMachine != nil {
+		vm.machine = r.cfg.wrapMachine(vm.machine)
 	}
 	r.vms[name] = vm
 	return vm
@@ -57,36 +57,36 @@
 	for _, cmd := range vm.machine.Update(vm.run.loop.Now(), msg) {
 		vm.perform(cmd)
 	}
-	vm.schedule()
+	vm.scheduleWake()
 }
 
 func (vm *orderVM) perform(cmd order.Cmd) {
 	r := vm.run
 	switch cmd := cmd.(type) {
 	case order.SendCmd:
-		r.check.sent(r.loop.Now(), cmd)
-		r.carry(vm, cmd.Request)
+		r.checker.recordSend(r.loop.Now(), cmd)
+		r.sendAttempt(vm, cmd.Request)
 	case order.StoreCmd:
-		r.store.do(cmd.Request, func(reply store.Reply) { vm.deliver(order.StoreMsg{Reply: reply}) })
+		r.store.call(cmd.Request, func(reply store.Reply) { vm.deliver(order.StoreMsg{Reply: reply}) })
 	case order.PeerCmd:
-		r.post(vm.name, cmd.To, cmd.Msg)
+		r.sendMessage(vm.name, cmd.To, cmd.Msg)
 	case order.AnswerCmd:
-		r.answered(cmd.Answer)
+		r.handleAnswer(cmd.Answer)
 	case order.EventCmd:
 	}
 }
 
-// schedule wakes the machine when it asks for it.
-func (vm *orderVM) schedule() {
+// scheduleWake wakes the machine when it asks for it.
+func (vm *orderVM) scheduleWake() {
 	at, ok := vm.machine.NextWake()
-	if !ok || vm.wake > vm.run.loop.Now() && vm.wake <= at {
+	if !ok || vm.nextWake > vm.run.loop.Now() && vm.nextWake <= at {
 		return
 	}
 	at = max(at, vm.run.loop.Now()+1)
-	vm.wake = at
+	vm.nextWake = at
 	vm.run.loop.At(at, func() {
-		if vm.wake == at {
-			vm.wake = 0
+		if vm.nextWake == at {
+			vm.nextWake = 0
 			vm.deliver(order.TickMsg{})
 		}
 	})
@@ -112,11 +112,11 @@
 	})
 }
 
-// post carries a message between VMs: with delay, loss, duplicates and cuts.
-func (r *ordersRun) post(from, to string, msg order.Msg) {
+// sendMessage carries a message between VMs: with delay, loss, duplicates and cuts.
+func (r *ordersRun) sendMessage(from, to string, msg order.Msg) {
 	copies := 1
 	delay := 1 + clock.Millis(r.rng.IntN(2))
-	if r.faulty() {
+	if r.faultsActive() {
 		switch r.rng.IntN(400) {
 		case 0, 1:
 			copies = 0
@@ -125,7 +125,7 @@
 		case 3:
 			delay += clock.Millis(r.rng.IntN(3000))
 		}
-		if r.loop.Now() < r.cuts[[2]string{from, to}] {
+		if r.loop.Now() < r.cutUntil[[2]string{from, to}] {
 			copies = 0
 		}
 	}
--- a/experiment/presets_fault.go
+++ b/experiment/presets_fault.go
@@ -9,8 +9,8 @@
 
 const maxFaultMs = 15 * clock.Second
 
-// fault starts one random fault that ends by itself.
-func (h *history) fault() {
+// injectFault starts one random fault that ends by itself.
+func (h *history) injectFault() {
 	f, s := h.fleet, h.fleet.Store
 	span := 500 + clock.Millis(h.rng.Int64N(int64(maxFaultMs)))
 	n := f.VMs[h.rng.IntN(len(f.VMs))]
@@ -73,31 +73,31 @@
 	})
 }
 
-func (h *history) somePaused() bool { return slices.ContainsFunc(h.fleet.VMs, h.fleet.Paused) }
+func (h *history) anyPaused() bool { return slices.ContainsFunc(h.fleet.VMs, h.fleet.Paused) }
 
-// judge compares what operators were told and what VMs did with what the store took.
-func (h *history) judge(took clock.Millis, converged bool) promises {
-	p := promises{races: len(h.races), slowest: took}
+// evaluate compares what operators were told and what VMs did with what the store took.
+func (h *history) evaluate(elapsed clock.Millis, converged bool) historyCounts {
+	p := historyCounts{races: len(h.races), slowestMs: elapsed}
 	if !converged {
 		p.diverged = 1
 	}
 	for _, n := range h.fleet.VMs {
 		p.reverts += n.Reverts
-		p.older += n.OlderRevisions
+		p.olderRecords += n.OlderRevisions
 	}
 	final, _ := preset.Decode(h.fleet.Store.Entry().Value)
-	for id := range h.accepted {
+	for id := range h.committed {
 		if _, ok := final.FindChange(id); !ok {
-			p.lost++
+			p.lostChanges++
 		}
 	}
-	for _, r := range h.reported {
-		h.judgeReport(&p, r)
+	for _, r := range h.reports {
+		h.evaluateReport(&p, r)
 	}
 	for _, r := range h.races {
 		winners := 0
 		for _, id := range r.changes {
-			if h.accepted[id] {
+			if h.committed[id] {
 				winners++
 			}
 		}
@@ -111,16 +111,16 @@
 	return p
 }
 
-func (h *history) judgeReport(p *promises, r reported) {
-	switch r.truth {
+func (h *history) evaluateReport(p *historyCounts, r changeReport) {
+	switch r.acceptance {
 	case preset.Accepted:
-		p.yes++
-		if !h.accepted[r.change] {
+		p.accepted++
+		if !h.committed[r.change] {
 			p.falseReports++
 		}
 	case preset.NotAccepted:
-		p.no++
-		if h.accepted[r.change] {
+		p.notAccepted++
+		if h.committed[r.change] {
 			p.falseReports++
 		}
 	default:
@@ -131,7 +131,7 @@
 // otherWinner reports whether a change of another race took the revision after the base.
 func (h *history) otherWinner(r *race, final *preset.Record) bool {
 	for _, past := range append(final.History, final.LatestChange()) {
-		if past.Revision == r.base+1 && h.accepted[past.ChangeID] {
+		if past.Revision == r.base+1 && h.committed[past.ChangeID] {
 			return true
 		}
 	}
--- a/experiment/querycarrier.go
+++ b/experiment/querycarrier.go
@@ -9,33 +9,33 @@
 // in order, drops those that were cancelled or whose deadline passed, and
 // frees the connection of a running attempt that is cancelled.
 type queryCarrier struct {
-	loop    *Loop
-	up      *Upstream
-	conns   int
-	table   rowTable
-	running map[attempt.ID]bool
-	queued  map[attempt.ID]bool
-	queue   []queuedQuery
-	silent  bool // the upstream accepts requests and never answers
-	newest  bool // the upstream answers at its newest version, whatever was asked
-	deliver func(attempt.Reply)
+	loop          *Loop
+	up            *Upstream
+	connections   int
+	table         rowTable
+	running       map[attempt.ID]bool
+	queued        map[attempt.ID]bool
+	queue         []queuedQuery
+	unresponsive  bool // the upstream accepts requests and never answers
+	answersNewest bool // the upstream answers at its newest version, whatever was asked
+	deliver       func(attempt.Reply)
 }
 
 type queuedQuery struct {
 	attempt.Request
-	at clock.Millis
+	queuedAt clock.Millis
 }
 
-func newQueryCarrier(loop *Loop, up *Upstream, conns int, deliver func(attempt.Reply)) *queryCarrier {
+func newQueryCarrier(loop *Loop, up *Upstream, connections int, deliver func(attempt.Reply)) *queryCarrier {
 	return &queryCarrier{
-		loop: loop, up: up, conns: conns, deliver: deliver, table: make(rowTable),
+		loop: loop, up: up, connections: connections, deliver: deliver, table: make(rowTable),
 		running: make(map[attempt.ID]bool), queued: make(map[attempt.ID]bool),
 	}
 }
 
 func (c *queryCarrier) send(req attempt.Request) {
 	c.queued[req.ID] = true
-	c.queue = append(c.queue, queuedQuery{Request: req, at: c.loop.Now()})
+	c.queue = append(c.queue, queuedQuery{Request: req, queuedAt: c.loop.Now()})
 	c.dispatch()
 }
 
@@ -46,32 +46,32 @@
 }
 
 func (c *queryCarrier) dispatch() {
-	for len(c.queue) > 0 && len(c.running) < c.conns {
+	for len(c.queue) > 0 && len(c.running) < c.connections {
 		next := c.queue[0]
 		c.queue = c.queue[1:]
 		if !c.queued[next.ID] {
 			continue
 		}
 		delete(c.queued, next.ID)
-		waited := c.loop.Now() - next.at
+		queuedMs := c.loop.Now() - next.queuedAt
 		if c.loop.Now() >= next.Deadline {
 			c.reply(attempt.Reply{
-				ID: next.ID, Upstream: next.Upstream, Status: attempt.NotSent, Execution: attempt.NotExecuted, QueueMs: waited,
+				ID: next.ID, Upstream: next.Upstream, Status: attempt.NotSent, Execution: attempt.NotExecuted, QueueMs: queuedMs,
 			})
 			continue
 		}
-		c.start(next.Request, waited)
+		c.start(next.Request, queuedMs)
 	}
 }
 
-func (c *queryCarrier) start(req attempt.Request, waited clock.Millis) {
+func (c *queryCarrier) start(req attempt.Request, queuedMs clock.Millis) {
 	c.running[req.ID] = true
-	asked := req.Version
-	if c.newest && asked != 0 {
+	requested := req.Version
+	if c.answersNewest && requested != 0 {
 		req.Version = c.up.HeldVersions[len(c.up.HeldVersions)-1]
 	}
 	c.up.Serve(req, func(r attempt.Reply) {
-		if c.silent || !c.running[r.ID] {
+		if c.unresponsive || !c.running[r.ID] {
 			return
 		}
 		delete(c.running, r.ID)
@@ -82,9 +82,9 @@
 			r = attempt.Reply{ID: r.ID, Upstream: r.Upstream, Status: attempt.Failed}
 		default:
 			r.Rows = c.table.rows(r.Version, r.Ranges)
-			r.Version = asked
+			r.Version = requested
 		}
-		r.QueueMs = waited
+		r.QueueMs = queuedMs
 		c.reply(r)
 		c.dispatch()
 	})
--- a/experiment/querycheck.go
+++ b/experiment/querycheck.go
@@ -28,8 +28,8 @@
 	return rows
 }
 
-// isMixed reports whether rows of an answer come from another version than its snapshot.
-func isMixed(a query.Answer) bool {
+// mixesVersions reports whether rows of an answer come from another version than its snapshot.
+func mixesVersions(a query.Answer) bool {
 	want := fmt.Sprintf("%d:", a.Snapshot)
 	for _, row := range a.Rows {
 		if !strings.HasPrefix(row.Value, want) {
@@ -39,9 +39,9 @@
 	return false
 }
 
-// coverageIsTrue checks an answer key by key: each key has exactly one row or is
+// coverageIsCorrect checks an answer key by key: each key has exactly one row or is
 // reported missing, and the counts and the outcome agree.
-func coverageIsTrue(a query.Answer) bool {
+func coverageIsCorrect(a query.Answer) bool {
 	rows := make([]int, queryKeys)
 	for _, row := range a.Rows {
 		if _, key, _ := strings.Cut(row.Value, ":"); key != strconv.Itoa(int(row.Key)) {
@@ -67,6 +67,6 @@
 			return false
 		}
 	}
-	whole := covered == queryKeys
-	return a.Expected == queryKeys && int(a.Covered) == covered && (a.Outcome == query.Complete) == whole
+	complete := covered == queryKeys
+	return a.Expected == queryKeys && int(a.Covered) == covered && (a.Outcome == query.Complete) == complete
 }
--- a/experiment/querysystem.go
+++ b/experiment/querysystem.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	queryService  = "search"
-	queryGroups   = 20
-	queryReplicas = 2
-	queryKeys     = 200
-	queryPerGroup = queryKeys / queryGroups
+	queryService      = "search"
+	queryGroups       = 20
+	queryReplicas     = 2
+	queryKeys         = 200
+	queryKeysPerGroup = queryKeys / queryGroups
 	// queryHopMs is the way of a reply from the carrier.
 	queryHopMs = 1
 	// queryConns is the connection limit of an upstream today.
@@ -37,34 +37,34 @@
 
 // querySystem drives one query.Model and its upstream.Book against fakes.
 type querySystem struct {
-	loop      *Loop
-	rng       *rand.Rand
-	book      *upstream.Balancer
-	model     *query.Model
-	upstreams [][]*Upstream // by group and replica
-	carriers  map[string]*queryCarrier
-	cancelled map[attempt.ID]bool
-	wakeAt    clock.Millis
-	policy    preset.RankPolicy
-	deadline  clock.Millis
-	minimum   float64 // coverage in percent below which a query fails
-	started   int
-	took      *hdrhistogram.Histogram
-	onAnswer  func(query.Answer)
+	loop        *Loop
+	rng         *rand.Rand
+	balancer    *upstream.Balancer
+	model       *query.Model
+	upstreams   [][]*Upstream // by group and replica
+	carriers    map[string]*queryCarrier
+	cancelled   map[attempt.ID]bool
+	wakeAt      clock.Millis
+	policy      preset.RankPolicy
+	deadline    clock.Millis
+	minCoverage float64 // coverage in percent below which a query fails
+	started     int
+	latency     *hdrhistogram.Histogram
+	onAnswer    func(query.Answer)
 }
 
 // newQuerySystem builds the system. With the mechanism off the choice of
 // upstreams is random and there are neither hedges nor retries.
-func newQuerySystem(seed uint64, on bool) *querySystem {
+func newQuerySystem(seed uint64, enabled bool) *querySystem {
 	s := &querySystem{
 		loop: NewLoop(0), rng: rand.New(rand.NewPCG(seed, 2)),
 		carriers: make(map[string]*queryCarrier), cancelled: make(map[attempt.ID]bool),
-		deadline: 300, took: hdrhistogram.New(1, 100_000, 3), onAnswer: func(query.Answer) {},
+		deadline: 300, latency: hdrhistogram.New(1, 100_000, 3), onAnswer: func(query.Answer) {},
 	}
 	svc := upstream.Service{Name: queryService, Keys: queryKeys}
 	var list []upstream.Upstream
 	for g := range queryGroups {
-		keys := coverage.Range{From: uint32(g * queryPerGroup), To: uint32((g + 1) * queryPerGroup)}
+		keys := coverage.Range{From: uint32(g * queryKeysPerGroup), To: uint32((g + 1) * queryKeysPerGroup)}
 		group := upstream.Group{Name: strconv.Itoa(g), Range: keys}
 		fakes := make([]*Upstream, queryReplicas)
 		for r := range fakes {
@@ -79,14 +79,14 @@
 	}
 	opts := []upstream.Option{upstream.WithSeed(seed), upstream.WithUpstreams(list)}
 	burst := float64(queryBurst)
-	if on {
+	if enabled {
 		s.policy = queryPolicy
 	} else {
 		opts = append(opts, upstream.WithRandomPick())
 		burst = 0
 	}
-	s.book = upstream.New(opts...)
-	s.model = query.New(s.book, query.WithServices(svc), query.WithVM("vm1", 1), query.WithBurst(burst, burst))
+	s.balancer = upstream.New(opts...)
+	s.model = query.New(s.balancer, query.WithServices(svc), query.WithVM("vm1", 1), query.WithBurst(burst, burst))
 	return s
 }
 
@@ -105,7 +105,7 @@
 	s.started++
 	s.update(query.StartMsg{
 		ID: strconv.Itoa(s.started), Rank: rank.Urgent, Service: queryService, Deadline: s.loop.Now() + s.deadline,
-		MinCoverage: s.minimum, Priority: s.rng.Uint32(), Policy: s.policy,
+		MinCoverage: s.minCoverage, Priority: s.rng.Uint32(), Policy: s.policy,
 	})
 }
 
@@ -119,7 +119,7 @@
 			s.carriers[cmd.Upstream].cancel(cmd.ID)
 		case query.AnswerCmd:
 			if s.loop.Now() >= queryWarmUpMs {
-				_ = s.took.RecordValue(int64(cmd.TookMs))
+				_ = s.latency.RecordValue(int64(cmd.TookMs))
 			}
 			s.onAnswer(cmd.Answer)
 		}
@@ -152,7 +152,7 @@
 	return 100 * float64(n.Sent-n.AttemptsNeeded) / float64(n.AttemptsNeeded)
 }
 
-func (s *querySystem) quantileMs(q float64) float64 { return float64(s.took.ValueAtQuantile(q)) }
+func (s *querySystem) quantileMs(q float64) float64 { return float64(s.latency.ValueAtQuantile(q)) }
 
 func (s *querySystem) carrier(group, replica int) *queryCarrier {
 	return s.carriers[queryUpstream(group, replica)]
--- a/experiment/registry.go
+++ b/experiment/registry.go
@@ -22,10 +22,10 @@
 		{"order-interval", "writes and added latency by write interval and rate, against one write per order", OrderInterval},
 		{"presets", "1,000 random histories of changes under faults, against unconditional writes", allPresets},
 		{"spread", "time until a change is in force, against no eager spreading", func(seed uint64) Report { return Spread(seed) }},
-		{"control", "control traffic, processor time and memory by fleet size", wallControl},
+		{"control", "control traffic, processor time and memory by fleet size", timedControl},
 		{"fanout", "sub-requests wasted under five times overload, against an open gate", Fanout},
 		{"failures", "time to agree after the loss of a rack, a data centre and links between regions", func(seed uint64) Report { return Failures(seed) }},
-		{"capacity", "cost of each kind of work by size, extrapolated to the two-year size", wallCapacity},
+		{"capacity", "cost of each kind of work by size, extrapolated to the two-year size", timedCapacity},
 	}
 }
 
@@ -38,10 +38,10 @@
 func allOrders(seed uint64) Report  { return Orders(seed, ordersCount) }
 func allPresets(seed uint64) Report { return Presets(seed, presetsHistories) }
 
-// wallControl and wallCapacity measure processor time with the monotonic clock.
+// timedControl and wallCapacity measure processor time with the monotonic clock.
 // It is the only figure that differs between runs of one seed, besides memory.
-func wallControl(seed uint64) Report  { return Control(seed, nanoseconds) }
-func wallCapacity(seed uint64) Report { return Capacity(seed, nanoseconds) }
+func timedControl(seed uint64) Report  { return Control(seed, nanoseconds) }
+func timedCapacity(seed uint64) Report { return Capacity(seed, nanoseconds) }
 
 // Find returns the experiment with the given name.
 func Find(name string) (Entry, bool) {
--- a/experiment/replicaloss.go
+++ b/experiment/replicaloss.go
@@ -9,20 +9,20 @@
 	lossQueries   = 4_000
 	lossPerSecond = 200
 	lossAtMs      = 4 * clock.Second
-	// lossPeriod loses a replica in every fourth group.
-	lossPeriod = 4
+	// lossGroupInterval loses a replica in every fourth group.
+	lossGroupInterval = 4
 )
 
 // ReplicaLoss loses one replica in a quarter of the groups while queries run.
 // Most of the lost ones refuse connections, one accepts them and never answers.
 // The baseline has a random choice, no retries and no hedges.
 func ReplicaLoss(seed uint64) Report {
-	off := lossRun(seed, false)
-	on := lossRun(seed, true)
+	off := runReplicaLoss(seed, false)
+	on := runReplicaLoss(seed, true)
 	r := Report{Name: "replica-loss", Seed: seed}
 	r.AtMost("queries with missing keys", "", float64(off.incomplete), float64(on.incomplete), 0)
 	r.AtMost("failed queries that had time for a retry", "", float64(off.system.totals().Failed), float64(on.system.totals().Failed), 0)
-	r.AtMost("answers with untrue coverage", "", float64(off.untrue), float64(on.untrue), 0)
+	r.AtMost("answers with untrue coverage", "", float64(off.wrongCoverage), float64(on.wrongCoverage), 0)
 	r.AtLeast("queries answered", "", float64(off.answers), float64(on.answers), lossQueries)
 	r.AddUnbounded("urgent p99", "ms", off.system.quantileMs(99), on.system.quantileMs(99))
 	r.AddUnbounded("extra attempts", "%", off.system.extraPercent(), on.system.extraPercent())
@@ -31,30 +31,30 @@
 }
 
 type lossResult struct {
-	system     *querySystem
-	answers    int
-	incomplete int
-	untrue     int
+	system        *querySystem
+	answers       int
+	incomplete    int
+	wrongCoverage int
 }
 
-func lossRun(seed uint64, on bool) lossResult {
-	s := newQuerySystem(seed, on)
-	s.minimum = 100 // any missing key fails the query
+func runReplicaLoss(seed uint64, enabled bool) lossResult {
+	s := newQuerySystem(seed, enabled)
+	s.minCoverage = 100 // any missing key fails the query
 	result := lossResult{system: s}
 	s.onAnswer = func(a query.Answer) {
 		result.answers++
 		if a.Outcome != query.Complete {
 			result.incomplete++
 		}
-		if isMixed(a) || !coverageIsTrue(a) {
-			result.untrue++
+		if mixesVersions(a) || !coverageIsCorrect(a) {
+			result.wrongCoverage++
 		}
 	}
 	s.loop.At(lossAtMs, func() {
-		for g := 0; g < queryGroups; g += lossPeriod {
-			r := g / lossPeriod % queryReplicas
+		for g := 0; g < queryGroups; g += lossGroupInterval {
+			r := g / lossGroupInterval % queryReplicas
 			if g == 0 {
-				s.carrier(g, r).silent = true
+				s.carrier(g, r).unresponsive = true
 			} else {
 				s.upstreams[g][r].Dead = true
 			}
