--- a/experiment/rollover.go
+++ b/experiment/rollover.go
@@ -33,10 +33,10 @@
 	on.run()
 	r := Report{Name: "rollover", Seed: seed}
 	r.AtMost("answers that mix versions", "", float64(off.mixed), float64(on.mixed), 0)
-	r.AtMost("answers with untrue coverage", "", float64(off.untrue), float64(on.untrue), 0)
+	r.AtMost("answers with untrue coverage", "", float64(off.wrongCoverage), float64(on.wrongCoverage), 0)
 	r.AtLeast("complete where a common version exists", "%", off.completePercent(), on.completePercent(), 99)
 	r.AtLeast("queries answered", "", float64(off.answers), float64(on.answers), rolloverQueries)
-	r.AddUnbounded("answers while no common version existed", "", float64(off.answers-off.common), float64(on.answers-on.common))
+	r.AddUnbounded("answers while no common version existed", "", float64(off.answers-off.withCommon), float64(on.answers-on.withCommon))
 	r.AddUnbounded("attempts of restarts", "", float64(off.system.totals().Restarts), float64(on.system.totals().Restarts))
 	r.AddUnbounded("attempts of epoch gaps", "", float64(off.system.totals().EpochRetries), float64(on.system.totals().EpochRetries))
 	r.AddUnbounded("urgent p99", "ms", off.system.quantileMs(99), on.system.quantileMs(99))
@@ -45,31 +45,31 @@
 }
 
 type rollover struct {
-	system   *querySystem
-	bounds   []uint32 // group g holds the keys from bounds[g] to bounds[g+1]
-	epoch    uint64
-	noCommon []clock.Millis // milliseconds at which some group shared no version with the rest
-	answers  int
-	common   int
-	complete int
-	mixed    int
-	untrue   int
+	system        *querySystem
+	boundaries    []uint32 // group g holds the keys from bounds[g] to bounds[g+1]
+	epoch         uint64
+	commonToggles []clock.Millis // milliseconds at which some group shared no version with the rest
+	answers       int
+	withCommon    int
+	complete      int
+	mixed         int
+	wrongCoverage int
 }
 
-func newRollover(seed uint64, on bool) *rollover {
-	r := &rollover{system: newQuerySystem(seed, on), epoch: 1}
+func newRollover(seed uint64, enabled bool) *rollover {
+	r := &rollover{system: newQuerySystem(seed, enabled), epoch: 1}
 	for g := range queryGroups + 1 {
-		r.bounds = append(r.bounds, uint32(g*queryPerGroup))
+		r.boundaries = append(r.boundaries, uint32(g*queryKeysPerGroup))
 	}
 	for _, c := range r.system.carriers {
-		c.conns = rolloverConns
-		c.newest = !on
+		c.connections = rolloverConns
+		c.answersNewest = !enabled
 	}
 	r.system.onAnswer = r.check
 	return r
 }
 
-func (r *rollover) each(visit func(group int, up *Upstream)) {
+func (r *rollover) eachUpstream(visit func(group int, up *Upstream)) {
 	for g, group := range r.system.upstreams {
 		for _, up := range group {
 			visit(g, up)
@@ -84,7 +84,7 @@
 		loop.At(at, func() { r.release(uint64(n+2), n+1 == rolloverRushed) })
 	}
 	for n := range rolloverMoves {
-		loop.At(queryWarmUpMs+clock.Millis(n)*rolloverMoveMs, r.move)
+		loop.At(queryWarmUpMs+clock.Millis(n)*rolloverMoveMs, r.moveBoundary)
 	}
 	r.system.run(rolloverPerSecond, rolloverQueries)
 }
@@ -92,23 +92,23 @@
 // release brings a version to each upstream at its own time. The old version
 // disappears from each one after the new one is everywhere, or at once if rushed.
 func (r *rollover) release(version uint64, rushed bool) {
-	r.each(func(_ int, up *Upstream) {
-		appear := clock.Millis(r.system.rng.IntN(rolloverSpreadMs))
-		vanish := rolloverSpreadMs + clock.Millis(r.system.rng.IntN(1000))
+	r.eachUpstream(func(_ int, up *Upstream) {
+		loadAfter := clock.Millis(r.system.rng.IntN(rolloverSpreadMs))
+		dropAfter := rolloverSpreadMs + clock.Millis(r.system.rng.IntN(1000))
 		if rushed {
-			appear = clock.Millis(r.system.rng.IntN(rolloverRushLagMs))
-			vanish = appear
+			loadAfter = clock.Millis(r.system.rng.IntN(rolloverRushLagMs))
+			dropAfter = loadAfter
 		}
-		r.system.loop.After(appear, func() { r.hold(up, []uint64{version - 1, version}) })
-		r.system.loop.After(vanish, func() { r.hold(up, []uint64{version}) })
+		r.system.loop.After(loadAfter, func() { r.setHeldVersions(up, []uint64{version - 1, version}) })
+		r.system.loop.After(dropAfter, func() { r.setHeldVersions(up, []uint64{version}) })
 	})
 }
 
-func (r *rollover) hold(up *Upstream, held []uint64) {
+func (r *rollover) setHeldVersions(up *Upstream, held []uint64) {
 	before := r.hasCommon()
 	up.HeldVersions = held
 	if after := r.hasCommon(); before != after {
-		r.noCommon = append(r.noCommon, r.system.loop.Now())
+		r.commonToggles = append(r.commonToggles, r.system.loop.Now())
 	}
 }
 
@@ -128,20 +128,20 @@
 	return false
 }
 
-// move shifts the border between two groups. Each upstream adopts the new
+// moveBoundary shifts the border between two groups. Each upstream adopts the new
 // map at its own time, so that gaps and overlaps appear for a while.
-func (r *rollover) move() {
+func (r *rollover) moveBoundary() {
 	border := 1 + r.system.rng.IntN(queryGroups-1)
-	low, high := r.bounds[border-1]+1, r.bounds[border+1]-1
-	r.bounds = slices.Clone(r.bounds)
-	r.bounds[border] = low + r.system.rng.Uint32N(high-low+1)
+	low, high := r.boundaries[border-1]+1, r.boundaries[border+1]-1
+	r.boundaries = slices.Clone(r.boundaries)
+	r.boundaries[border] = low + r.system.rng.Uint32N(high-low+1)
 	r.epoch++
-	bounds, epoch := r.bounds, r.epoch
-	r.each(func(g int, up *Upstream) {
+	boundaries, epoch := r.boundaries, r.epoch
+	r.eachUpstream(func(g int, up *Upstream) {
 		r.system.loop.After(clock.Millis(r.system.rng.IntN(rolloverMapLagMs)), func() {
 			if up.Epoch < epoch {
 				up.Epoch = epoch
-				up.Ranges = []coverage.Range{{From: bounds[g], To: bounds[g+1]}}
+				up.Ranges = []coverage.Range{{From: boundaries[g], To: boundaries[g+1]}}
 			}
 		})
 	})
@@ -149,17 +149,17 @@
 
 func (r *rollover) check(a query.Answer) {
 	r.answers++
-	if isMixed(a) {
+	if mixesVersions(a) {
 		r.mixed++
 	}
-	if !coverageIsTrue(a) {
-		r.untrue++
+	if !coverageIsCorrect(a) {
+		r.wrongCoverage++
 	}
 	if !r.hadCommon(r.system.loop.Now()-a.TookMs, r.system.loop.Now()) {
 		return
 	}
-	r.common++
-	if a.Outcome == query.Complete && !isMixed(a) {
+	r.withCommon++
+	if a.Outcome == query.Complete && !mixesVersions(a) {
 		r.complete++
 	}
 }
@@ -167,7 +167,7 @@
 // hadCommon reports whether a common version existed all the time between two times.
 func (r *rollover) hadCommon(from, to clock.Millis) bool {
 	has := true
-	for _, change := range r.noCommon {
+	for _, change := range r.commonToggles {
 		if change > from && change <= to {
 			return false
 		}
@@ -179,5 +179,5 @@
 }
 
 func (r *rollover) completePercent() float64 {
-	return 100 * float64(r.complete) / float64(max(r.common, 1))
+	return 100 * float64(r.complete) / float64(max(r.withCommon, 1))
 }
--- a/experiment/spread.go
+++ b/experiment/spread.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	spreadBoundMs               = 4000 // section 1.1 of the design page
-	leavingBoundMs              = 3000
-	spreadLoss                  = 5.0
-	spreadTrials                = 3
-	joinLimit      clock.Millis = 3 * clock.Minute
-	spreadLimit    clock.Millis = clock.Minute
+	spreadBoundMs                  = 4000 // section 1.1 of the design page
+	leavingBoundMs                 = 3000
+	spreadLossPercent              = 5.0
+	spreadTrials                   = 3
+	joinLimit         clock.Millis = 3 * clock.Minute
+	spreadLimit       clock.Millis = clock.Minute
 )
 
 // FleetSizes are the numbers of members at which the control plane is measured.
@@ -30,8 +30,8 @@
 		sizes = FleetSizes
 	}
 	for _, n := range sizes {
-		base := spreadOnce(seed, n, 1, fleet.WithBurstRounds(0))
-		got := spreadOnce(seed, n, spreadTrials)
+		base := measureSpread(seed, n, 1, fleet.WithBurstRounds(0))
+		got := measureSpread(seed, n, spreadTrials)
 		r.AtMost(fmt.Sprintf("change in force, %d VMs", n), "ms", base.record, got.record, spreadBoundMs)
 		r.AtMost(fmt.Sprintf("upstream leaving, %d VMs", n), "ms", base.leaving, got.leaving, leavingBoundMs)
 		r.AddUnbounded(fmt.Sprintf("cold start, %d VMs", n), "ms", base.joined, got.joined)
@@ -44,12 +44,12 @@
 	joined, record, leaving float64
 }
 
-func spreadOnce(seed uint64, n, trials int, opts ...fleet.Option) spreadTimes {
+func measureSpread(seed uint64, n, trials int, opts ...fleet.Option) spreadTimes {
 	f := NewFleet(seed, n)
 	f.Options = opts
 	var t spreadTimes
 	t.joined = f.startAndJoin()
-	f.LossPercent = spreadLoss
+	f.LossPercent = spreadLossPercent
 	for i := range trials {
 		t.record = max(t.record, f.spreadRecord(i))
 		t.leaving = max(t.leaving, f.spreadLeaving(i))
@@ -75,7 +75,7 @@
 func (f *Fleet) spreadRecord(trial int) float64 {
 	f.Store.Down = false
 	f.RunFor(5 * clock.Second)
-	node := f.VMs[f.rng.IntN(len(f.VMs))]
+	vm := f.VMs[f.rng.IntN(len(f.VMs))]
 	change := preset.Change{
 		ID: fmt.Sprintf("spread-%d", trial), Author: "experiment", Reason: "spread", SwitchTo: []string{"peak", "ordinary"}[trial%2],
 	}
@@ -83,7 +83,7 @@
 	// The watches are gone before the write, so that only the peers spread it.
 	f.Store.Fail()
 	f.Store.Down = false
-	f.StartChange(node, change, 10*clock.Second, func(res preset.Result) {
+	f.StartChange(vm, change, 10*clock.Second, func(res preset.Result) {
 		want = res.Record.Revision
 		f.Store.Fail()
 	})
--- a/experiment/stall.go
+++ b/experiment/stall.go
@@ -7,24 +7,24 @@
 
 // Shape of the stall experiment.
 const (
-	stallShare   = 0.1 // of capacity, per rank
+	stallLoad    = 0.1 // of capacity, per rank
 	stallPauseMs = 10 * clock.Second
 	stallMs      = 15 * clock.Second
 )
 
-// stallRun pauses one VM for stallPauseMs while the others carry a light load,
+// runStall pauses one VM for stallPauseMs while the others carry a light load,
 // and returns the load. The paused VM receives no queries itself.
-func stallRun(cfg TierConfig) *TierLoad {
+func runStall(cfg TierConfig) *TierLoad {
 	t := NewTier(cfg)
 	l := NewTierLoad(t, cfg.Seed)
-	l.entries = t.nodes[1:]
+	l.receivers = t.vms[1:]
 	end := t.Loop.Now() + stallMs
 	for _, r := range rank.All() {
-		l.Send(r, stallShare*t.Capacity(), end)
+		l.Send(r, stallLoad*t.Capacity(), end)
 	}
 	t.Loop.RunUntil(t.Loop.Now() + clock.Second)
 	l.Reset()
-	t.nodes[0].resume = t.Loop.Now() + stallPauseMs
+	t.vms[0].pausedUntil = t.Loop.Now() + stallPauseMs
 	t.Loop.RunUntil(end)
 	return l
 }
@@ -36,18 +36,18 @@
 	cfg := DefaultTier(seed)
 	off := cfg
 	off.NoStallDetection = true
-	with, without := stallRun(cfg), stallRun(off)
+	with, without := runStall(cfg), runStall(off)
 	for _, r := range []rank.Rank{rank.Urgent, rank.Ordinary} {
 		a, b := with.Result(r), without.Result(r)
 		report.AddUnbounded(r.String()+" queries not answered whole", "queries", float64(b.Partial+b.Failed), float64(a.Partial+a.Failed))
 		report.AddUnbounded(r.String()+" p99", "ms", b.P99(), a.P99())
 	}
-	report.AtMost("urgent queries not answered whole", "percent", share(without), share(with), 1)
+	report.AtMost("urgent queries not answered whole", "percent", notCompletePercent(without), notCompletePercent(with), 1)
 	report.AtMost("violations", "answers", float64(len(without.Violations())), float64(len(with.Violations())), 0)
 	return report
 }
 
-func share(l *TierLoad) float64 {
+func notCompletePercent(l *TierLoad) float64 {
 	r := l.Result(rank.Urgent)
 	return 100 * float64(r.Partial+r.Failed+r.Refused) / float64(max(r.Sent, 1))
 }
--- a/experiment/straggler.go
+++ b/experiment/straggler.go
@@ -3,7 +3,7 @@
 const (
 	stragglerQueries   = 20_000
 	stragglerPerSecond = 100
-	stragglerShare     = 0.02
+	stragglerRatio     = 0.02
 	stragglerFactor    = 10
 )
 
@@ -11,9 +11,9 @@
 // take 10 times as long. The baseline has a random choice and no hedges. The
 // fault-free p99 is that of the mechanism, which is the lower of the two.
 func Straggler(seed uint64) Report {
-	healthy := stragglerRun(seed, true, false)
-	off := stragglerRun(seed, false, true)
-	on := stragglerRun(seed, true, true)
+	healthy := runStraggler(seed, true, false)
+	off := runStraggler(seed, false, true)
+	on := runStraggler(seed, true, true)
 	free := healthy.quantileMs(99)
 	r := Report{Name: "straggler", Seed: seed}
 	r.AtMost("urgent p99 against fault-free", "ratio", off.quantileMs(99)/free, on.quantileMs(99)/free, 1.5)
@@ -27,12 +27,12 @@
 	return r
 }
 
-func stragglerRun(seed uint64, on, faults bool) *querySystem {
-	s := newQuerySystem(seed, on)
+func runStraggler(seed uint64, enabled, faults bool) *querySystem {
+	s := newQuerySystem(seed, enabled)
 	if faults {
 		for _, group := range s.upstreams {
 			for _, up := range group {
-				up.SlowRatio, up.SlowRequestFactor = stragglerShare, stragglerFactor
+				up.SlowRatio, up.SlowRequestFactor = stragglerRatio, stragglerFactor
 			}
 		}
 		s.upstreams[7][0].SlowFactor = stragglerFactor
--- a/experiment/tier.go
+++ b/experiment/tier.go
@@ -16,11 +16,11 @@
 
 // Delays of the fakes around a Tier.
 const (
-	tierStart  clock.Millis = 1_700_000_000_000
-	tierHopMs  clock.Millis = 1 // between VMs, and between a VM and an upstream
-	tierOpenMs clock.Millis = 6 // to open a connection to an upstream
-	tierWarmUp clock.Millis = 5 * clock.Second
-	keysEach   uint32       = 100
+	tierStart    clock.Millis = 1_700_000_000_000
+	tierHopMs    clock.Millis = 1 // between VMs, and between a VM and an upstream
+	tierOpenMs   clock.Millis = 6 // to open a connection to an upstream
+	tierWarmUpMs clock.Millis = 5 * clock.Second
+	keysPerGroup uint32       = 100
 )
 
 // TierConfig describes a fleet of whole cores with its upstreams.
@@ -55,24 +55,24 @@
 	Upstreams map[string]*Upstream
 	Store     *TierStore
 
-	nodes   []*tierNode
-	byID    map[string]*tierNode
-	ids     []string // of the upstreams, in order
-	rng     *rand.Rand
-	calls   uint64
-	pending map[uint64]func(vm.Cmd) // callers that wait
+	vms         []*tierVM
+	byID        map[string]*tierVM
+	upstreamIDs []string // of the upstreams, in order
+	rng         *rand.Rand
+	lastCallID  uint64
+	pending     map[uint64]func(vm.Cmd) // callers that wait
 }
 
-// tierNode is one VM of a Tier.
-type tierNode struct {
-	tier   *Tier
-	self   fleet.VM
-	core   *vm.Core
-	wake   clock.Millis
-	life   int // raised by each stop, so that old callbacks are ignored
-	dead   bool
-	resume clock.Millis // paused until this time
-	held   int          // messages that came during a pause
+// tierVM is one VM of a Tier.
+type tierVM struct {
+	tier        *Tier
+	self        fleet.VM
+	core        *vm.Core
+	nextWake    clock.Millis
+	generation  int // raised by each stop, so that old callbacks are ignored
+	dead        bool
+	pausedUntil clock.Millis // paused until this time
+	delayedMsgs int          // messages that came during a pause
 
 	seed     uint64
 	services []upstream.Service
@@ -82,23 +82,23 @@
 func NewTier(cfg TierConfig) *Tier {
 	loop := NewLoop(tierStart)
 	t := &Tier{
-		Loop: loop, Config: cfg, Upstreams: make(map[string]*Upstream), byID: make(map[string]*tierNode),
+		Loop: loop, Config: cfg, Upstreams: make(map[string]*Upstream), byID: make(map[string]*tierVM),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 77)), pending: make(map[uint64]func(vm.Cmd)),
 	}
 	t.Store = newTierStore(loop, rand.New(rand.NewPCG(cfg.Seed, 78)))
 	services := t.services()
 	for i := range cfg.VMs {
-		t.startNode(i, services)
+		t.startVM(i, services)
 	}
-	loop.RunUntil(loop.Now() + tierWarmUp)
+	loop.RunUntil(loop.Now() + tierWarmUpMs)
 	return t
 }
 
 func (t *Tier) services() []upstream.Service {
-	svc := upstream.Service{Name: "search", Keys: uint32(t.Config.Groups) * keysEach}
+	svc := upstream.Service{Name: "search", Keys: uint32(t.Config.Groups) * keysPerGroup}
 	for g := range t.Config.Groups {
 		name := fmt.Sprintf("g%02d", g)
-		keys := coverage.Range{From: uint32(g) * keysEach, To: uint32(g+1) * keysEach}
+		keys := coverage.Range{From: uint32(g) * keysPerGroup, To: uint32(g+1) * keysPerGroup}
 		group := upstream.Group{Name: name, Range: keys}
 		for r := range t.Config.Replicas {
 			id := upstream.ID(fmt.Sprintf("search/%s/%d", name, r))
@@ -108,7 +108,7 @@
 			up := NewUpstream(t.Loop, rand.New(rand.NewPCG(t.Config.Seed, uint64(1000+g*10+r))), keys)
 			up.MedianMs = t.Config.MedianMs
 			t.Upstreams[string(id)] = up
-			t.ids = append(t.ids, string(id))
+			t.upstreamIDs = append(t.upstreamIDs, string(id))
 		}
 		svc.Groups = append(svc.Groups, group)
 	}
@@ -119,20 +119,20 @@
 	return list
 }
 
-func (t *Tier) startNode(i int, services []upstream.Service) {
+func (t *Tier) startVM(i int, services []upstream.Service) {
 	self := fleet.VM{
 		ID: fmt.Sprintf("vm-%d", i+1), Address: fmt.Sprintf("10.0.0.%d:1", i+1),
 		DataCentre: fmt.Sprintf("dc-%d", i%3+1), Incarnation: uint64(t.Loop.Now()) + uint64(i),
 	}
-	n := &tierNode{tier: t, self: self, seed: t.Config.Seed + uint64(i), services: services}
+	n := &tierVM{tier: t, self: self, seed: t.Config.Seed + uint64(i), services: services}
 	n.core = n.newCore()
-	t.nodes = append(t.nodes, n)
+	t.vms = append(t.vms, n)
 	t.byID[self.ID] = n
 	t.Loop.After(clock.Millis(i), func() { n.update(vm.TickMsg{}) })
-	t.pollRoster(n)
+	t.pollVMList(n)
 }
 
-func (n *tierNode) newCore() *vm.Core {
+func (n *tierVM) newCore() *vm.Core {
 	t := n.tier
 	opts := []vm.Option{
 		vm.WithSelf(n.self), vm.WithSeed(n.seed), vm.WithServices(n.services...),
@@ -148,74 +148,74 @@
 	return vm.New(opts...)
 }
 
-// pollRoster gives a VM the list of VMs every second, as its runtime would.
-func (t *Tier) pollRoster(n *tierNode) {
-	life := n.life
+// pollVMList gives a VM the list of VMs every second, as its runtime would.
+func (t *Tier) pollVMList(n *tierVM) {
+	generation := n.generation
 	t.Loop.After(clock.Second, func() {
-		if n.dead || n.life != life {
+		if n.dead || n.generation != generation {
 			return
 		}
 		var list []fleet.VM
-		for _, other := range t.nodes {
+		for _, other := range t.vms {
 			if !other.dead {
 				v := other.self
 				v.Incarnation = 0 // the platform's list does not know processes
 				list = append(list, v)
 			}
 		}
-		n.update(vm.ListedVMsMsg{VMs: t.Config.Hooks.roster(n.self.ID, list)})
-		t.pollRoster(n)
+		n.update(vm.ListedVMsMsg{VMs: t.Config.Hooks.mapVMList(n.self.ID, list)})
+		t.pollVMList(n)
 	})
 }
 
 // update runs one message through the core and performs its commands.
-func (n *tierNode) update(msg vm.Msg) {
+func (n *tierVM) update(msg vm.Msg) {
 	if n.dead {
 		return
 	}
 	now := n.tier.Loop.Now()
-	if now < n.resume {
-		n.held++
-		life := n.life
-		n.tier.Loop.At(n.resume, func() {
-			if n.life == life {
+	if now < n.pausedUntil {
+		n.delayedMsgs++
+		generation := n.generation
+		n.tier.Loop.At(n.pausedUntil, func() {
+			if n.generation == generation {
 				n.update(msg)
 			}
 		})
 		return
 	}
 	hooks := &n.tier.Config.Hooks
-	hooks.before(n.self.ID, msg)
+	hooks.beforeUpdate(n.self.ID, msg)
 	for _, cmd := range n.core.Update(now, msg) {
-		for _, c := range hooks.commands(n.self.ID, cmd) {
+		for _, c := range hooks.mapCmd(n.self.ID, cmd) {
 			n.perform(c)
 		}
 	}
-	hooks.after(n)
+	hooks.afterUpdate(n)
 	n.schedule()
 }
 
 // schedule makes sure that a tick comes at the core's next wake.
-func (n *tierNode) schedule() {
+func (n *tierVM) schedule() {
 	at, ok := n.core.NextWake()
 	if !ok {
 		return
 	}
 	at = max(at, n.tier.Loop.Now()+1)
-	if n.wake > n.tier.Loop.Now() && n.wake <= at {
+	if n.nextWake > n.tier.Loop.Now() && n.nextWake <= at {
 		return
 	}
-	n.wake = at
-	life := n.life
+	n.nextWake = at
+	generation := n.generation
 	n.tier.Loop.At(at, func() {
-		if n.life == life && n.wake == at {
-			n.wake = 0
+		if n.generation == generation && n.nextWake == at {
+			n.nextWake = 0
 			n.update(vm.TickMsg{})
 		}
 	})
 }
 
-func (n *tierNode) perform(cmd vm.Cmd) {
+func (n *tierVM) perform(cmd vm.Cmd) {
 	t := n.tier
 	switch m := cmd.(type) {
 	case vm.AnswerQueryCmd:
@@ -242,16 +242,16 @@
 	}
 }
 
-func (n *tierNode) dispatch(m vm.DispatchCmd) {
-	t, life := n.tier, n.life
+func (n *tierVM) dispatch(m vm.DispatchCmd) {
+	t, generation := n.tier, n.generation
 	delay := tierHopMs
 	if m.NewConn {
 		delay += tierOpenMs
 	}
 	t.Loop.After(delay, func() {
 		t.Upstreams[m.Request.Upstream].Serve(m.Request, func(r attempt.Reply) {
-			t.Config.Hooks.reply(t.Loop, m.Request, r, func(r attempt.Reply) {
-				if n.life == life {
+			t.Config.Hooks.deliverReply(t.Loop, m.Request, r, func(r attempt.Reply) {
+				if n.generation == generation {
 					n.update(vm.ReplyMsg{Reply: r})
 				}
 			})
@@ -261,53 +261,53 @@
 
 // abort frees the connection at once. The fake upstream finishes the work all
 // the same, as a real one that notices the cancellation late would.
-func (n *tierNode) abort(m vm.AbortCmd) {
-	life := n.life
+func (n *tierVM) abort(m vm.AbortCmd) {
+	generation := n.generation
 	n.tier.Loop.After(2*tierHopMs, func() {
-		if n.life == life {
+		if n.generation == generation {
 			n.update(vm.AbortedMsg{ID: m.ID})
 		}
 	})
 }
 
-func (n *tierNode) pollLoad(id upstream.ID) {
-	t, life := n.tier, n.life
+func (n *tierVM) pollLoad(id upstream.ID) {
+	t, generation := n.tier, n.generation
 	t.Loop.After(2*tierHopMs, func() {
-		if n.life != life {
+		if n.generation != generation {
 			return
 		}
 		up := t.Upstreams[string(id)]
 		load := upstream.Load{Healthy: true, Leaving: up.Leaving, HeldVersions: up.HeldVersions}
-		n.update(vm.LoadMsg{Upstream: id, OK: !up.Dead, Load: t.Config.Hooks.load(id, load)})
+		n.update(vm.LoadMsg{Upstream: id, OK: !up.Dead, Load: t.Config.Hooks.mapLoad(id, load)})
 	})
 }
 
-func (n *tierNode) callStore(m vm.StoreCmd) {
-	life := n.life
+func (n *tierVM) callStore(m vm.StoreCmd) {
+	generation := n.generation
 	n.tier.Store.Call(m.Request, func(r store.Reply) {
-		if n.life == life {
+		if n.generation == generation {
 			n.update(vm.StoreMsg{Reply: r})
 		}
 	})
 }
 
-func (n *tierNode) sendPeer(m vm.SendPeerCmd) {
-	t, life := n.tier, n.life
+func (n *tierVM) sendPeer(m vm.SendPeerCmd) {
+	t, generation := n.tier, n.generation
 	to := t.byID[m.To]
 	if to == nil || to.dead {
 		t.Loop.After(tierHopMs, func() {
-			if n.life == life {
+			if n.generation == generation {
 				n.update(vm.PeerUnsentMsg{To: m.To, Body: m.Body})
 			}
 		})
 		return
 	}
-	from, toLife := n.self.ID, to.life
-	if t.Config.Hooks.cut(from, m.To) {
+	from, toGeneration := n.self.ID, to.generation
+	if t.Config.Hooks.linkCut(from, m.To) {
 		return
 	}
 	t.Loop.After(tierHopMs, func() {
-		if to.life == toLife {
+		if to.generation == toGeneration {
 			to.update(vm.PeerMsg{From: from, Stamp: m.Stamp, Body: m.Body})
 		}
 	})
--- a/experiment/tier_connections.go
+++ b/experiment/tier_connections.go
@@ -6,7 +6,7 @@
 // of a VM that ended are closed.
 func (t *Tier) OpenConnections(upstream string) int {
 	open := 0
-	for _, n := range t.nodes {
+	for _, n := range t.vms {
 		if !n.dead {
 			open += n.core.OpenConnections(upstream)
 		}
@@ -18,18 +18,18 @@
 // the highest number of open connections to one of them.
 func (t *Tier) TrackPeakConnections(end clock.Millis) *PeakConnections {
 	p := &PeakConnections{}
-	var look func()
-	look = func() {
-		for _, id := range t.ids {
+	var sample func()
+	sample = func() {
+		for _, id := range t.upstreamIDs {
 			if n := t.OpenConnections(id); n > p.OpenConns {
 				p.OpenConns, p.Upstream, p.At = n, id, t.Loop.Now()-tierStart
 			}
 		}
 		if t.Loop.Now() < end {
-			t.Loop.After(1, look)
+			t.Loop.After(1, sample)
 		}
 	}
-	look()
+	sample()
 	return p
 }
 
--- a/experiment/tier_hooks.go
+++ b/experiment/tier_hooks.go
@@ -25,26 +25,26 @@
 	LinkCut      func(from, to string) bool
 }
 
-func (h *TierHooks) before(id string, msg vm.Msg) {
+func (h *TierHooks) beforeUpdate(id string, msg vm.Msg) {
 	if h.BeforeUpdate != nil {
 		h.BeforeUpdate(id, msg)
 	}
 }
 
-func (h *TierHooks) after(n *tierNode) {
+func (h *TierHooks) afterUpdate(n *tierVM) {
 	if h.AfterUpdate != nil {
 		h.AfterUpdate(n.self.ID, n.core)
 	}
 }
 
-func (h *TierHooks) commands(id string, cmd vm.Cmd) []vm.Cmd {
+func (h *TierHooks) mapCmd(id string, cmd vm.Cmd) []vm.Cmd {
 	if h.MapCmd == nil {
 		return []vm.Cmd{cmd}
 	}
 	return h.MapCmd(id, cmd)
 }
 
-func (h *TierHooks) reply(loop *Loop, req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
+func (h *TierHooks) deliverReply(loop *Loop, req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
 	loop.After(tierHopMs, func() {
 		if h.DeliverReply == nil {
 			deliver(r)
@@ -54,21 +54,21 @@
 	})
 }
 
-func (h *TierHooks) load(id upstream.ID, load upstream.Load) upstream.Load {
+func (h *TierHooks) mapLoad(id upstream.ID, load upstream.Load) upstream.Load {
 	if h.MapLoad == nil {
 		return load
 	}
 	return h.MapLoad(id, load)
 }
 
-func (h *TierHooks) roster(id string, list []fleet.VM) []fleet.VM {
+func (h *TierHooks) mapVMList(id string, list []fleet.VM) []fleet.VM {
 	if h.MapVMList == nil {
 		return list
 	}
 	return h.MapVMList(id, list)
 }
 
-func (h *TierHooks) cut(from, to string) bool { return h.LinkCut != nil && h.LinkCut(from, to) }
+func (h *TierHooks) linkCut(from, to string) bool { return h.LinkCut != nil && h.LinkCut(from, to) }
 
 // orderService describes the upstreams that take orders.
 func (t *Tier) orderService() upstream.Service {
@@ -83,7 +83,7 @@
 			up := NewUpstream(t.Loop, rand.New(rand.NewPCG(t.Config.Seed, uint64(5000+g*10+r))), coverage.Range{})
 			up.MedianMs, up.Ranges, up.HeldVersions = t.Config.MedianMs, nil, nil
 			t.Upstreams[string(id)] = up
-			t.ids = append(t.ids, string(id))
+			t.upstreamIDs = append(t.upstreamIDs, string(id))
 		}
 		svc.Groups = append(svc.Groups, group)
 	}
@@ -97,12 +97,12 @@
 		return
 	}
 	n.dead = true
-	n.life++
-	for _, other := range t.nodes {
+	n.generation++
+	for _, other := range t.vms {
 		if other != n && !other.dead {
-			life := other.life
+			generation := other.generation
 			t.Loop.After(tierHopMs, func() {
-				if other.life == life {
+				if other.generation == generation {
 					other.update(vm.PeerDisconnectedMsg{VM: id})
 				}
 			})
@@ -116,33 +116,33 @@
 	if !n.dead {
 		return
 	}
-	n.dead, n.wake, n.resume = false, 0, 0
-	n.life++
+	n.dead, n.nextWake, n.pausedUntil = false, 0, 0
+	n.generation++
 	n.self.Incarnation = uint64(t.Loop.Now())
 	n.core = n.newCore()
 	n.update(vm.TickMsg{})
-	t.pollRoster(n)
+	t.pollVMList(n)
 }
 
 // Pause holds every message to a VM back for d. They arrive when it resumes.
 func (t *Tier) Pause(id string, d clock.Millis) {
 	n := t.byID[id]
-	n.resume = max(n.resume, t.Loop.Now()+d)
+	n.pausedUntil = max(n.pausedUntil, t.Loop.Now()+d)
 }
 
 // Stop begins the planned stop of a VM. The process ends once it has drained;
 // done receives the time that this took.
 func (t *Tier) Stop(id string, done func(clock.Millis)) {
 	n := t.byID[id]
-	life, begin := n.life, t.Loop.Now()
+	generation, begin := n.generation, t.Loop.Now()
 	n.update(vm.StopMsg{})
 	var poll func()
 	poll = func() {
-		if n.life != life {
+		if n.generation != generation {
 			return
 		}
-		if t.Loop.Now() < n.resume {
-			t.Loop.At(n.resume+10, poll) // a paused process cannot end itself
+		if t.Loop.Now() < n.pausedUntil {
+			t.Loop.At(n.pausedUntil+10, poll) // a paused process cannot end itself
 			return
 		}
 		if n.core.Drained(t.Loop.Now()) {
--- a/experiment/tier_load.go
+++ b/experiment/tier_load.go
@@ -38,17 +38,17 @@
 
 // TierLoad sends queries to a Tier at Poisson-distributed times.
 type TierLoad struct {
-	tier    *Tier
-	rng     *rand.Rand
-	results *rank.Table[RankResult]
-	fail    []string // violations of what must always hold
-	next    int
-	entries []*tierNode // VMs that receive queries, in turn
+	tier       *Tier
+	rng        *rand.Rand
+	results    *rank.Table[RankResult]
+	violations []string // violations of what must always hold
+	next       int
+	receivers  []*tierVM // VMs that receive queries, in turn
 }
 
 // NewTierLoad returns a load generator with its own seed.
 func NewTierLoad(t *Tier, seed uint64) *TierLoad {
-	l := &TierLoad{tier: t, entries: t.nodes, rng: rand.New(rand.NewPCG(seed, 99))}
+	l := &TierLoad{tier: t, receivers: t.vms, rng: rand.New(rand.NewPCG(seed, 99))}
 	l.Reset()
 	return l
 }
@@ -66,7 +66,7 @@
 func (l *TierLoad) Result(r rank.Rank) *RankResult { return l.results.Ref(r) }
 
 // Violations returns what did not hold.
-func (l *TierLoad) Violations() []string { return l.fail }
+func (l *TierLoad) Violations() []string { return l.violations }
 
 // Send starts a stream of queries at the given rate until end.
 func (l *TierLoad) Send(r rank.Rank, perSecond float64, end clock.Millis) {
@@ -88,36 +88,36 @@
 	schedule()
 }
 
-// choose returns the next VM that is ready, as the balancer of the platform does.
-func (l *TierLoad) choose() *tierNode {
-	for range l.entries {
-		n := l.entries[l.next%len(l.entries)]
+// pickVM returns the next VM that is ready, as the balancer of the platform does.
+func (l *TierLoad) pickVM() *tierVM {
+	for range l.receivers {
+		n := l.receivers[l.next%len(l.receivers)]
 		l.next++
 		if ready, _ := n.core.Ready(); ready && !n.dead {
 			return n
 		}
 	}
-	return l.entries[l.next%len(l.entries)]
+	return l.receivers[l.next%len(l.receivers)]
 }
 
 func (l *TierLoad) query(r rank.Rank) {
 	t := l.tier
-	n := l.choose()
-	t.calls++
-	call, start, res := t.calls, t.Loop.Now(), l.results.Ref(r)
-	id := fmt.Sprintf("q%d", call)
-	res.Sent++
-	res.Open++
-	t.pending[call] = func(cmd vm.Cmd) {
-		res.Open--
+	n := l.pickVM()
+	t.lastCallID++
+	callID, start, result := t.lastCallID, t.Loop.Now(), l.results.Ref(r)
+	id := fmt.Sprintf("q%d", callID)
+	result.Sent++
+	result.Open++
+	t.pending[callID] = func(cmd vm.Cmd) {
+		result.Open--
 		a := cmd.(vm.AnswerQueryCmd).Answer
 		if a.Outcome == vm.Complete {
 			l.results.Ref(r).Finished++
 		}
 		l.check(id, a)
-		res.record(a, t.Loop.Now()-start)
+		result.record(a, t.Loop.Now()-start)
 	}
-	n.update(vm.QueryMsg{CallID: call, ID: id, Rank: r, Service: "search", MinCoverage: -1})
+	n.update(vm.QueryMsg{CallID: callID, ID: id, Rank: r, Service: "search", MinCoverage: -1})
 }
 
 func (r *RankResult) record(a vm.QueryAnswer, took clock.Millis) {
@@ -144,7 +144,7 @@
 // coverage adds up.
 func (l *TierLoad) check(id string, a vm.QueryAnswer) {
 	if a.ID != id {
-		l.fail = append(l.fail, fmt.Sprintf("%s received the answer to %s", id, a.ID))
+		l.violations = append(l.violations, fmt.Sprintf("%s received the answer to %s", id, a.ID))
 	}
 	var missing uint32
 	for _, gap := range a.Missing {
@@ -152,8 +152,8 @@
 	}
 	switch {
 	case a.Covered+missing != a.Expected:
-		l.fail = append(l.fail, fmt.Sprintf("%s covers %d and misses %d of %d keys", id, a.Covered, missing, a.Expected))
+		l.violations = append(l.violations, fmt.Sprintf("%s covers %d and misses %d of %d keys", id, a.Covered, missing, a.Expected))
 	case a.Outcome == vm.Complete && (missing > 0 || a.Expected == 0):
-		l.fail = append(l.fail, id+" is called complete but is not")
+		l.violations = append(l.violations, id+" is called complete but is not")
 	}
 }
--- a/experiment/tier_store.go
+++ b/experiment/tier_store.go
@@ -32,17 +32,17 @@
 // Call performs r and calls done with its reply 2 to 5 ms later.
 func (s *TierStore) Call(r store.Request, done func(store.Reply)) {
 	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
-	s.loop.After(s.half(), func() {
+	s.loop.After(s.halfDelay(), func() {
 		if s.Down {
 			s.Failed++
 			reply.Kind = store.KindUnavailable
-			s.loop.After(s.half(), func() { done(reply) })
+			s.loop.After(s.halfDelay(), func() { done(reply) })
 			return
 		}
 		if e := s.entries[r.Key]; r.Op == store.OpWatch && e.Revision <= r.Revision {
 			s.watches[r.Key] = append(s.watches[r.Key], func(e store.Entry) {
 				reply.Entry = e
-				s.loop.After(s.half(), func() { done(reply) })
+				s.loop.After(s.halfDelay(), func() { done(reply) })
 			})
 			return
 		}
@@ -50,11 +50,13 @@
 		if write := r.Op == store.OpSwap || r.Op == store.OpDelete; write && reply.Kind == store.KindOK && s.LoseReply != nil && s.LoseReply(r) {
 			reply.Kind, reply.Entry = store.KindUnknown, store.Entry{}
 		}
-		s.loop.After(s.half(), func() { done(reply) })
+		s.loop.After(s.halfDelay(), func() { done(reply) })
 	})
 }
 
-func (s *TierStore) half() clock.Millis { return 1 + clock.Millis(s.rng.Int64N(2)) + s.ExtraDelayMs/2 }
+func (s *TierStore) halfDelay() clock.Millis {
+	return 1 + clock.Millis(s.rng.Int64N(2)) + s.ExtraDelayMs/2
+}
 
 func (s *TierStore) apply(r store.Request) (store.Kind, store.Entry) {
 	old := s.entries[r.Key]
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -34,12 +34,12 @@
 	OnStart       func(attempt.Request)
 	CompleteReply func(attempt.Request, *attempt.Reply)
 
-	loop    *Loop
-	rng     *rand.Rand
-	busy    int
-	waiting []func()
-	started int
-	ran     map[string]int
+	loop       *Loop
+	rng        *rand.Rand
+	running    int
+	queue      []func()
+	started    int
+	executions map[string]int
 }
 
 // NewUpstream returns a healthy fake with one snapshot version.
@@ -47,7 +47,7 @@
 	return &Upstream{
 		MedianMs: 8, Sigma: 0.35, SlowFactor: 1, SlowRequestFactor: 10, ColdFactor: 5,
 		HeldVersions: []uint64{1}, Epoch: 1, Ranges: []coverage.Range{keys},
-		loop: loop, rng: rng, ran: make(map[string]int),
+		loop: loop, rng: rng, executions: make(map[string]int),
 	}
 }
 
@@ -55,7 +55,7 @@
 func (u *Upstream) Started() int { return u.started }
 
 // Executions returns how often the order with the given id was run.
-func (u *Upstream) Executions(id string) int { return u.ran[id] }
+func (u *Upstream) Executions(id string) int { return u.executions[id] }
 
 // Serve handles one request and calls done with its reply in virtual time.
 // A dead upstream refuses the connection.
@@ -70,7 +70,7 @@
 		return
 	}
 	begin := u.loop.Now()
-	work := func() {
+	execute := func() {
 		u.run(req, func() {
 			reply.Status, reply.Execution, reply.Version = attempt.OK, attempt.Executed, req.Version
 			reply.Epoch, reply.Ranges, reply.HeldVersions, reply.Leaving = u.Epoch, u.Ranges, u.HeldVersions, u.Leaving
@@ -81,11 +81,11 @@
 			done(reply)
 		})
 	}
-	if u.Workers > 0 && u.busy >= u.Workers {
-		u.waiting = append(u.waiting, work)
+	if u.Workers > 0 && u.running >= u.Workers {
+		u.queue = append(u.queue, execute)
 		return
 	}
-	work()
+	execute()
 }
 
 func (u *Upstream) refusal(req attempt.Request) (attempt.Status, bool) {
@@ -94,7 +94,7 @@
 		return attempt.ConnRefused, true
 	case u.Leaving:
 		return attempt.Leaving, true
-	case u.ShedAbove > 0 && len(u.waiting) >= u.ShedAbove:
+	case u.ShedAbove > 0 && len(u.queue) >= u.ShedAbove:
 		return attempt.Shed, true
 	case req.Kind == attempt.Query && !u.holds(req.Version):
 		return attempt.VersionGone, true
@@ -103,20 +103,20 @@
 }
 
 func (u *Upstream) run(req attempt.Request, finish func()) {
-	u.busy++
+	u.running++
 	u.started++
 	if req.Kind == attempt.Order {
-		u.ran[req.OrderID]++
+		u.executions[req.OrderID]++
 	}
 	if u.OnStart != nil {
 		u.OnStart(req)
 	}
 	u.loop.After(u.serviceTime(), func() {
-		u.busy--
+		u.running--
 		finish()
-		if len(u.waiting) > 0 {
-			next := u.waiting[0]
-			u.waiting = u.waiting[1:]
+		if len(u.queue) > 0 {
+			next := u.queue[0]
+			u.queue = u.queue[1:]
 			next()
 		}
 	})
