--- a/experiment/capacity.go
+++ b/experiment/capacity.go
@@ -9,7 +9,7 @@
 const (
 	targetVMs        = 1600.0
 	targetUpstreams  = 9500.0
-	targetQueries    = 230_000.0 // per second in the whole fleet
+	targetQueries    = 230_000.0 // per second, in the whole fleet
 	targetGroups     = 98.0
 	targetDeadlineMs = 180.0
 	dataCentres      = 9.0
@@ -17,19 +17,20 @@
 	storeValueBytes  = 1e6
 )
 
-// Rates per VM that follow from the sizes.
+// Rates per VM that follow from these sizes.
 const (
 	queriesPerVM  = targetQueries / targetVMs
 	attemptsPerVM = queriesPerVM * targetGroups
-	// A restart is one leaving and one joining, and so is a failure with its replacement.
+	// Each restart removes and adds a member, and so does each failure with its replacement.
 	memberChangesPerSecond = 2 * (restartsPerDay + failuresPerDay) / secondsPerDay
 )
 
-// Capacity measures what one unit of each kind of work costs the pure machines
-// at several sizes, and extrapolates to the two-year size. cpu returns the
-// nanoseconds of a running clock; without it, processor time is not measured.
-// The run is single-threaded, so elapsed time overstates processor time if the
-// machine is busy. HTTP, system calls and the stream library are not included.
+// Capacity measures the cost of one unit of each kind of work in the state
+// machines at several sizes, and extrapolates it to the expected size of the
+// fleet in two years. cpu returns the nanoseconds of a running clock; if it is
+// nil, processor time is not measured. The run is single-threaded, so elapsed
+// time overstates processor time on a busy machine. HTTP, system calls and the
+// stream library are not included.
 func Capacity(seed uint64, cpu func() int64) Report {
 	r := Report{Name: "capacity", Seed: seed}
 	m := meter{cpu: cpu}
@@ -46,17 +47,17 @@
 	return r
 }
 
-// capacityCosts are the costs at the largest size that was measured.
+// capacityCosts holds the costs at the largest measured size.
 type capacityCosts struct {
 	query, attempt, decision   cost
-	encode, decode             cost // of a forward and its result together
+	encode, decode             cost // of a forward and its result, summed
 	join, leave, leaveDC       cost
 	vmListUpdate, status       cost
 	statusBytes                float64
-	forwardAndResultBytes      float64 // a forward and its result on the wire
+	forwardAndResultBytes      float64 // encoded size of a forward and its result, summed
 	openQueryBytes             float64
 	balancerBytes, tableBytes  float64 // per upstream
-	claimBytes, claimWireBytes float64 // per claim, in an owner and in the store
+	claimBytes, claimWireBytes float64 // per claim, in the memory of its owner and in the store
 	eventBytes                 float64
 }
 
@@ -66,7 +67,7 @@
 // meter measures processor time and allocations.
 type meter struct{ cpu func() int64 }
 
-// measure runs f, which performs n units of work, and returns the cost of one.
+// measure runs f, which performs n units of work, and returns the cost of one unit.
 func (m meter) measure(n int, f func()) cost {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -88,7 +89,7 @@
 	}
 }
 
-// report adds the figures of one size.
+// report adds the figures of cost c for one size.
 func (m meter) report(r *Report, c cost, what, size string) {
 	if m.cpu != nil {
 		r.AddUnbounded(what+" time"+size, "us", 0, c.ns/1e3)
@@ -97,9 +98,9 @@
 	r.AddUnbounded(what+" allocated"+size, "bytes", 0, c.bytes)
 }
 
-// heapGrowth returns the bytes that what build returned keeps in use.
+// heapGrowth returns the heap bytes that the value returned by build keeps in use, and that value.
 func heapGrowth[T any](build func() T) (float64, T) {
-	runtime.GC() // pooled buffers are freed by the second collection only
+	runtime.GC() // pooled buffers are only freed by the second collection
 	before := heapBytes()
 	built := build()
 	runtime.GC()
@@ -108,7 +109,7 @@
 	return after - before, built
 }
 
-// extrapolate works out the two-year size from the costs.
+// extrapolate computes the figures of the two-year size from the measured costs.
 func (c *capacityCosts) extrapolate(r *Report, m meter) {
 	if m.cpu != nil {
 		c.extrapolateTime(r)
@@ -136,7 +137,7 @@
 	corePercent := func(ns, perSecond float64) float64 { return 100 * ns * perSecond / 1e9 }
 	query := corePercent(c.query.ns, queriesPerVM)
 	pool := corePercent(c.attempt.ns, attemptsPerVM)
-	// Each VM encodes and decodes as caller and again as carrier.
+	// Each VM encodes and decodes both as the sender and as the carrier of delegated work.
 	peer := corePercent(c.encode.ns+c.decode.ns, 2*attemptsPerVM)
 	admission := corePercent(c.decision.ns, queriesPerVM)
 	r.AddUnbounded("two years: query machine of a VM", "% core", 0, query)
--- a/experiment/capacity_order.go
+++ b/experiment/capacity_order.go
@@ -10,16 +10,16 @@
 
 const (
 	claimSeconds = 20
-	// With fewer claims the memory of one cannot be told from that of the machine itself.
+	// With fewer claims, the memory of a claim is lost in that of the state machine.
 	minClaimsForMemory = 10_000
 	claimStepMs        = 10
-	// A done mark follows its claim after the wait for the batch and the work of the upstream.
+	// Delay from a claim to its done mark: the wait for the batch and the service time of the upstream.
 	doneDelayMs = 80
-	// The head is sealed into a segment at this size.
+	// Size at which the head is sealed into a segment.
 	sealThreshold = 64 << 10
 )
 
-// measureClaims measures the store calls of the claim owners by rate, and the memory of a claim.
+// measureClaims measures the store calls of the claim owners by order rate, and the memory per claim.
 func (c *capacityCosts) measureClaims(r *Report, m meter) {
 	for _, perSecond := range []int{10, 100, 1000, 10_000} {
 		size := fmt.Sprintf(", %d orders/s", perSecond)
@@ -45,7 +45,7 @@
 	}
 }
 
-// claimHarness is the owner of all partitions with a store that answers at once.
+// claimHarness runs the owner of all partitions against a store that replies immediately.
 type claimHarness struct {
 	model                                     *order.Model
 	now                                       clock.Millis
@@ -53,7 +53,7 @@
 	entries                                   map[string]store.Entry
 	revision                                  uint64
 	writes, reads, writtenBytes, largestValue int
-	unfinished                                []order.ClaimRequestMsg // not marked done
+	unfinished                                []order.ClaimRequestMsg // claims without a done mark
 }
 
 func newClaimHarness() *claimHarness {
@@ -129,7 +129,7 @@
 	return reply
 }
 
-// storedBytes returns the bytes of all values in the store.
+// storedBytes returns the total size of all values in the store.
 func (c *claimHarness) storedBytes() int {
 	n := 0
 	for _, e := range c.entries {
@@ -138,19 +138,19 @@
 	return n
 }
 
-// extrapolateClaims works out 24 hours of claims at a rate of the whole fleet.
+// extrapolateClaims adds the figures of 24 hours of claims at the given order rate of the fleet.
 func (c *capacityCosts) extrapolateClaims(r *Report, perSecond float64) {
 	size := fmt.Sprintf(", %g orders/s", perSecond)
 	perPartition := perSecond * secondsPerDay / order.NumPartitions
 	segments := perPartition * c.claimWireBytes / sealThreshold
-	// The rate of orders in two years is not stated, so these figures have no bound.
+	// The expected order rate in two years is not specified, so these figures have no bound.
 	r.AddUnbounded("two years: 24 h of claims of one partition at its owner"+size, "MB", 0, perPartition*c.claimBytes/1e6)
 	r.AddUnbounded("two years: segments that a new owner reads"+size, "", 0, segments)
 	r.AddUnbounded("two years: 24 h of claims in the store"+size, "MB", 0, order.NumPartitions*perPartition*c.claimWireBytes/1e6)
 }
 
-// claimRateAt returns the orders per second of the fleet at which 24 hours of
-// claims of one partition take the given memory.
+// claimRateAt returns the order rate of the fleet, per second, at which 24 hours
+// of claims of one partition use limitBytes.
 func claimRateAt(limitBytes, claimBytes float64) float64 {
 	return limitBytes / claimBytes * order.NumPartitions / secondsPerDay
 }
--- a/experiment/capacity_peer.go
+++ b/experiment/capacity_peer.go
@@ -19,7 +19,7 @@
 	ringCapacity     = float64(timeline.DefaultCapacity)
 )
 
-// measurePeers measures the messages between VMs for results of several sizes.
+// measurePeers measures the messages between VMs for several result sizes.
 func (c *capacityCosts) measurePeers(r *Report, m meter) {
 	id := attempt.ID{VM: "vm-0001", Incarnation: 1_700_000_000_000, Seq: 123_456_789}
 	up := "search/planner-0042/a"
@@ -27,7 +27,7 @@
 		ID: id, Upstream: up, Service: capacityService, Group: "planner-0042", Priority: 1 << 31, Deadline: 180,
 		Version: capacityVersion, Body: []byte(`{"plot":"north 14","name":"Korhonen"}`),
 	}}
-	for _, rows := range []int{0, 100, capacityKeys} { // the last one is used for the extrapolation
+	for _, rows := range []int{0, 100, capacityKeys} { // the extrapolation uses the last size
 		result := vm.Result{Reply: attempt.Reply{
 			ID: id, Upstream: up, Execution: attempt.Executed, Version: capacityVersion, Epoch: 1, HeldVersions: []uint64{capacityVersion},
 			Ranges: []coverage.Range{{From: 420, To: 430}}, Rows: capacityRows(420, rows), QueueMs: 1, ServiceMs: 8,
@@ -57,7 +57,7 @@
 func marshalBody(body vm.PeerBody) []byte {
 	data, err := proto.Marshal(peer.Encode(0, clock.Timestamp{WallMs: 1_700_000_000_000}, body))
 	if err != nil {
-		panic(err) // the message is made here
+		panic(err) // cannot happen: the message is built here
 	}
 	return data
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// measureEvents measures the ring of events with the texts that events carry.
+// measureEvents measures the memory of the event ring with typical event texts.
 func (c *capacityCosts) measureEvents(r *Report) {
 	for _, n := range []int{1024, 4096, timeline.DefaultCapacity} {
 		growth, _ := heapGrowth(func() *timeline.Ring {
--- a/experiment/capacity_query.go
+++ b/experiment/capacity_query.go
@@ -16,7 +16,7 @@
 const (
 	capacityQueries  = 400
 	capacityAttempts = 40_000
-	capacityKeys     = 10 // keys and rows of one group
+	capacityKeys     = 10 // keys and rows per group
 	capacityService  = "search"
 	capacityVersion  = 1
 )
@@ -25,7 +25,7 @@
 	for _, groups := range []int{10, 20, 40, int(targetGroups)} {
 		size := fmt.Sprintf(", %d groups", groups)
 		harness := newQueryHarness(seed, groups)
-		harness.run(capacityQueries / 10) // latencies and maps are filled before the measurement
+		harness.run(capacityQueries / 10) // warm-up: fills the latency estimates and the maps
 		c.query = m.measure(capacityQueries, func() { harness.run(capacityQueries) })
 		m.report(r, c.query, "query", size)
 		growth, _ := heapGrowth(func() *queryHarness { harness.open(capacityQueries); return harness })
@@ -34,7 +34,7 @@
 	}
 }
 
-// queryHarness answers each attempt of a query.Model at once with the rows of its group.
+// queryHarness replies immediately to each attempt of a query.Model with the rows of its group.
 type queryHarness struct {
 	model  *query.Model
 	now    clock.Millis
@@ -63,7 +63,7 @@
 	return harness
 }
 
-// capacityUpstreams returns one service of groups with two replicas each.
+// capacityUpstreams returns a service of the given number of groups, with two replicas per group.
 func capacityUpstreams(groups int) ([]upstream.Upstream, upstream.Service) {
 	svc := upstream.Service{Name: capacityService, Keys: uint32(groups * capacityKeys)}
 	var list []upstream.Upstream
@@ -96,7 +96,7 @@
 	}
 }
 
-// open starts n queries without answering their attempts.
+// open starts n queries and leaves their attempts unanswered.
 func (q *queryHarness) open(n int) {
 	for range n {
 		q.now++
@@ -124,7 +124,7 @@
 		harness.run(capacityAttempts / 10)
 		got := m.measure(capacityAttempts, func() { harness.run(capacityAttempts) })
 		m.report(r, got, "pool attempt", fmt.Sprintf(", %d upstreams", upstreams))
-		if upstreams == 12 { // the upstreams carried by one VM in two years
+		if upstreams == 12 { // number of upstreams per VM as a carrier in two years
 			c.attempt = got
 		}
 	}
@@ -147,7 +147,7 @@
 	return harness
 }
 
-// run passes n attempts through the pool and asks for the next wake as the event loop does.
+// run passes n attempts through the pool and calls NextWake after each, as the event loop does.
 func (p *poolHarness) run(n int) {
 	for range n {
 		p.seq++
--- a/experiment/capacity_table.go
+++ b/experiment/capacity_table.go
@@ -10,7 +10,7 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// measureTables measures what one change of the members costs, and the memory per upstream.
+// measureTables measures the cost of one membership change and the memory per upstream.
 func (c *capacityCosts) measureTables(r *Report, m meter, seed uint64) {
 	for _, n := range []int{1000, int(targetUpstreams)} {
 		ups, _ := capacityUpstreams(n / 2)
@@ -63,16 +63,16 @@
 	return ids
 }
 
-// peerStreams returns the streams of one of n VMs: one with each VM that carries an
-// upstream. With carriers placed at random, the chance that a VM carries none
-// is negligible when each carries about twelve.
+// peerStreams returns the number of peer streams of one VM out of n: one to each
+// VM that is a carrier of some upstream. With randomly placed carriers and about
+// twelve upstreams per VM, the probability that a VM carries none is negligible.
 func peerStreams(n float64) float64 {
 	upstreamsPerVM := targetUpstreams * carriersPerUpstream / n
 	return (n - 1) * (1 - math.Exp(-upstreamsPerVM))
 }
 
-// measureStatuses measures the status document that a VM sends to an operator's VM.
-// It holds no member list: the VM that asks has its own.
+// measureStatuses measures the status document that a VM sends to the VM that an
+// operator queries. It contains no member list: the receiving VM has its own.
 func (c *capacityCosts) measureStatuses(r *Report, m meter) {
 	for _, n := range FleetSizes {
 		st := vm.Status{VM: capacityMembers(n)[0], DataCentre: "dc-1", Preset: "ordinary"}
--- a/experiment/capacity_test.go
+++ b/experiment/capacity_test.go
@@ -7,8 +7,8 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-// TestCapacity guards against a carrier table or store writes that outgrow the
-// two-year size, and against an experiment without its extrapolated figures.
+// TestCapacity guards against a carrier table or store writes that exceed the
+// bounds at the two-year size, and against a report without extrapolated figures.
 func TestCapacity(t *testing.T) {
 	if testing.Short() {
 		t.Skip("measures memory; the race detector changes it")
--- a/experiment/carrier_change_test.go
+++ b/experiment/carrier_change_test.go
@@ -8,13 +8,13 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// TestCarrierChange guards against connections beyond the limit of an upstream, and
-// against queries that fail, while carriers change under load.
+// TestCarrierChange guards against more connections than the limit of an upstream,
+// and against queries that fail, while the carriers change under load.
 func TestCarrierChange(t *testing.T) {
 	const step = 8 * clock.Second
 	tests := []struct {
 		name      string
-		loadRatio float64 // load of each rank as a share of capacity
+		loadRatio float64 // load of each rank as a fraction of capacity
 		run       func(*experiment.Tier, func(clock.Millis))
 	}{
 		{"planned stop and join", 0.2, func(tier *experiment.Tier, wait func(clock.Millis)) {
@@ -37,8 +37,8 @@
 			tier.Replace("vm-4")
 			wait(step)
 		}},
-		// Where both carriers of an upstream change, its group keeps 20 of 36
-		// connections for a while, so the load must lie below 55%.
+		// While both carriers of an upstream change, its group has 20 of 36 connections,
+		// so the total load of the three ranks must be below 55%.
 		{"two at once", 0.15, func(tier *experiment.Tier, wait func(clock.Millis)) {
 			tier.Stop("vm-1", func(clock.Millis) {})
 			tier.Kill("vm-7")
@@ -73,7 +73,7 @@
 					t.Errorf("%s: %d sent, %d complete, %d failed, %d partial, %d refused",
 						r, got.Sent, got.Complete, got.Failed, got.Partial, got.Refused)
 				}
-				// The callers of a killed VM get no answer from it; all others must.
+				// Callers of a killed VM get no answer from it; all others must get one.
 				if got.Open > 0 && tt.name == "planned stop and join" {
 					t.Errorf("%s: %d without an answer", r, got.Open)
 				}
--- a/experiment/connections.go
+++ b/experiment/connections.go
@@ -8,7 +8,7 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// The fleet of the connections experiment, as in the sizes of today.
+// Parameters of the connections experiment: the sizes of today's fleet.
 const (
 	connVMs      = 9
 	connGroups   = 20
@@ -20,19 +20,19 @@
 	connMedianMs = 8.0
 	connSigma    = 0.35
 
-	// connBurstMs is the time for which the arrivals keep one distribution over the VMs.
+	// connBurstMs is the time for which the distribution of arrivals over the VMs stays the same.
 	connBurstMs clock.Millis = 250
 
 	connDeadlineMs clock.Millis = 2 * clock.Second
 )
 
-// connLoad is one load of the experiment. Share is the part of the total
-// capacity of all connections that the arrivals need.
+// connLoad is one load of the experiment. utilization is the fraction of the
+// total capacity of all connections that the arrivals need.
 type connLoad struct {
 	name        string
 	utilization float64
 	durationMs  clock.Millis
-	lagMs       clock.Millis // lag of one VM's view while another leaves and joins; 0 for no change
+	lagMs       clock.Millis // delay after which one VM sees another leave and join; 0 for no membership change
 }
 
 func connLoads() []connLoad {
@@ -46,21 +46,21 @@
 	}
 }
 
-// connSubrequest is one sub-request, drawn once so that both variants serve the same work.
+// connSubrequest is one sub-request. It is drawn once, so that both variants serve the same work.
 type connSubrequest struct {
 	replica   uint8
 	serviceMs uint16
 }
 
-// connArrival is one 20-way query.
+// connArrival is one query with a sub-request to each of the 20 groups.
 type connArrival struct {
 	at          clock.Millis
 	vm          int
 	subrequests [connGroups]connSubrequest
 }
 
-// Connections compares direct static shares of each upstream's connections
-// (baseline) with carriers (value) on the same arrivals.
+// Connections compares a direct, static division of each upstream's connections
+// among all VMs (baseline) with carriers (value) on the same arrivals.
 func Connections(seed uint64) Report {
 	report := Report{Name: "connections", Seed: seed}
 	for i, load := range connLoads() {
@@ -96,8 +96,8 @@
 	}
 }
 
-// connArrivals draws the arrivals of one load. While the leaving VM is away
-// it takes no callers.
+// connArrivals draws the arrivals of one load. The leaving VM receives no
+// requests while it is not a member.
 func connArrivals(rng *rand.Rand, load connLoad) []connArrival {
 	meanMs := connMedianMs * math.Exp(connSigma*connSigma/2)
 	perMs := load.utilization * connReplicas * connLimit / meanMs
--- a/experiment/connections_fleet.go
+++ b/experiment/connections_fleet.go
@@ -11,7 +11,7 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// connMaxAttempts bounds how often a sub-request that was proved not run is sent again.
+// connMaxAttempts bounds the attempts of a sub-request. Only attempts known not to have executed are retried.
 const connMaxAttempts = 3
 
 // connResult holds the figures of one variant at one load.
@@ -37,28 +37,28 @@
 	maxOpen         int
 }
 
-// connVM is one VM with its pool.
+// connVM is one VM with its connection pool.
 type connVM struct {
 	fleet     *connFleet
 	index     int
 	name      string
 	pool      *pool.Model
 	routes    []connRoute
-	fullLimit []bool // by upstream: a carrier with its whole limit
+	fullLimit []bool // by upstream: whether this VM may open a carrier's full limit of connections
 	nextWake  clock.Millis
 }
 
-// connCall is one sub-request under way.
+// connCall is one sub-request in flight.
 type connCall struct {
 	query      *connQuery
 	vm         *connVM
 	upstream   int
-	carrier    int // the VM that it was sent to
+	carrier    int // index of the VM that the last attempt was sent to
 	subrequest connSubrequest
 	attempts   int
 }
 
-// connQuery is one query under way.
+// connQuery is one query in flight.
 type connQuery struct {
 	arrivedAt clock.Millis
 	remaining int
@@ -115,13 +115,13 @@
 	}
 }
 
-// send passes a sub-request to a carrier, or to the own pool.
+// send passes a sub-request to a carrier's pool, which may be that of v itself.
 func (v *connVM) send(c *connCall) {
 	f := v.fleet
 	route := &v.routes[c.upstream]
 	k := route.pick()
-	// A VM that is no carrier any more refuses at once, so it would always have
-	// the least outstanding work.
+	// A VM that is no longer a carrier rejects requests immediately, so it would
+	// always have the least outstanding work. A retry uses the other carrier.
 	if c.attempts > 0 && route.vms[k] == c.carrier {
 		k = 1 - k
 	}
@@ -181,7 +181,7 @@
 	}
 }
 
-// countOpen records how many connections all VMs together have open.
+// countOpen records the highest number of connections to the upstream that all VMs together have open.
 func (f *connFleet) countOpen(upstream string) {
 	open := 0
 	for _, v := range f.vms {
@@ -190,7 +190,7 @@
 	f.maxOpen = max(f.maxOpen, open)
 }
 
-// result ends a sub-request, or sends it again if it was proved not run.
+// result completes a sub-request, or retries it if the attempt is known not to have executed.
 func (v *connVM) result(r attempt.Reply) {
 	f := v.fleet
 	c := f.calls[r.ID.Seq]
@@ -209,8 +209,8 @@
 	f.finish(c, r.Status == attempt.OK)
 }
 
-// finish records a sub-request, and its query after the last one. Without an
-// answer either counts as its whole deadline.
+// finish records the latency of a sub-request, and that of its query after the
+// last one. A failure counts as the full deadline.
 func (f *connFleet) finish(c *connCall, ok bool) {
 	elapsed := f.loop.Now() - c.query.arrivedAt
 	if !ok {
--- a/experiment/connections_test.go
+++ b/experiment/connections_test.go
@@ -7,8 +7,8 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-// TestConnections guards against carriers that open more connections than an
-// upstream accepts while the views of the VMs differ.
+// TestConnections guards against carriers that together open more connections than
+// an upstream accepts while the VMs have different views of the members.
 func TestConnections(t *testing.T) {
 	t.Parallel()
 	report := experiment.Connections(1)
--- a/experiment/connections_view.go
+++ b/experiment/connections_view.go
@@ -11,7 +11,7 @@
 	"lentillink.example/lentillink/pool"
 )
 
-// One VM leaves as planned and joins again, while the view of another VM lags.
+// One VM leaves gracefully and joins again, while another VM sees both changes late.
 const (
 	connLeavingVM = 3
 	connLaggingVM = 8
@@ -20,13 +20,13 @@
 	connJoinAt    clock.Millis = 2400
 	connViewLagMs clock.Millis = 200
 
-	// connCarrierChangeMs is the time from the announcement of a change to the change
-	// of carriers. It exceeds the usual lag of views, so that the VMs change over
-	// together and the old carriers serve until then.
+	// connCarrierChangeMs is the delay from the announcement of a membership change
+	// to the change of carriers. It exceeds the usual propagation delay of membership,
+	// so that all VMs switch together and the old carriers serve until then.
 	connCarrierChangeMs clock.Millis = 2200
 
-	// connPollMs is how often a new carrier asks its predecessor whether it has
-	// closed its connections.
+	// connPollMs is the interval at which a new carrier checks whether its
+	// predecessor has closed its connections.
 	connPollMs clock.Millis = 10
 
 	carriersPerUpstream = 2
@@ -34,15 +34,15 @@
 	carrierHeadroom     = connLimit - carriersPerUpstream*fullCarrierLimit
 )
 
-// connRoute is what one VM knows of the carriers of one upstream.
+// connRoute is one VM's view of the carriers of one upstream.
 type connRoute struct {
 	vms         [carriersPerUpstream]int
 	limits      [carriersPerUpstream]int
-	outstanding [carriersPerUpstream]int // outstanding from this VM
+	outstanding [carriersPerUpstream]int // sub-requests of this VM in flight
 	tieBreak    int
 }
 
-// pick returns the carrier with the least outstanding work per connection.
+// pick returns the index of the carrier with the least outstanding work per connection.
 func (r *connRoute) pick() int {
 	a, b := r.outstanding[0]*r.limits[1], r.outstanding[1]*r.limits[0]
 	r.tieBreak++
@@ -55,7 +55,7 @@
 	return 1
 }
 
-// connCarriers returns the two members with the highest rendezvous hash.
+// connCarriers returns the two members with the highest rendezvous hash for the upstream.
 func connCarriers(upstream string, members []int) [carriersPerUpstream]int {
 	ranked := slices.Clone(members)
 	score := func(vm int) uint64 { return xxhash.Sum64String(upstream + "#" + strconv.Itoa(vm)) }
@@ -63,7 +63,7 @@
 	return [carriersPerUpstream]int{ranked[0], ranked[1]}
 }
 
-// setInitialMembers sets the first view. Its carriers have their whole limit.
+// setInitialMembers sets the first view. Its carriers start with the full limit.
 func (v *connVM) setInitialMembers(members []int) {
 	for i, upstream := range v.fleet.upstreams {
 		v.routes[i].vms = connCarriers(upstream, members)
@@ -75,7 +75,7 @@
 	}
 }
 
-// setMembers changes the view of v.
+// setMembers replaces the view of v.
 func (v *connVM) setMembers(members []int) {
 	for i, upstream := range v.fleet.upstreams {
 		old := v.routes[i]
@@ -97,7 +97,7 @@
 	}
 }
 
-// connDifference returns the VMs of a that are not in b.
+// connDifference returns the VMs in a that are not in b.
 func connDifference(a, b [carriersPerUpstream]int) []int {
 	var out []int
 	for _, vm := range a {
@@ -108,9 +108,9 @@
 	return out
 }
 
-// awaitPredecessor gives v the whole limit of a carrier once its predecessor has
-// closed its connections. Until then v uses only its part of the headroom, so
-// that no lag of views brings an upstream above its limit.
+// awaitPredecessor gives v the full limit of a carrier once its predecessor has
+// closed its connections. Until then v only uses its part of the headroom, so that
+// stale membership views never bring an upstream above its limit.
 func (v *connVM) awaitPredecessor(i int, predecessor *connVM) {
 	upstream := v.fleet.upstreams[i]
 	if !slices.Contains(v.routes[i].vms[:], v.index) {
@@ -131,7 +131,7 @@
 	v.applyLimit(i)
 }
 
-// applyLimit tells the own pool how many connections to open to an upstream.
+// applyLimit sets the connection limit of an upstream in the pool of v.
 func (v *connVM) applyLimit(i int) {
 	limit := 0
 	for k, vm := range v.routes[i].vms {
@@ -142,9 +142,9 @@
 	v.update(pool.LimitMsg{Upstream: v.fleet.upstreams[i], Connections: limit})
 }
 
-// scheduleLeaveAndJoin lets one VM leave and join again. Each change is announced
-// with the time at which the carriers change; a VM that learns of it later
-// follows at once.
+// scheduleLeaveAndJoin makes one VM leave and join again. Each change is announced
+// with the time at which the carriers change; a VM that receives it later
+// switches immediately.
 func (f *connFleet) scheduleLeaveAndJoin(lag clock.Millis) {
 	all := connMembers(-1)
 	without := connMembers(connLeavingVM)
--- a/experiment/control.go
+++ b/experiment/control.go
@@ -11,7 +11,7 @@
 )
 
 // Bounds and rates of section 1.7 of the design page. The rates are those of
-// the whole two-year fleet and are applied at every size.
+// the whole fleet in two years and are applied at every size.
 const (
 	maxControlBytes        = 3000.0
 	maxControlCorePercent  = 3.9
@@ -21,17 +21,18 @@
 	restartsPerDay         = 2700.0
 	failuresPerDay         = 38.0
 	presetChangesPerDay    = 2300.0
-	leavingReportsPerDay   = 2 * 2700.0 // upstreams restart like VMs; each is reported leaving and back
+	leavingReportsPerDay   = 2 * 2700.0 // upstreams restart as often as VMs, with one report for leaving and one for returning
 	minutesPerDay          = 1440.0
 	controlMinutes         = 4
-	settleMs               = 2 * clock.Minute // the cold start is not part of the figures
+	settleMs               = 2 * clock.Minute // the figures exclude the cold start
 	baselineHeartbeatBytes = 2 * (MessageOverheadBytes + 20)
 )
 
-// Control measures what membership and dissemination cost one VM under the
-// restarts, failures and changes of the two-year size. cpu returns the
-// nanoseconds of a running clock; without it, processor time is not measured.
-// The baseline of bytes and messages is computed: every VM pings every other each second.
+// Control measures the cost of membership and dissemination per VM under the
+// restarts, failures and preset changes of the two-year size. cpu returns the
+// nanoseconds of a running clock; if it is nil, processor time is not measured.
+// The baseline of bytes and messages is computed for a fleet in which every VM
+// pings every other VM each second.
 func Control(seed uint64, cpu func() int64, sizes ...int) Report {
 	r := Report{Name: "control", Seed: seed}
 	if len(sizes) == 0 {
@@ -54,7 +55,7 @@
 	return r
 }
 
-// controlCost is the cost per VM, and of the whole fleet for the store.
+// controlCost is the cost per VM; for the store, that of the whole fleet.
 type controlCost struct {
 	bytes, maxBytes, messages, corePercent, megabytes, reads, writes, openWatches float64
 	converged                                                                     bool
@@ -99,7 +100,7 @@
 	return c
 }
 
-// heapBytes counts the fake network and its queues as well, so it overstates the models.
+// heapBytes includes the fake network and its queues, so it overstates the memory of the models.
 func heapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -126,7 +127,7 @@
 	return c
 }
 
-// churn schedules the events of span at even distances.
+// churn schedules restarts, failures, preset changes and leaving reports at equal intervals over span.
 func (f *Fleet) churn(span clock.Millis) {
 	f.scheduleEvenly(span, restartsPerDay, func(int) { f.restartGracefully(f.randomReady()) })
 	f.scheduleEvenly(span, failuresPerDay, func(int) {
@@ -148,7 +149,7 @@
 func (f *Fleet) scheduleEvenly(span clock.Millis, perDay float64, run func(i int)) {
 	count := int(math.Ceil(perDay / minutesPerDay * float64(span/clock.Minute)))
 	for i := range count {
-		// The last tenth stays free, so that restarts end within the span.
+		// The last tenth stays free, so that restarts complete within span.
 		f.Loop.After(span*clock.Millis(9*i)/clock.Millis(10*count), func() { run(i) })
 	}
 }
@@ -161,7 +162,7 @@
 	}
 }
 
-// restartGracefully stops a VM as planned and starts it again.
+// restartGracefully stops a VM gracefully and starts it again.
 func (f *Fleet) restartGracefully(n *FleetVM) {
 	f.Deliver(n, fleet.StopMsg{})
 	f.Loop.After(3*clock.Second, func() { f.Kill(n) })
--- a/experiment/doc.go
+++ b/experiment/doc.go
@@ -1,5 +1,8 @@
 // Package experiment runs the state machines in virtual time against small
-// fakes and reports figures beside a baseline.
+// fakes and compares the measured figures with a baseline.
 //
-// One seed gives one history, so the figures repeat exactly.
+// A VM is a carrier of an upstream if it owns connections to that upstream and
+// runs the work that other VMs delegate to it.
+//
+// All random choices derive from one seed, so a run can be repeated exactly.
 package experiment
--- a/experiment/failures.go
+++ b/experiment/failures.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	rackVMs                      = 40 // the design page does not state the size of a rack
+	rackVMs                      = 40 // the design page does not specify the size of a rack
 	splitDurationMs              = 3 * clock.Minute
 	agreementStepMs clock.Millis = 500
 	agreementLimit               = 15 * clock.Minute
 	millisPerSecond              = 1e3
 )
 
-// Failures measures how long the VMs take to agree on who is alive after the
-// loss of a rack, of a data centre and of the links between regions. There is
-// no baseline.
+// Failures measures how long the VMs take to converge on the set of live VMs
+// after the loss of a rack, of a data centre and of the links between regions.
+// There is no baseline.
 func Failures(seed uint64, sizes ...int) Report {
 	r := Report{Name: "failures", Seed: seed}
 	if len(sizes) == 0 {
@@ -45,7 +45,7 @@
 	r.AtMost("reverts on a VM"+size, "", 0, float64(reverts), 0)
 }
 
-// killAndRestart kills the VMs that match at once and starts them again later.
+// killAndRestart kills all matching VMs at the same time and restarts them once the others have noticed.
 func (f *Fleet) killAndRestart(r *Report, what string, match func(*FleetVM) bool) {
 	f.resetTraffic()
 	for _, v := range f.VMs {
@@ -68,12 +68,12 @@
 	f.RunFor(settleMs)
 }
 
-// splitRegion cuts region 0 from the others and the store, changes the preset on the
-// other side, and heals the links.
+// splitRegion cuts the links of region 0 to the other regions and to the store,
+// changes the preset on the other side, and restores the links.
 func (f *Fleet) splitRegion(r *Report, size string) {
 	f.LinkCut = func(a, b *FleetVM) bool { return (a.Region == 0) != (b.Region == 0) }
 	f.Store.Unreachable = func(v *FleetVM) bool { return v.Region == 0 }
-	// Watches that region 0 holds end with the links.
+	// Open watches of region 0 end together with its links.
 	f.Store.Fail()
 	f.Store.Down = false
 	begin := f.Loop.Now()
@@ -98,7 +98,7 @@
 	r.AddUnbounded("sent by the busiest VM after healing"+size, "bytes/s", 0, busiest)
 }
 
-// sidesAgree reports whether every VM sees exactly its own side as alive.
+// sidesAgree reports whether every VM sees exactly the VMs on its own side as live.
 func (f *Fleet) sidesAgree() bool {
 	return f.All(func(v *FleetVM) bool {
 		for _, other := range f.VMs {
@@ -110,8 +110,8 @@
 	})
 }
 
-// measureUntil waits until ok holds and returns the seconds taken and the bytes a
-// second that the busiest VM sent.
+// measureUntil runs the fleet until ok holds. It returns the elapsed seconds and
+// the bytes per second sent by the busiest VM.
 func (f *Fleet) measureUntil(ok func() bool) (seconds, busiest float64) {
 	took, done := f.RunUntil(agreementStepMs, agreementLimit, ok)
 	if !done {
--- a/experiment/fleet.go
+++ b/experiment/fleet.go
@@ -14,7 +14,7 @@
 // MessageOverheadBytes is added to each payload when traffic is counted: frame, TCP and IP headers.
 const MessageOverheadBytes = 60
 
-// Delays between VMs: within a region about 1 ms, between regions as between distant sites.
+// Minimum one-way delays between VMs: about 1 ms within a region, and between regions that of distant sites.
 const (
 	sameRegionMs  clock.Millis = 1
 	crossRegionMs clock.Millis = 30
@@ -27,9 +27,9 @@
 	VMs         []*FleetVM
 	LossPercent float64
 	LinkCut     func(from, to *FleetVM) bool // nil if no link is cut
-	CPU         func() int64                 // nanoseconds of a running clock; nil measures nothing
-	Options     []fleet.Option               // for every VM
-	OnSend      func(payload []byte)         // sees every payload sent, if set
+	CPU         func() int64                 // nanoseconds of a running clock; if nil, processor time is not measured
+	Options     []fleet.Option               // for the model of every VM
+	OnSend      func(payload []byte)         // called with every payload sent; may be nil
 	ByID        map[string]*FleetVM
 
 	rng *rand.Rand
@@ -45,16 +45,16 @@
 	SentBytes      int
 	SentMessages   int
 	BusyNs         int64
-	Reverts        int // times that a lower revision came into force within one process
-	OlderRevisions int // times that a new process got a lower revision than the VM had before
+	Reverts        int // number of times that a lower revision came into force within one process
+	OlderRevisions int // number of times that a new process got a lower revision than an earlier process had
 	AppliedAt      clock.Millis
 	Leaving        map[upstream.ID]bool
 
-	revision        uint64       // of this process
-	highestRevision uint64       // of all processes
-	pausedUntil     clock.Millis // paused until this time
+	revision        uint64 // in force in this process
+	highestRevision uint64 // in force in any process so far
+	pausedUntil     clock.Millis
 	nextWake        clock.Millis
-	generation      int // raised by each start and stop, so that old callbacks are ignored
+	generation      int // incremented by each start and kill, so that callbacks of earlier processes are ignored
 }
 
 // NewFleet returns n stopped VMs in 3 regions with 3 data centres each.
@@ -85,26 +85,26 @@
 	f.Deliver(n, fleet.ListedVMsMsg{VMs: f.vmList()})
 }
 
-// StartAll starts every VM within the given time.
+// StartAll starts every VM at a random time within the given duration.
 func (f *Fleet) StartAll(within clock.Millis) {
 	for _, n := range f.VMs {
 		f.Loop.After(clock.Millis(f.rng.Int64N(int64(within)+1)), func() { f.Start(n) })
 	}
 }
 
-// Kill ends the process of a VM at once.
+// Kill ends the process of a VM immediately.
 func (f *Fleet) Kill(n *FleetVM) {
 	n.generation++
 	n.Running = false
 }
 
-// Pause stops a VM from running for d. Messages wait for it.
+// Pause suspends a VM for d. Messages are delivered when it resumes.
 func (f *Fleet) Pause(n *FleetVM, d clock.Millis) { n.pausedUntil = f.Loop.Now() + d }
 
 // Paused reports whether n is paused.
 func (f *Fleet) Paused(n *FleetVM) bool { return f.Loop.Now() < n.pausedUntil }
 
-// vmList is the VM list: every VM of the fleet, whether it runs or not.
+// vmList returns the platform's VM list: every VM of the fleet, whether it runs or not.
 func (f *Fleet) vmList() []fleet.VM {
 	list := make([]fleet.VM, len(f.VMs))
 	for i, n := range f.VMs {
@@ -113,7 +113,7 @@
 	return list
 }
 
-// Deliver gives msg to n now, or at the end of its pause.
+// Deliver passes msg to n immediately, or when n resumes if it is paused.
 func (f *Fleet) Deliver(n *FleetVM, msg fleet.Msg) {
 	if !n.Running {
 		return
@@ -203,10 +203,10 @@
 	})
 }
 
-// RunFor lets d pass.
+// RunFor advances virtual time by d.
 func (f *Fleet) RunFor(d clock.Millis) { f.Loop.RunUntil(f.Loop.Now() + d) }
 
-// All reports whether ok holds on every running VM that is not paused.
+// All reports whether ok holds for every running VM that is not paused.
 func (f *Fleet) All(ok func(*FleetVM) bool) bool {
 	for _, n := range f.VMs {
 		if n.Running && !f.Paused(n) && !ok(n) {
@@ -216,7 +216,8 @@
 	return true
 }
 
-// RunUntil runs in steps of step until ok holds, at most for limit, and returns the time taken.
+// RunUntil advances virtual time in increments of step until ok holds, up to limit.
+// It returns the elapsed time and whether ok holds.
 func (f *Fleet) RunUntil(step, limit clock.Millis, ok func() bool) (clock.Millis, bool) {
 	begin := f.Loop.Now()
 	for !ok() {
@@ -228,7 +229,7 @@
 	return f.Loop.Now() - begin, true
 }
 
-// Converged reports whether every running VM sees exactly the running VMs as alive.
+// Converged reports whether every running VM sees exactly the running VMs as live.
 func (f *Fleet) Converged() bool {
 	running := 0
 	for _, n := range f.VMs {
--- a/experiment/fleet_test.go
+++ b/experiment/fleet_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// TestPresets guards against a revert, a second winner and a false report in
-// at least 1,000 random histories.
+// TestPresets guards against a reverted preset, two accepted changes of one race
+// and a false result for an operator, in at least 1,000 random histories.
 func TestPresets(t *testing.T) {
 	t.Parallel()
 	histories := 1000
@@ -32,19 +32,19 @@
 	}
 }
 
-// TestSpread guards against changes and reports that reach a VM too late.
+// TestSpread guards against preset changes and leaving reports that reach a VM too late.
 func TestSpread(t *testing.T) {
 	t.Parallel()
 	checkBounds(t, experiment.Spread(1, fleetSizes()...))
 }
 
-// TestControl guards against control traffic, memory and store calls that grow with the fleet.
+// TestControl guards against control traffic, memory and store calls that exceed their bounds as the fleet grows.
 func TestControl(t *testing.T) { checkBounds(t, experiment.Control(1, nil, fleetSizes()...)) }
 
-// TestFailures guards against a revert or a late change while regions are split.
+// TestFailures guards against a reverted or late preset change while regions are split.
 func TestFailures(t *testing.T) { checkBounds(t, experiment.Failures(1, 100)) }
 
-// fleetSizes leaves the largest fleet to the command: it takes a minute of processor time.
+// fleetSizes omits 1,600 VMs, which only the command line runs: that size takes a minute of processor time.
 func fleetSizes() []int {
 	if testing.Short() {
 		return []int{9}
--- a/experiment/flood.go
+++ b/experiment/flood.go
@@ -7,21 +7,21 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// Shape of the flood experiments.
+// Parameters of the flood experiments.
 const (
 	floodFactor   = 5.0
 	floodMs       = 3 * clock.Second
-	floodWarmUpMs = 3 * clock.Second // adaptation before the window that counts
+	floodWarmUpMs = 3 * clock.Second // time for the limits to adapt before the measured window
 	floodDrainMs  = 60 * clock.Second
-	// otherLoad is what each rank that does not flood asks for, as a share of
-	// capacity. It lies above every floor, so that floors are really needed.
+	// otherLoad is the load of each rank that does not flood, as a fraction of
+	// capacity. It is above every floor, so that the floors take effect.
 	otherLoad = 0.4
-	// lightLoad is the load of a rank without any contention.
+	// lightLoad is the load of a rank without contention, as a fraction of capacity.
 	lightLoad = 0.1
 )
 
 // Capacity returns the queries per second that the connections of the tier can
-// carry: each query takes one connection of each group for its service time.
+// serve: each query uses one connection of each group for its service time.
 func (t *Tier) Capacity() float64 {
 	up := t.Upstreams[t.upstreamIDs[0]]
 	meanMs := up.MedianMs*math.Exp(up.Sigma*up.Sigma/2) + 2*float64(tierHopMs)
@@ -29,17 +29,17 @@
 	return usable / meanMs * float64(clock.Second)
 }
 
-// flood is one run: the shares of capacity that each rank asks for.
+// flood is one run with a given load of each rank.
 type flood struct {
 	tier       *Tier
 	load       *TierLoad
 	capacity   float64
-	finished   rank.Table[int] // complete answers given in the window
+	finished   rank.Table[int] // complete answers in the measured window
 	unanswered int             // requests without an answer long after the load ended
 }
 
-// runFlood sends each rank at its share of capacity, counts the requests of a
-// window of floodMs after floodSettle, and lets them all end.
+// runFlood sends queries of each rank at its fraction of capacity, counts the requests of a window
+// of floodMs after floodWarmUpMs, and then runs until all requests have ended.
 func runFlood(cfg TierConfig, shares rank.Table[float64]) *flood {
 	t := NewTier(cfg)
 	f := &flood{tier: t, load: NewTierLoad(t, cfg.Seed), capacity: t.Capacity()}
@@ -57,10 +57,10 @@
 	return f
 }
 
-// completePerSecond returns how many queries of a rank are answered whole per second
-// of the window. It counts answers by the time at which they are given: the
-// queue of patient work holds more than a window, so most of its answers in the
-// window are to requests sent before.
+// completePerSecond returns the complete answers of a rank per second of the
+// window. Answers are counted by the time at which they are given: the queue of
+// the patient rank holds more than a window of work, so most of its answers in
+// the window belong to requests sent earlier.
 func (f *flood) completePerSecond(r rank.Rank) float64 {
 	return float64(f.finished.At(r)) / float64(floodMs/clock.Second)
 }
@@ -73,18 +73,18 @@
 	return sum
 }
 
-// floorPerSecond returns the queries per second that a rank is guaranteed.
+// floorPerSecond returns the queries per second that are guaranteed to a rank.
 func (f *flood) floorPerSecond(r rank.Rank) float64 {
 	p, _ := f.tier.Config.Record.FindPreset(f.tier.Config.Record.InForce)
 	return f.capacity * p.Policy(r).FloorPercent / 100
 }
 
-// runBoth runs the shares with the gate and with an open gate.
+// runBoth runs the shares with admission control and without it.
 func runBoth(cfg TierConfig, shares rank.Table[float64]) (on, off *flood) {
 	return runFlood(cfg, shares), runFlood(withoutAdmissionControl(cfg), shares)
 }
 
-// drain lets every open request end and counts those that are still open.
+// drain runs until the requests in flight should have ended and counts those still without an answer.
 func (f *flood) drain() {
 	f.tier.Loop.RunUntil(f.tier.Loop.Now() + floodDrainMs)
 	for _, r := range rank.All() {
@@ -97,8 +97,8 @@
 	return cfg
 }
 
-// FloodPatient floods the tier with patient work at five times its capacity.
-// The baseline admits every query at once.
+// FloodPatient floods the tier with patient queries at five times its capacity.
+// The baseline has no admission control.
 func FloodPatient(seed uint64) Report {
 	report := Report{Name: "flood-patient", Seed: seed}
 	cfg := DefaultTier(seed)
@@ -119,13 +119,13 @@
 	return report
 }
 
-// notComplete counts queries that were accepted but not answered whole.
+// notComplete counts admitted queries without a complete answer.
 func notComplete(f *flood, r rank.Rank) float64 {
 	return float64(f.load.Result(r).Failed + f.load.Result(r).Partial)
 }
 
-// FloodUrgent floods the tier with urgent work at five times its capacity,
-// while the other ranks ask for more than their floors.
+// FloodUrgent floods the tier with urgent queries at five times its capacity,
+// while the load of the other ranks is above their floors.
 func FloodUrgent(seed uint64) Report {
 	report := Report{Name: "flood-urgent", Seed: seed}
 	cfg := DefaultTier(seed)
@@ -143,8 +143,8 @@
 	return report
 }
 
-// Fanout counts the sub-requests that were sent for queries that end refused,
-// with every rank above its share and five times overload in total.
+// Fanout counts the sub-requests sent for queries that end refused or failed,
+// with every rank above its guaranteed share and a total load of five times capacity.
 func Fanout(seed uint64) Report {
 	report := Report{Name: "fanout", Seed: seed}
 	cfg := DefaultTier(seed)
@@ -156,7 +156,7 @@
 	return report
 }
 
-// wastedPercent returns the percentage of sub-requests that served refused or failed queries.
+// wastedPercent returns the percentage of sub-requests that were sent for refused or failed queries.
 func (f *flood) wastedPercent() float64 {
 	wasted, all := 0, 0
 	for _, r := range rank.All() {
--- a/experiment/flood_test.go
+++ b/experiment/flood_test.go
@@ -9,8 +9,8 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-// TestFloods guards the figures of section 1.8 for floods against whole cores,
-// and that a seed repeats its figures.
+// TestFloods guards the bounds of section 1.8 of the design page for floods
+// against complete cores, and that a seed repeats its figures.
 func TestFloods(t *testing.T) {
 	tests := []struct {
 		name string
@@ -22,7 +22,7 @@
 	}
 	last := uint64(3)
 	if testing.Short() {
-		last = 1 // the race detector makes a run several times longer
+		last = 1 // the race detector makes a run several times slower
 	}
 	for _, tt := range tests {
 		for seed := uint64(1); seed <= last; seed++ {
--- a/experiment/kv.go
+++ b/experiment/kv.go
@@ -7,20 +7,20 @@
 	"lentillink.example/lentillink/store"
 )
 
-const storeDelayMs clock.Millis = 3 // usual delay of the fake store, each way
+const storeDelayMs clock.Millis = 3 // usual one-way delay of the fake store
 
-// KV is a fake configuration store in virtual time that holds one key.
+// KV is a fake configuration store in virtual time that holds a single key.
 type KV struct {
 	Down             bool
-	ExtraDelayMs     clock.Millis // added to each way
-	LostReplyPercent float64      // answers lost after the call took effect
+	ExtraDelayMs     clock.Millis // maximum extra one-way delay
+	LostReplyPercent float64      // replies lost after the call took effect
 	Reads            int
 	Writes           int
 	Watches          int
 	Unreachable      func(caller *FleetVM) bool // nil if every VM reaches the store
-	OnWrite          func(store.Entry)          // called for every write that took effect
+	OnWrite          func(store.Entry)          // called after every write that took effect; may be nil
 
-	Unconditional bool // writes succeed whatever revision they expect; for baselines
+	Unconditional bool // writes succeed whatever revision they expect; used by baselines
 
 	entry   store.Entry
 	watches []openWatch
@@ -37,13 +37,13 @@
 // NewKV returns an empty store.
 func NewKV(loop *Loop, rng *rand.Rand) *KV { return &KV{loop: loop, rng: rng} }
 
-// Entry returns the stored value without a call.
+// Entry returns the stored value directly, without a simulated call.
 func (k *KV) Entry() store.Entry { return k.entry }
 
-// OpenWatches returns the number of watches that wait for a change.
+// OpenWatches returns the number of watches that are waiting for a change.
 func (k *KV) OpenWatches() int { return len(k.watches) }
 
-// Call performs r and calls done, which may never happen if the answer is lost.
+// Call performs r and calls done with the reply. The reply is KindUnknown if it was lost.
 func (k *KV) Call(caller *FleetVM, r store.Request, done func(store.Reply)) {
 	k.countCall(r.Op)
 	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
@@ -72,7 +72,7 @@
 	if r.Revision != k.entry.Revision && !k.Unconditional {
 		return store.KindConflict, store.Entry{}
 	}
-	// The store's revision moves by more than one, as if it counted all keys.
+	// The revision grows by more than one, as in a store that counts the writes to all keys.
 	k.entry = store.Entry{Key: r.Key, Value: r.Value, Revision: k.entry.Revision + 1 + k.rng.Uint64N(9)}
 	entry := k.entry
 	if k.OnWrite != nil {
@@ -92,7 +92,7 @@
 	k.loop.After(k.delay(), func() { done(r) })
 }
 
-// Fail takes the store down; waiting watches end.
+// Fail makes the store unavailable and ends the open watches.
 func (k *KV) Fail() {
 	k.Down = true
 	for _, w := range k.watches {
--- a/experiment/leaving_test.go
+++ b/experiment/leaving_test.go
@@ -10,16 +10,16 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// TestLeavingAgainstLyingLoad guards against a load endpoint that does not say
-// leaving, at once or after a while, and thereby brings work back to an upstream
-// that refuses it; and against a restarted upstream that gets no work.
+// TestLeavingAgainstFalseLoad guards against a load endpoint that does not report
+// leaving, immediately or after a while, and thereby returns work to an upstream
+// that refuses it; and against a restarted upstream that receives no work.
 func TestLeavingAgainstLyingLoad(t *testing.T) {
 	t.Parallel()
 	const id = "search/g03/1"
 	for name, tc := range map[string]struct {
-		hidesLeaving func(sinceMs clock.Millis) bool // whether the endpoint hides the drain
-		restarted    bool                            // the upstream stops before it takes work again
-		want         bool                            // whether work returns
+		hidesLeaving func(sinceMs clock.Millis) bool // whether the endpoint does not report leaving
+		restarted    bool                            // the upstream is down before it accepts work again
+		want         bool                            // whether the upstream receives work again
 	}{
 		"endpoint always lies": {hidesLeaving: func(clock.Millis) bool { return true }},
 		"endpoint lies later":  {hidesLeaving: func(ms clock.Millis) bool { return ms > 5*clock.Second }},
--- a/experiment/loop.go
+++ b/experiment/loop.go
@@ -6,8 +6,8 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Loop runs callbacks in virtual time. Callbacks of the same millisecond run
-// in the order in which they were scheduled.
+// Loop runs callbacks in virtual time. Callbacks scheduled for the same
+// millisecond run in the order in which they were scheduled.
 type Loop struct {
 	now    clock.Millis
 	seq    uint64
@@ -20,22 +20,22 @@
 	callback func()
 }
 
-// NewLoop returns a loop that starts at now.
+// NewLoop returns a loop whose virtual time starts at now.
 func NewLoop(now clock.Millis) *Loop { return &Loop{now: now} }
 
 // Now returns the current virtual time.
 func (l *Loop) Now() clock.Millis { return l.now }
 
-// At schedules run; a time in the past means now.
+// At schedules run for the given time, or for now if that time has passed.
 func (l *Loop) At(at clock.Millis, run func()) {
 	l.seq++
 	heap.Push(&l.events, event{at: max(at, l.now), seq: l.seq, callback: run})
 }
 
-// After schedules run d from now.
+// After schedules run after a delay of d.
 func (l *Loop) After(d clock.Millis, run func()) { l.At(l.now+d, run) }
 
-// RunUntil runs every callback that is due by end, then sets the time to end.
+// RunUntil runs every callback that is due by end, and advances the time to end.
 func (l *Loop) RunUntil(end clock.Millis) {
 	for len(l.events) > 0 && l.events[0].at <= end {
 		next := heap.Pop(&l.events).(event)
--- a/experiment/matrix.go
+++ b/experiment/matrix.go
@@ -11,13 +11,13 @@
 	"text/tabwriter"
 )
 
-// MatrixReport is the outcome of every cell of the fault matrix.
+// MatrixReport holds the results of the cells of the fault matrix.
 type MatrixReport struct {
 	Seed  uint64
-	Cells []CellResult // single faults in grid order, then the random pairs
+	Cells []CellResult // single faults in the order of the grid, then the random pairs
 }
 
-// MatrixCells returns the names of all single cells, as fault/step.
+// MatrixCells returns the names of all single cells in the form fault/step.
 func MatrixCells() []string {
 	var names []string
 	for _, f := range faults() {
@@ -28,7 +28,7 @@
 	return names
 }
 
-// MatrixPairs returns n random pairs of cells, drawn from the seed.
+// MatrixPairs returns n pairs of cells, drawn at random from the seed.
 func MatrixPairs(seed uint64, n int) []string {
 	rng := rand.New(rand.NewPCG(seed, 401))
 	cells := MatrixCells()
@@ -45,8 +45,8 @@
 	return MatrixReport{Seed: seed, Cells: RunCells(seed, names)}
 }
 
-// RunCells runs cells in parallel, each with its own Tier, and returns their
-// results in the order of the names.
+// RunCells runs cells in parallel, each in its own Tier, and returns the results
+// in the order of names.
 func RunCells(seed uint64, names []string) []CellResult {
 	results := make([]CellResult, len(names))
 	next := make(chan int)
@@ -70,12 +70,12 @@
 	return results
 }
 
-// OK reports whether every cell ran as meant and nothing was violated.
+// OK reports whether every cell is valid and has no violations.
 func (r *MatrixReport) OK() bool {
 	return !slices.ContainsFunc(r.Cells, func(c CellResult) bool { return !c.OK() })
 }
 
-// verdict is the text of a cell in the grid.
+// verdict returns the text of a cell in the grid.
 func (r *CellResult) verdict() string {
 	switch {
 	case r.Impossible != "":
@@ -90,7 +90,7 @@
 	return "ok"
 }
 
-// Write prints the grid, one row per fault, then the pairs and the details of failures.
+// Write prints the grid with one row per fault, then the pairs and the details of failures.
 func (r *MatrixReport) Write(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	columns := steps()
@@ -143,7 +143,7 @@
 	return err
 }
 
-// maxDetails bounds the violations that are printed for one cell.
+// maxDetails bounds the number of violations printed per cell.
 const maxDetails = 5
 
 func (r *CellResult) writeTrace(text *strings.Builder) {
--- a/experiment/matrix_cell.go
+++ b/experiment/matrix_cell.go
@@ -15,32 +15,32 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// Times of a cell.
+// Phases of a cell.
 const (
 	cellWarmUpMs       = 1 * clock.Second
-	cellPresetChangeMs = 300 * clock.Millis(1) // after the load is steady
+	cellPresetChangeMs = 300 * clock.Millis(1) // from the end of the warm-up to the preset change of every cell
 	cellLoadMs         = 7 * clock.Second
-	cellDrainMs        = 25 * clock.Second // covers the longest deadline and the store's longest retry pause
+	cellDrainMs        = 25 * clock.Second // exceeds the longest deadline and the longest retry delay of store calls
 )
 
-// CellOptions put a test double with a built-in fault around the cores of a cell.
+// CellOptions replace what the cores of a cell send or show, to inject defects that the checks must detect.
 type CellOptions struct {
 	MapCmd    func(id string, cmd vm.Cmd) []vm.Cmd
 	MapPreset func(id, name string, revision uint64) (string, uint64)
 }
 
-// CellResult is the outcome of one cell.
+// CellResult is the result of one cell.
 type CellResult struct {
 	Cell       string
 	Violations []Violation
-	Masked     string // which step or fault of a pair its other fault prevented
-	Problem    string // why the cell does not count: the step or the fault did not happen
-	Impossible string // why the step cannot occur with the fault
+	Masked     string // in a pair: the step or fault that the other fault prevented
+	Problem    string // why the cell is invalid: its step or its fault did not occur
+	Impossible string // why the step cannot occur together with the fault
 	Trace      []string
-	Answers    map[string]int // requests by how they ended, to show that a cell has content
+	Answers    map[string]int // number of requests by outcome, which shows that the cell had load
 }
 
-// ViolatedInvariants returns the names of the violated invariants, each once.
+// ViolatedInvariants returns the names of the violated invariants without duplicates.
 func (r *CellResult) ViolatedInvariants() []string {
 	var names []string
 	seen := make(map[string]bool)
@@ -53,21 +53,21 @@
 	return names
 }
 
-// OK reports whether the cell ran as meant and nothing was violated.
+// OK reports whether the cell is valid and has no violations.
 func (r *CellResult) OK() bool { return len(r.Violations) == 0 && r.Problem == "" }
 
-// faultInjection is one fault that waits for its step.
+// faultInjection is one fault that is injected when its step is reached.
 type faultInjection struct {
 	fault        fault
 	step         step
 	reached      bool
 	injected     bool
-	countEffects func() int // how often the fault had an effect
-	effects      int        // of faults that count as they go
-	vm           string     // that the fault concerns
+	countEffects func() int // number of times that the fault took effect; nil if effects is used
+	effects      int        // counted while the fault is active
+	vm           string     // affected by the fault
 }
 
-// cell is one run.
+// cell is one run of a cell of the fault matrix.
 type cell struct {
 	name        string
 	opts        CellOptions
@@ -83,12 +83,12 @@
 
 	matching        bool
 	healTime        clock.Millis
-	delayedVMs      map[string]bool // VMs that a fault kept from hearing of changes
+	delayedVMs      map[string]bool // VMs on which a fault delays preset changes
 	partitionOwners [order.NumPartitions]string
 	replyCounts     map[uint32]int
 	loseNextReply   bool
 	lostReplyKey    string
-	stopping        map[string]int // planned stops that have not drained, by VM: its process number and one
+	stopping        map[string]int // VMs whose graceful stop has not completed, with the generation of their process plus 1
 }
 
 // RunCell runs the cell "fault/step", or several joined by "+", in one Tier.
@@ -128,7 +128,7 @@
 	return step{}, false
 }
 
-// matrixRecord gives all presets the same short deadlines, so that a drain is short.
+// matrixRecord gives all presets the same short deadlines, so that cells drain quickly.
 func matrixRecord() preset.Record {
 	rec := preset.Default()
 	for i := range rec.Presets {
@@ -162,7 +162,7 @@
 	return c
 }
 
-// observeReplies recognises the steps at which a reply leaves an upstream.
+// observeReplies reports each reply that leaves an upstream as an observation.
 func (c *cell) observeReplies() {
 	for _, id := range c.tier.upstreamIDs {
 		up := c.tier.Upstreams[id]
@@ -235,7 +235,7 @@
 	return r
 }
 
-// observe starts the faults whose step has come.
+// observe injects the faults whose step matches the observation.
 func (c *cell) observe(m observation) {
 	if c.matching {
 		for _, s := range c.injections {
--- a/experiment/matrix_check.go
+++ b/experiment/matrix_check.go
@@ -9,7 +9,7 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// The invariants of section 1.1 of the design, and that every request is answered.
+// The invariants of section 1.1 of the design page, and that every request is answered.
 const (
 	InvariantOneSnapshot   = "one-snapshot"
 	InvariantTrueCoverage  = "true-coverage"
@@ -24,7 +24,7 @@
 	InvariantAnswered      = "answered"
 )
 
-// Violation is one thing that did not hold.
+// Violation is one violated invariant with its details.
 type Violation struct {
 	Invariant string
 	Detail    string
@@ -39,7 +39,7 @@
 	c.violations = append(c.violations, Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
-// requests checks every answer of a run that has ended.
+// requests checks every answer after the run has ended.
 func (c *checker) requests(list []*request, log *upstreamLog) {
 	for _, q := range list {
 		c.answered(q)
@@ -104,8 +104,8 @@
 	}
 }
 
-// coverage checks that the covered keys were really served at the snapshot, and
-// that every row in them arrived.
+// coverage checks that upstreams served the covered keys at the snapshot of the
+// answer, and that the answer contains every row of them exactly once.
 func (c *checker) coverage(q *request, a vm.QueryAnswer, log *upstreamLog) {
 	var missing coverage.Set
 	for _, gap := range a.Missing {
--- a/experiment/matrix_check_test.go
+++ b/experiment/matrix_check_test.go
@@ -14,7 +14,7 @@
 
 type cmdMapper = func(id string, cmd vm.Cmd) []vm.Cmd
 
-// eachQuery changes the answers to queries.
+// eachQuery applies change to every answer to a query.
 func eachQuery(change func(*vm.QueryAnswer)) cmdMapper {
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
 		if a, ok := cmd.(vm.AnswerQueryCmd); ok {
@@ -26,7 +26,7 @@
 	}
 }
 
-// eachOrder changes the answers to orders.
+// eachOrder applies change to every answer to an order.
 func eachOrder(change func(*vm.OrderAnswer)) cmdMapper {
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
 		if a, ok := cmd.(vm.AnswerOrderCmd); ok {
@@ -62,7 +62,7 @@
 	}
 }
 
-// otherSnapshot claims a snapshot at which no upstream served the request.
+// otherSnapshot reports a snapshot at which no upstream served the request.
 func otherSnapshot(a *vm.QueryAnswer) {
 	if a.Outcome != vm.Complete {
 		return
@@ -85,7 +85,7 @@
 	}
 }
 
-// exchangeAnswers gives each of two answers to the caller of the other.
+// exchangeAnswers swaps the rows of two complete answers, or the whole answers.
 func exchangeAnswers(rows bool) cmdMapper {
 	var first *vm.AnswerQueryCmd
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
@@ -126,7 +126,7 @@
 	}
 }
 
-// ignoreLeaving sends a copy of the work of its other replica to a leaving upstream.
+// ignoreLeaving sends a copy of the other replica's work to a leaving upstream.
 func ignoreLeaving() cmdMapper {
 	leaving := ""
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
@@ -146,7 +146,7 @@
 	}
 }
 
-// dropOne loses the tenth answer.
+// dropOne drops the tenth answer to a query.
 func dropOne() cmdMapper {
 	n := 0
 	return func(_ string, cmd vm.Cmd) []vm.Cmd {
@@ -160,7 +160,7 @@
 	}
 }
 
-// delayOne holds one urgent answer back until many more commands have followed.
+// delayOne delays one answer to a query until many more commands have followed.
 func delayOne() cmdMapper {
 	var delayed vm.Cmd
 	n := 0
@@ -177,7 +177,7 @@
 	}
 }
 
-// failAtStop loses what a stopping VM still has to answer, or makes it unknown.
+// failAtStop drops the remaining answers of a stopping VM, or reports their execution as unknown.
 func failAtStop(drop bool) cmdMapper {
 	stopping := ""
 	return func(id string, cmd vm.Cmd) []vm.Cmd {
@@ -207,7 +207,7 @@
 
 type presetMapper = func(id, name string, revision uint64) (string, uint64)
 
-// revert puts revision 1 back in force on one VM after it has had revision 2 for a while.
+// revert puts revision 1 back in force on one VM for a while after revision 2.
 func revert() presetMapper {
 	seen := 0
 	return func(id, name string, revision uint64) (string, uint64) {
@@ -235,7 +235,7 @@
 	return name, revision
 }
 
-// Guards against a checker that cannot fail: each double breaks one invariant.
+// TestMatrixCheckersCatch guards against checks that never fail: each case violates one invariant.
 func TestMatrixCheckersCatch(t *testing.T) {
 	const quiet, cut, stop = "upstream-cold/query-sent", "reply-cut/query-sent", "vm-stopped/query-sent"
 	tests := map[string]struct {
--- a/experiment/matrix_fault.go
+++ b/experiment/matrix_fault.go
@@ -12,10 +12,10 @@
 	faultVMStopped              = "vm-stopped"
 )
 
-// fault is one kind of fault. strike starts it and returns what heals it.
+// fault is one kind of fault. inject starts it and returns a function that ends it, or nil.
 type fault struct {
 	name       string
-	durationMs clock.Millis // how long it lasts, 0 for faultMs
+	durationMs clock.Millis // how long it lasts; 0 means faultMs
 	inject     func(*cell, *faultInjection, observation) func()
 }
 
@@ -68,8 +68,8 @@
 	return fault{}, false
 }
 
-// impossible says why the steps cannot occur together with the faults. Every
-// step comes before its fault in a cell, so no single cell is impossible.
+// impossible returns why the steps cannot occur together with the faults, or "".
+// Within one cell the step precedes its fault, so no single cell is impossible.
 func impossible(injections []*faultInjection) string {
 	var prepared []string
 	for _, s := range injections {
--- a/experiment/matrix_fault_reply.go
+++ b/experiment/matrix_fault_reply.go
@@ -5,10 +5,10 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// replyFaultPercent is the share of replies that a reply fault concerns.
+// replyFaultPercent is the percentage of replies that a reply fault affects.
 const replyFaultPercent = 20
 
-// changeReplies applies a fault to a share of the replies of upstreams that ran the work.
+// changeReplies applies a fault to some of the replies of upstreams that executed the request.
 func (c *cell) changeReplies(s *faultInjection, apply func(attempt.Request, attempt.Reply, func(attempt.Reply))) func() {
 	previous := c.faults.deliverReply
 	c.faults.deliverReply = func(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
@@ -36,8 +36,8 @@
 	return attempt.Reply{ID: r.ID, Upstream: r.Upstream, Status: attempt.Mismatched}
 }
 
-// replyCrossed exchanges two replies. The adapter reports both as mismatched;
-// as a further trial of the core, the exchanged replies arrive as well.
+// replyCrossed exchanges two replies. The adapter reports both as mismatched. The
+// exchanged replies are delivered as well, which tests that the core ignores them.
 func replyCrossed(c *cell, s *faultInjection, _ observation) func() {
 	type pendingReply struct {
 		reply   attempt.Reply
@@ -49,7 +49,7 @@
 			first = &pendingReply{r, deliver}
 			pending := first
 			c.tier.Loop.After(200, func() {
-				if first == pending { // no partner came
+				if first == pending { // no second reply arrived in time
 					first = nil
 					deliver(r)
 				}
@@ -65,8 +65,8 @@
 	})
 }
 
-// replyCut loses the end of a reply: the adapter reports it as mismatched, or
-// whole rows and ranges are missing.
+// replyCut truncates a reply: either the adapter reports it as mismatched, or all
+// rows and ranges are missing.
 func replyCut(c *cell, s *faultInjection, _ observation) func() {
 	return c.changeReplies(s, func(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply)) {
 		if req.Kind == attempt.Order || c.rng.IntN(2) == 0 {
--- a/experiment/matrix_fault_upstream.go
+++ b/experiment/matrix_fault_upstream.go
@@ -11,8 +11,8 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// target returns the upstream that the moment concerns, or one of the service
-// that the step concerns.
+// target returns the upstream of the observation, or a random one of the service
+// that the step is about.
 func (c *cell) target(s *faultInjection, m observation) (string, *Upstream) {
 	id := ""
 	if d, ok := m.cmd.(vm.DispatchCmd); ok {
@@ -33,7 +33,7 @@
 	return id, c.tier.Upstreams[id]
 }
 
-// countRequests counts the requests that reach an upstream from now on.
+// countRequests counts each further request that reaches the upstream as an effect.
 func countRequests(s *faultInjection, up *Upstream) {
 	previous := up.OnReceive
 	up.OnReceive = func(r attempt.Request) {
@@ -56,8 +56,8 @@
 	return func() { up.Dead = false }
 }
 
-// repartition moves keys from one group to the next. Its replicas learn of the
-// new shard map one after another.
+// repartition moves keys from one group to the next. The replicas adopt the new
+// shard map at different times.
 func repartition(c *cell, s *faultInjection, _ observation) func() {
 	const moved = 40
 	g := c.rng.IntN(c.tier.Config.Groups - 1)
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// indexChange loads a new snapshot on one upstream after another and drops the
-// old one.
+// indexChange loads a new snapshot and drops the old one, at different times on
+// each upstream.
 func indexChange(c *cell, s *faultInjection, _ observation) func() {
 	for _, id := range c.tier.upstreamIDs {
 		up := c.tier.Upstreams[id]
@@ -131,8 +131,8 @@
 	return func() { up.Workers, up.ShedAbove = 0, 0 }
 }
 
-// upstreamLying is slow and sheds load while its load endpoint says that all is
-// well and names snapshots that it does not hold.
+// upstreamLying makes an upstream slow and lets it shed load, while its load
+// endpoint reports it as healthy and lists snapshots that it does not hold.
 func upstreamLying(c *cell, s *faultInjection, m observation) func() {
 	id, up := c.target(s, m)
 	up.SlowFactor, up.Workers, up.ShedAbove = 6, 4, 2
--- a/experiment/matrix_fault_vm.go
+++ b/experiment/matrix_fault_vm.go
@@ -9,7 +9,7 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// leaseLapseMs exceeds every timeout of a VM, the longest being that of a store call.
+// leaseLapseMs exceeds every timeout of a VM; the longest is that of a store call.
 const leaseLapseMs = 12 * clock.Second
 
 func flooding(r rank.Rank) func(*cell, *faultInjection, observation) func() {
@@ -38,7 +38,8 @@
 	return func() { store.ExtraDelayMs = 0 }
 }
 
-// storeReplyLost loses answers to writes, at least one even if it comes after the fault's time.
+// storeReplyLost loses replies to writes. At least one reply is lost, even if the
+// first write happens after the fault has ended.
 func storeReplyLost(c *cell, s *faultInjection, _ observation) func() {
 	healed := false
 	c.faults.loseReply.add(func() bool {
@@ -51,7 +52,7 @@
 	return func() { healed = true }
 }
 
-// leaseLapsed pauses a claim owner or a watcher past every timeout.
+// leaseLapsed pauses a claim owner or a store watcher for longer than every timeout.
 func leaseLapsed(c *cell, s *faultInjection, m observation) func() {
 	if _, to, ok := sentClaim(m); ok && !c.tier.byID[to].dead {
 		s.vm = to
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// countReplacement counts a new process of the VM that is ready as the effect.
+// countReplacement counts as an effect that a new process of the VM is ready.
 func (s *faultInjection) countReplacement(c *cell) {
 	n := c.tier.byID[s.vm]
 	before := n.self.Incarnation
@@ -105,7 +106,7 @@
 	}
 }
 
-// linkCut loses every message between two VMs, in one direction or both.
+// linkCut loses every message between two VMs, in one direction or in both.
 func linkCut(both bool) func(*cell, *faultInjection, observation) func() {
 	return func(c *cell, s *faultInjection, m observation) func() {
 		peer := ""
@@ -137,7 +138,7 @@
 	})
 }
 
-// vmListStale shows the list of before, while a VM is replaced.
+// vmListStale keeps listing the VMs from before the fault, while a VM is replaced.
 func vmListStale(c *cell, s *faultInjection, _ observation) func() {
 	var old []fleet.VM
 	for _, n := range c.tier.vms {
@@ -162,7 +163,7 @@
 	})
 }
 
-// operatorsRacing starts two changes against the store at once.
+// operatorsRacing starts two concurrent preset changes.
 func operatorsRacing(c *cell, s *faultInjection, _ observation) func() {
 	other, first := c.randomVM(), len(c.presets.changes)
 	for _, to := range []struct{ vm, preset string }{{s.vm, "maintenance"}, {other, "peak"}} {
--- a/experiment/matrix_hooks.go
+++ b/experiment/matrix_hooks.go
@@ -11,10 +11,10 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// chain holds the effects of all faults that are switched on at once.
+// chain holds the handlers of all active faults that affect the same hook.
 type chain[F any] []*F
 
-// add switches an effect on and returns what switches it off.
+// add registers a handler and returns a function that removes it.
 func (c *chain[F]) add(f F) func() {
 	entry := &f
 	*c = append(*c, entry)
@@ -23,7 +23,7 @@
 	}
 }
 
-// faultState is what the faults have switched on. The zero values are healthy.
+// faultState holds the handlers of the active faults. The zero value has no fault.
 type faultState struct {
 	deliverReply func(attempt.Request, attempt.Reply, func(attempt.Reply))
 	mapLoad      chain[func(upstream.ID, upstream.Load) upstream.Load]
@@ -93,7 +93,7 @@
 	return cut
 }
 
-// stop begins the planned stop of a VM and replaces it once it has drained.
+// stop begins the graceful stop of a VM and replaces it after it has drained.
 func (c *cell) stop(id string) {
 	generation := c.tier.byID[id].generation
 	c.stopping[id] = generation + 1
@@ -101,20 +101,20 @@
 	c.tier.Stop(id, func(took clock.Millis) {
 		c.tracef("%s drained in %d ms", id, took)
 		delete(c.stopping, id)
-		c.load.disconnect(id, generation) // a request that a drained VM has not answered was cut
+		c.load.disconnect(id, generation) // a request that a drained VM left unanswered was disconnected
 		c.check.drained(c.load.requests, id, generation)
 		c.tier.Loop.After(clock.Second, func() { c.tier.Replace(id) })
 	})
 }
 
-// kill ends a VM at once and replaces it two seconds later.
+// kill ends the process of a VM immediately and replaces it two seconds later.
 func (c *cell) kill(id string) {
 	c.load.disconnect(id, c.tier.byID[id].generation)
 	c.tier.Kill(id)
 	c.tier.Loop.After(2*clock.Second, func() { c.tier.Replace(id) })
 }
 
-// drained checks that a VM that ended its planned stop has answered every request.
+// drained checks that a VM answered every request before its graceful stop completed.
 func (c *checker) drained(list []*request, id string, generation int) {
 	for _, q := range list {
 		if q.vm == id && q.generation == generation && len(q.answers) == 0 {
@@ -123,8 +123,8 @@
 	}
 }
 
-// plannedStop checks a run in which nothing but a planned stop happened: no request
-// may end without a known result.
+// plannedStop checks a run whose only fault is a graceful stop: every query must
+// be complete or refused, and every order must have a known outcome.
 func (c *checker) plannedStop(list []*request) {
 	for _, q := range list {
 		for _, cmd := range q.answers {
--- a/experiment/matrix_load.go
+++ b/experiment/matrix_load.go
@@ -9,18 +9,18 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// Load of one cell, in requests per second.
+// Load of one cell. Rates are in requests per second.
 const (
-	cellQueryRate  = 15.0 // of each rank
+	cellQueryRate  = 15.0 // per rank
 	cellOrderRate  = 20.0
 	cellFloodRate  = 1500.0
-	repeatPercent  = 35               // orders that are sent again through another VM
-	repeatWithinMs = 2 * clock.Second // after the first
-	balancerLagMs  = 500              // until the balancer sees that a VM is not ready
+	repeatPercent  = 35               // of orders, repeated through another VM
+	repeatWithinMs = 2 * clock.Second // of the first submission
+	balancerLagMs  = 500              // delay until the load balancer sees that a VM is not ready
 	answerMarginMs = 100 * clock.Millis(1)
 )
 
-// request is one request of a caller and what became of it.
+// request is one request of a caller with the answers to it.
 type request struct {
 	callID       uint64
 	id           string
@@ -28,21 +28,21 @@
 	generation   int
 	order        bool
 	rank         rank.Rank
-	body         string // names the call, so that a run can be traced to it
+	body         string // unique per request, so that executions can be traced to it
 	sentAt       clock.Millis
-	deadline     clock.Millis // an answer is late after this
+	deadline     clock.Millis // an answer after this time is a violation
 	answers      []vm.Cmd
 	answeredAt   clock.Millis
-	disconnected bool // its VM was killed
+	disconnected bool // its VM ended before it answered
 }
 
-// cellLoad sends the requests of one cell through a balancer.
+// cellLoad sends the requests of one cell through a simulated load balancer.
 type cellLoad struct {
 	tier     *Tier
 	rng      *rand.Rand
 	requests []*request
 	byCallID map[uint64]*request
-	readyVMs []string // VMs that the balancer uses
+	readyVMs []string // VMs that the load balancer sends requests to
 	answered func(*request, vm.Cmd)
 }
 
@@ -62,7 +62,7 @@
 	l.tier.Loop.After(balancerLagMs, l.pollReady)
 }
 
-// stream calls send at random times with the given mean rate until end.
+// stream calls send as a Poisson process with the given rate until end.
 func (l *cellLoad) stream(perSecond float64, end clock.Millis, send func()) {
 	next := float64(l.tier.Loop.Now())
 	var step func()
@@ -78,7 +78,7 @@
 	step()
 }
 
-// pickVM chooses a VM as the balancer would; a broken connection is tried elsewhere.
+// pickVM chooses a VM as the load balancer does. If the connection to it fails, another one is tried.
 func (l *cellLoad) pickVM(exclude string) *tierVM {
 	for range 20 {
 		if len(l.readyVMs) == 0 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// order submits a new order and sometimes repeats it through another VM.
+// order submits a new order and sometimes repeats it through other VMs.
 func (l *cellLoad) order() {
 	n := l.pickVM("")
 	if n == nil {
@@ -146,7 +146,7 @@
 	n.update(vm.QueryMsg{CallID: q.callID, ID: q.id, Rank: q.rank, Service: "search", Body: []byte(q.body), MinCoverage: -1})
 }
 
-// recordAnswer notes an answer that a VM sends to a caller.
+// recordAnswer records an answer that a VM sends to a caller.
 func (l *cellLoad) recordAnswer(callID uint64, cmd vm.Cmd) {
 	q := l.byCallID[callID]
 	if q == nil {
@@ -161,8 +161,8 @@
 	}
 }
 
-// disconnect marks the requests that a killed VM cannot answer any more. Their
-// callers see a broken connection, and repeat orders elsewhere.
+// disconnect marks the requests that a VM left unanswered when it ended. Their
+// callers see a broken connection and repeat orders through another VM.
 func (l *cellLoad) disconnect(id string, generation int) {
 	for _, q := range l.requests {
 		if q.vm != id || q.generation != generation || len(q.answers) > 0 {
@@ -179,7 +179,7 @@
 	}
 }
 
-// extendDeadlines gives the requests of a paused VM the time of the pause.
+// extendDeadlines moves the deadlines of a paused VM's open requests past the end of the pause.
 func (l *cellLoad) extendDeadlines(id string, until clock.Millis) {
 	for _, q := range l.requests {
 		if q.vm == id && len(q.answers) == 0 {
@@ -188,7 +188,7 @@
 	}
 }
 
-// outcomes counts the requests by how they ended.
+// outcomes counts the requests by outcome.
 func (l *cellLoad) outcomes() map[string]int {
 	count := make(map[string]int)
 	for _, q := range l.requests {
--- a/experiment/matrix_preset.go
+++ b/experiment/matrix_preset.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	presetLimitMs   = 4 * clock.Second // an accepted change is in force within this time
-	changeTimeout   = 5 * clock.Second // the limit of entry.VM for an operator's change
+	presetLimitMs   = 4 * clock.Second // an accepted change must be in force within this time
+	changeTimeout   = 5 * clock.Second // as the timeout of entry.VM for an operator's change
 	operatorRetryMs = 20
 )
 
-// change is one operator's change during a cell.
+// change is one preset change that an operator requests during a cell.
 type change struct {
 	id        string
 	vm        string
 	result    preset.Result
-	decidedAt clock.Millis // of the result, 0 before
+	decidedAt clock.Millis // time of the result, 0 before it
 	revision  uint64
 }
 
-// presetDriver drives preset.Changers as the runtime of a VM does, and watches
-// which revision each core has in force.
+// presetDriver drives a preset.Committer per change, as the runtime of a VM does,
+// and checks which revision each core has in force.
 type presetDriver struct {
 	cell             *cell
 	changes          []*change
-	highestRevisions map[string]uint64 // by VM and process
-	presetNames      map[uint64]string // preset by revision
+	highestRevisions map[string]uint64 // by VM and generation
+	presetNames      map[uint64]string // preset name by revision
 }
 
 func newPresetDriver(c *cell) *presetDriver {
 	return &presetDriver{cell: c, highestRevisions: make(map[string]uint64), presetNames: make(map[uint64]string)}
 }
 
-// start begins a change through a VM.
+// start begins a preset change through a VM.
 func (s *presetDriver) start(id, presetName string) {
 	t := s.cell.tier
 	n := t.byID[id]
@@ -86,8 +86,8 @@
 	}
 }
 
-// scheduleChecks checks after the bound that the revision is in force. VMs that a
-// fault held back have the bound after its end.
+// scheduleChecks checks after presetLimitMs that the accepted revision is in
+// force. For VMs that a fault delays, the limit starts when the fault ends.
 func (s *presetDriver) scheduleChecks(ch *change) {
 	t := s.cell.tier
 	ch.revision = ch.result.Record.Revision
@@ -114,7 +114,7 @@
 	return revision
 }
 
-// presetInForce returns what a VM has in force, as changed by a test double.
+// presetInForce returns the preset and revision in force on a VM, as replaced by CellOptions.MapPreset.
 func (s *presetDriver) presetInForce(id string, core *vm.Core) (string, uint64) {
 	p, revision := core.Preset()
 	if mapPreset := s.cell.opts.MapPreset; mapPreset != nil {
@@ -123,7 +123,7 @@
 	return p.Name, revision
 }
 
-// checkRevision runs after each message to a core.
+// checkRevision checks the revision in force after each message to a core.
 func (s *presetDriver) checkRevision(id string, core *vm.Core) {
 	name, revision := s.presetInForce(id, core)
 	key := fmt.Sprintf("%s/%d", id, s.cell.tier.byID[id].generation)
@@ -132,7 +132,7 @@
 	}
 	s.highestRevisions[key] = revision
 	if revision == 0 {
-		return // not ready before it has a record
+		return // a VM without a record is not ready
 	}
 	rec := core.Record()
 	if known, ok := s.presetNames[revision]; ok && known != name || rec.Revision == revision && rec.InForce != name {
@@ -141,8 +141,8 @@
 	s.presetNames[revision] = name
 }
 
-// finish checks at the end of a cell that accepted changes are kept: the store
-// and every VM agree on one record that is no older.
+// finish checks at the end of a cell that no accepted change was lost: the store
+// holds every accepted change, and every VM has the stored record in force.
 func (s *presetDriver) finish() {
 	t := s.cell.tier
 	stored, err := preset.Decode(t.Store.entries[preset.StoreKey].Value)
--- a/experiment/matrix_step.go
+++ b/experiment/matrix_step.go
@@ -12,26 +12,26 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// observation is something that happens in a Tier; steps are recognised by it.
+// observation is something that happens in a Tier. Steps are recognised by it.
 type observation struct {
 	vm             string
 	cmd            vm.Cmd
 	msg            vm.Msg
-	changeRequest  *store.Request   // of an operator's change
+	changeRequest  *store.Request   // store call of an operator's change
 	changeAccepted bool             // an operator's change was accepted
-	replyTo        *attempt.Request // an upstream sends the reply to it
+	replyTo        *attempt.Request // request whose reply leaves an upstream
 }
 
-// step is a point in the life of some work at which a fault can strike.
+// step is a stage of processing at which a fault can be injected.
 type step struct {
 	name string
-	// delay is the time from the moment to the strike; the moment itself
-	// is over before any fault strikes.
+	// delay is the time from the observation to the injection. A fault is always
+	// injected after the observed message or command has been processed.
 	delay      clock.Millis
-	prepare    func(*cell) // provokes the step once the load is steady
+	prepare    func(*cell) // provokes the step after the warm-up
 	match      func(*cell, observation) bool
-	holdOrders bool // no orders before the step is provoked
-	orders     bool // concerns orders
+	holdOrders bool // orders only start after prepare
+	orders     bool // the step is about orders
 }
 
 func steps() []step {
@@ -56,8 +56,8 @@
 	}
 }
 
-// submitBurst sends more queries to one VM than it may run at once. They are patient,
-// so that their deadline lets all of them run.
+// submitBurst sends more queries to one VM than it may run at once. They have the
+// patient rank, whose deadline is long enough for all of them to run.
 func submitBurst(c *cell) {
 	n := c.tier.vms[c.rng.IntN(len(c.tier.vms))]
 	for range 400 {
@@ -67,7 +67,7 @@
 
 func loseNextReply(c *cell) { c.loseNextReply = true }
 
-// stopOwner stops a VM as planned that owns a partition and carries upstreams.
+// stopOwner gracefully stops a VM that owns a partition and is a carrier.
 func stopOwner(c *cell) {
 	ids := make([]string, 0, len(c.partitionOwners))
 	for _, owner := range c.partitionOwners {
@@ -100,8 +100,8 @@
 	}
 }
 
-// isPartlyServed recognises a query of which some groups have replied. The
-// priority is drawn once per query and so identifies its attempts.
+// isPartlyServed recognises a query to which half of the groups have replied. The
+// priority is drawn once per query and therefore identifies its attempts.
 func isPartlyServed(c *cell, m observation) bool {
 	if m.replyTo == nil || m.replyTo.Kind != attempt.Query {
 		return false
@@ -142,7 +142,7 @@
 	}
 }
 
-// isReadBack recognises the read after a write whose answer was lost.
+// isReadBack recognises the read that follows a write whose reply was lost.
 func isReadBack(c *cell, m observation) bool {
 	s, ok := m.cmd.(vm.StoreCmd)
 	return ok && c.lostReplyKey != "" && s.Request.Key == c.lostReplyKey && s.Request.Op == store.OpGet
--- a/experiment/matrix_test.go
+++ b/experiment/matrix_test.go
@@ -9,8 +9,9 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-// Guards against a fault at any step of the work that breaks an invariant of
-// section 1.1, and against cells in which the step or the fault did not happen.
+// TestMatrixHolds guards against a fault, at any step of the work, that violates an
+// invariant of section 1.1 of the design page, and against invalid cells, in which
+// the step or the fault did not occur.
 func TestMatrixHolds(t *testing.T) {
 	t.Parallel()
 	const seed = 1
@@ -30,7 +31,7 @@
 	}
 }
 
-// Guards against a failure that cannot be rerun from its seed and cell.
+// TestMatrixRepeats guards against a failure that cannot be reproduced from its seed and cell.
 func TestMatrixRepeats(t *testing.T) {
 	names := []string{"vm-killed/order-attempt-sent", "reply-crossed/query-sent", "link-cut-both-ways/owner-change+store-down/preset-write"}
 	render := func() string {
@@ -49,7 +50,7 @@
 	}
 }
 
-// Guards against a grid that leaves a fault, a step or a cell out in silence.
+// TestMatrixGridHasEveryCell guards against a grid that omits a fault, a step or a cell.
 func TestMatrixGridHasEveryCell(t *testing.T) {
 	names := experiment.MatrixCells()
 	seen := make(map[string]bool)
@@ -63,7 +64,7 @@
 	}
 }
 
-// Guards against a misspelt cell that runs nothing and passes.
+// TestRunCellRefusesUnknownNames guards against a misspelt cell that runs nothing and passes.
 func TestRunCellRefusesUnknownNames(t *testing.T) {
 	for _, name := range []string{"", "straggler", "straggler/nowhere", "nothing/query-sent", "straggler/query-sent+x"} {
 		if _, err := experiment.RunCell(1, name, experiment.CellOptions{}); err == nil {
@@ -72,7 +73,7 @@
 	}
 }
 
-// Guards against failures that the matrix has found, each at its seed and cell.
+// TestMatrixRegressions guards against earlier failures of the matrix, each at its seed and cell.
 func TestMatrixRegressions(t *testing.T) {
 	tests := map[string]struct {
 		seed uint64
--- a/experiment/matrix_upstream_log.go
+++ b/experiment/matrix_upstream_log.go
@@ -10,18 +10,18 @@
 )
 
 // rowInterval is the distance between keys that have a row, so that a missing row
-// reveals coverage that was claimed without data.
+// reveals coverage that is reported without data.
 const rowInterval uint32 = 10
 
-// upstreamLog is what the fake upstreams really did. The checkers compare answers
-// with it and with nothing that the cores say.
+// upstreamLog records what the fake upstreams executed and served. The checker
+// compares answers with it alone, never with the state of the cores.
 type upstreamLog struct {
 	loop         *Loop
 	runs         map[string]int                      // by request body
 	orders       map[string]int                      // by order id
 	served       map[string]map[uint64]*coverage.Set // by request body and version
-	leavingSince map[string]clock.Millis             // since when
-	lateRequests []string                            // requests that reached a leaving upstream too late
+	leavingSince map[string]clock.Millis             // by upstream
+	lateRequests []string                            // descriptions of requests that reached a leaving upstream too late
 }
 
 func newUpstreamLog(t *Tier) *upstreamLog {
@@ -53,7 +53,7 @@
 	}
 }
 
-// completeReply fills the rows of a reply: each names its version and its request.
+// completeReply adds the rows of a reply. Each row names its version and its request.
 func (log *upstreamLog) completeReply(req attempt.Request, r *attempt.Reply) {
 	body := string(req.Body)
 	if req.Kind == attempt.Order {
@@ -80,7 +80,7 @@
 
 func rowValue(version uint64, body string) string { return fmt.Sprintf("v%d %s", version, body) }
 
-// splitRow returns the version and the request that a row names.
+// splitRow returns the version and the request body that a row names.
 func splitRow(value string) (version, body string) {
 	version, body, _ = strings.Cut(value, " ")
 	return version, body
--- a/experiment/operator.go
+++ b/experiment/operator.go
@@ -7,7 +7,7 @@
 	"lentillink.example/lentillink/store"
 )
 
-// operator carries out one change on one VM. If the VM dies, there is no result.
+// operator commits one preset change through one VM. If the VM dies, there is no result.
 type operator struct {
 	fleet      *Fleet
 	vm         *FleetVM
@@ -16,7 +16,7 @@
 	done       func(preset.Result)
 }
 
-// StartChange starts a change on a VM. done receives the result that the operator sees.
+// StartChange starts a preset change through a VM and calls done with the result that the operator gets.
 func (f *Fleet) StartChange(n *FleetVM, c preset.Change, timeout clock.Millis, done func(preset.Result)) {
 	committer := preset.NewCommitter(c, n.Model.Record(), f.Loop.Now()+timeout)
 	o := &operator{fleet: f, vm: n, generation: n.generation, committer: committer, done: done}
--- a/experiment/orders.go
+++ b/experiment/orders.go
@@ -7,14 +7,14 @@
 	"lentillink.example/lentillink/order"
 )
 
-// ordersConfig describes one run of order machines.
+// ordersConfig describes one run of the order state machines.
 type ordersConfig struct {
 	seed            uint64
 	orders          int
 	faults          bool
 	ordersPerSecond int
 	options         []order.Option
-	wrapMachine     func(orderMachine) orderMachine // nil, or a faulty double around each machine
+	wrapMachine     func(orderMachine) orderMachine // wraps each machine in a test double with a defect; nil for none
 }
 
 // orderMachine is the part of order.Model that a run uses.
@@ -26,26 +26,26 @@
 // ordersPerSecond is the rate of new orders in a run.
 const ordersPerSecond = 1000
 
-// baselineOrders caps the baseline and the runs without faults. One write per
-// claim falls behind for good after a slow period of the store, which makes a
-// long run of it slow and its figures only worse.
+// baselineOrders bounds the orders of the baseline and of the runs without faults.
+// With one write per claim, a partition never catches up after the store was
+// slow for a while, which makes a long run slow and its figures only worse.
 const baselineOrders = 10000
 
-// maxWritesPerOrder is the bound on store writes under this rate.
+// maxWritesPerOrder bounds the store writes per order at ordersPerSecond.
 const maxWritesPerOrder = 0.5
 
-// unbatchedOptions returns the options under which each claim is one write at once.
-// The small head keeps the run fast; it adds one segment write to about 230 claims.
+// unbatchedOptions returns options that write each claim immediately on its own.
+// The small head keeps the run fast; it adds one segment write per about 230 claims.
 func unbatchedOptions() []order.Option {
 	return []order.Option{
 		order.WithMaxBatch(1), order.WithWriteInterval(0), order.WithDoneMarks(false), order.WithSealThreshold(8 << 10),
 	}
 }
 
-// Orders runs n orders through a fleet of order machines under faults of
-// callers, VMs, peers, the store and upstreams, and checks every answer. The
-// baseline writes one claim per order at the same rate and density of faults,
-// over at most baselineOrders.
+// Orders runs n orders through a fleet of order state machines under faults of
+// callers, VMs, links, the store and upstreams, and checks every answer. The
+// baseline writes one claim per order, at the same rate and density of faults,
+// for at most baselineOrders orders.
 func Orders(seed uint64, n int) Report {
 	cfg := ordersConfig{seed: seed, orders: n, ordersPerSecond: ordersPerSecond, faults: true, options: sealOptions(n)}
 	value := runOrders(cfg)
@@ -78,7 +78,7 @@
 	return report
 }
 
-// sealOptions makes short runs seal segments too.
+// sealOptions lowers the seal threshold of short runs, so that they seal segments too.
 func sealOptions(n int) []order.Option {
 	if n >= 50000 {
 		return nil
--- a/experiment/orders_attempt.go
+++ b/experiment/orders_attempt.go
@@ -31,11 +31,12 @@
 	return "", false
 }
 
-// sendAttempt takes an attempt to its upstream and its reply back, exactly once.
+// sendAttempt delivers an attempt to its upstream and exactly one reply to the VM:
+// that of the upstream, or a timeout at the deadline.
 func (r *ordersRun) sendAttempt(vm *orderVM, req attempt.Request) {
 	replied := false
 	reply := func(rep attempt.Reply) {
-		if replied { // the timeout was reported first
+		if replied { // the timeout was reported earlier
 			r.checker.recordLostAttempt(req.OrderID)
 			return
 		}
@@ -71,8 +72,8 @@
 	r.loop.After(delay, func() { r.serve(req, reply) })
 }
 
-// serve runs the attempt at its upstream. The upstream starts at once or
-// refuses, so its count of runs tells which of the two happened.
+// serve passes the attempt to its upstream. The upstream starts it immediately or
+// refuses it, so the change of its execution count shows which one happened.
 func (r *ordersRun) serve(req attempt.Request, reply func(attempt.Reply)) {
 	u := r.upstreams[req.Upstream]
 	before := u.Executions(req.OrderID)
--- a/experiment/orders_caller.go
+++ b/experiment/orders_caller.go
@@ -10,27 +10,27 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// orderCaller submits one order and repeats it with the same id until it knows
-// that the order was run, or has repeated often enough.
+// orderCaller submits one order and repeats it with the same id until an answer
+// shows that the order was executed, or maxCallerRepeats is reached.
 type orderCaller struct {
 	id              string
 	repeats         int
-	knowsRun        bool // knows that the order was run
-	repeatScheduled bool // a repeat is scheduled
+	knowsRun        bool // an answer showed that the order was executed
+	repeatScheduled bool
 }
 
 const (
 	orderDeadlineMs clock.Millis = 2000
-	// callerTimeoutMs is how long a caller waits past the deadline before it
-	// takes the submission for lost and repeats it.
+	// callerTimeoutMs is how long after the deadline a caller without an answer
+	// considers the submission lost and repeats it.
 	callerTimeoutMs  clock.Millis = 1000
 	maxCallerRepeats int          = 15
-	// repeatUnknownMs is the wait before an unknown outcome is submitted again.
+	// repeatUnknownMs is the delay before an order with an unknown outcome is submitted again.
 	repeatUnknownMs clock.Millis = 1500
 )
 
-// submitNew submits a new order; some callers repeat at once, and the balancer
-// delivers some requests twice.
+// submitNew submits a new order. Some callers repeat it immediately, and the load
+// balancer delivers some requests twice.
 func (r *ordersRun) submitNew(n int) {
 	c := &r.callers[n]
 	c.id = fmt.Sprintf("%d-%08x%d", r.loop.Now(), r.rng.Uint32(), n)
@@ -39,16 +39,16 @@
 		return
 	}
 	switch r.rng.IntN(20) {
-	case 0: // the caller repeats at once
+	case 0: // the caller repeats immediately
 		r.submit(n)
-	case 1: // the balancer repeats the request
+	case 1: // the load balancer repeats the request
 		r.loop.After(clock.Millis(r.rng.IntN(100)), func() { r.submit(n) })
-	case 2: // the caller repeats a finished order
+	case 2: // the caller repeats an order that has probably finished
 		r.loop.After(r.randomMs(100, 20000), func() { r.submit(n) })
 	}
 }
 
-// submit delivers the order to a random VM that the balancer believes in.
+// submit delivers the order to a random VM, which may be dead.
 func (r *ordersRun) submit(n int) {
 	c := &r.callers[n]
 	vm := r.randomVM()
@@ -56,7 +56,7 @@
 	s := &orderSubmission{caller: n, id: c.id, vm: vm, submittedAt: r.loop.Now()}
 	r.checker.submissions = append(r.checker.submissions, s)
 	if vm.dead {
-		s.answers = 1 // the connection is refused; nothing was submitted
+		s.answers = 1 // the connection is refused and nothing is submitted
 		s.answer = order.Answer{Outcome: order.OutcomeUnknown}
 		r.scheduleRepeat(n, 200)
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-// scheduleRepeat submits the same id again after a wait, unless one repeat is scheduled already.
+// scheduleRepeat submits the same id again after a delay, unless a repeat is already scheduled.
 func (r *ordersRun) scheduleRepeat(n int, wait clock.Millis) {
 	c := &r.callers[n]
 	if c.knowsRun || c.repeatScheduled || c.repeats >= maxCallerRepeats {
--- a/experiment/orders_check.go
+++ b/experiment/orders_check.go
@@ -9,7 +9,7 @@
 	"lentillink.example/lentillink/order"
 )
 
-// orderRule names one invariant that the checker counts violations of.
+// orderRule names one invariant whose violations the checker counts.
 type orderRule string
 
 const (
@@ -27,17 +27,17 @@
 	ruleExecutedTwice, ruleFalseNotExecuted, ruleSentAfterNotExecuted, ruleFalseExecuted, ruleRepeatWithoutClaim, ruleSentWithoutClaim, ruleResentWithoutProof, ruleAnswerCount,
 }
 
-// orderChecker sees what callers, the store and upstreams see. It knows nothing
-// of the state of the machines: a submission is told by its body.
+// orderChecker observes callers, the store and upstreams, but not the state of
+// the machines: it identifies a submission by the body of its attempts.
 type orderChecker struct {
 	submissions     []*orderSubmission
 	runs            map[string]int
-	lostAttempts    map[string]bool // ids of which an attempt or its reply was lost
+	lostAttempts    map[string]bool // ids with a lost attempt or a lost reply
 	claimedAt       map[order.Hash]clock.Millis
 	durableTokens   map[order.Hash]bool
 	sentTokens      map[order.Hash]bool // tokens under which an attempt was sent
 	violations      map[orderRule]int
-	firstSendDelays []clock.Millis // time from submission to first send
+	firstSendDelays []clock.Millis // from submission to the first attempt
 }
 
 // orderSubmission is one delivery of an order to one VM.
@@ -121,7 +121,7 @@
 	return s
 }
 
-// finish checks every answer against what was run by the end.
+// finish checks every answer against the executions seen until the end of the run.
 func (c *orderChecker) finish() {
 	for _, runs := range c.runs {
 		if runs > 1 {
--- a/experiment/orders_claims.go
+++ b/experiment/orders_claims.go
@@ -2,8 +2,8 @@
 
 import "lentillink.example/lentillink/order"
 
-// finalClaims returns the claims in the store at the end of a run, read the
-// way a new owner reads them.
+// finalClaims returns the claims in the store at the end of a run, read in the
+// way in which a new partition owner reads them.
 func (r *ordersRun) finalClaims() map[order.Hash]order.Claim {
 	claims := make(map[order.Hash]order.Claim)
 	for n := range order.NumPartitions {
@@ -33,21 +33,21 @@
 	}
 }
 
-// lossCause says why an order was never run and its id is blocked.
+// lossCause is the reason why an order was never executed and its id is blocked.
 type lossCause string
 
 const (
 	lossBeforeSend lossCause = "holder killed before the send"
 	lossAfterSend  lossCause = "holder killed after the send"
 	lossAttempt    lossCause = "attempt or its reply lost, holder alive"
-	// A lost attempt of a later or earlier submission, and callers that gave up.
+	// An attempt of another submission was lost, and the caller reached its limit of repeats.
 	lossReleased lossCause = "attempt lost, claim released, caller gave up"
 )
 
 var lossCauses = []lossCause{lossBeforeSend, lossAfterSend, lossAttempt, lossReleased}
 
-// losses returns the cause for each id whose blocked state is explained. Nobody
-// else may release the claim of a killed holder, because the holder may have sent.
+// losses returns the cause for each id whose loss can be explained. The
+// claim of a killed holder is never released, because the holder may have sent an attempt.
 func (r *ordersRun) losses() map[order.Hash]lossCause {
 	dead := make(map[order.Hash]bool)
 	for _, vm := range r.deadVMs {
--- a/experiment/orders_faults.go
+++ b/experiment/orders_faults.go
@@ -9,14 +9,14 @@
 	"lentillink.example/lentillink/order"
 )
 
-// orderFault is one kind of fault with the mean time between two of them.
+// orderFault is one kind of fault with the mean time between injections.
 type orderFault struct {
 	name   string
 	meanMs float64
 	inject func(r *ordersRun)
 }
 
-// orderFaults are denser than any real fleet sees, so that short runs meet them at every step.
+// orderFaults are more frequent than in any real fleet, so that short runs see faults at every step.
 var orderFaults = []orderFault{
 	{"store outage", 9000, func(r *ordersRun) { r.store.downUntil = r.loop.Now() + r.randomMs(200, 2500) }},
 	{"store slow", 6000, func(r *ordersRun) { r.store.slowUntil = r.loop.Now() + r.randomMs(300, 2000) }},
@@ -52,7 +52,7 @@
 
 func (r *ordersRun) randomVM() *orderVM { return r.vms[r.vmNames[r.rng.IntN(len(r.vmNames))]] }
 
-// kill ends a VM at once and starts its replacement later under the same name.
+// kill ends the process of a VM immediately and later starts a replacement with the same name.
 func (r *ordersRun) kill(vm *orderVM) {
 	if vm.dead {
 		return
@@ -67,7 +67,7 @@
 	})
 }
 
-// drain stops a VM as planned and ends it once the drain had time.
+// drain gracefully stops a VM and ends its process after the drain.
 func (r *ordersRun) drain() {
 	vm := r.randomVM()
 	if vm.dead || vm.stopping {
@@ -90,7 +90,7 @@
 	return live
 }
 
-// sendVMLists tells each VM the live list after a delay of its own.
+// sendVMLists sends each VM the current list of live VMs after a random delay.
 func (r *ordersRun) sendVMLists() {
 	for _, name := range r.vmNames {
 		r.loop.After(r.randomMs(50, 2000), func() {
@@ -99,7 +99,7 @@
 	}
 }
 
-// sendPartialVMList lets one VM miss another one for a while.
+// sendPartialVMList sends one VM a list that lacks another VM, and corrects it later.
 func (r *ordersRun) sendPartialVMList() {
 	vm, missing := r.randomVM(), r.randomVM()
 	live := slices.DeleteFunc(r.liveNames(), func(n string) bool { return n == missing.name })
--- a/experiment/orders_interval.go
+++ b/experiment/orders_interval.go
@@ -7,8 +7,8 @@
 	"lentillink.example/lentillink/order"
 )
 
-// Runs of OrderInterval last long enough that a low rate has a p99; high rates
-// have enough orders sooner.
+// Runs of OrderInterval last long enough for a p99 at a low rate, and end earlier
+// at high rates, once there are enough orders.
 const (
 	intervalRunSeconds = 60
 	intervalOrders     = 10000
@@ -19,9 +19,9 @@
 	orderRates     = []int{10, 100, 1000}
 )
 
-// OrderInterval measures the wait between two writes of one partition: writes
-// of the fleet and added latency by rate of orders, without faults. The
-// baseline writes each claim at once.
+// OrderInterval measures the effect of the interval between two writes of one
+// partition, without faults: writes of the fleet and added latency by order rate.
+// The baseline writes each claim immediately.
 func OrderInterval(seed uint64) Report {
 	report := Report{Name: "order-interval", Seed: seed}
 	for _, rate := range orderRates {
--- a/experiment/orders_mutant_test.go
+++ b/experiment/orders_mutant_test.go
@@ -8,8 +8,8 @@
 	"lentillink.example/lentillink/order"
 )
 
-// faultyMachine is a double around a correct machine: fault may change, add or
-// drop commands.
+// faultyMachine wraps a correct machine. fault may change, add or drop its
+// commands.
 type faultyMachine struct {
 	orderMachine
 	submissions   map[string]order.SubmitMsg // by id
@@ -24,7 +24,7 @@
 	return m.fault(m, now, msg, m.orderMachine.Update(now, msg))
 }
 
-// attempt builds a SendCmd that the correct machine did not ask for.
+// attempt builds a SendCmd that the correct machine did not return.
 func (m *faultyMachine) attempt(s order.SubmitMsg, token order.Token) order.SendCmd {
 	m.extraAttempts++
 	return order.SendCmd{Token: token, Request: attempt.Request{
@@ -43,7 +43,7 @@
 	return cmds
 }
 
-// sendOnSubmit sends before the claim is confirmed.
+// sendOnSubmit sends an attempt before the claim is confirmed.
 func sendOnSubmit(m *faultyMachine, _ clock.Millis, msg order.Msg, cmds []order.Cmd) []order.Cmd {
 	if s, ok := msg.(order.SubmitMsg); ok {
 		cmds = append(cmds, m.attempt(s, order.Token{}))
@@ -51,7 +51,7 @@
 	return cmds
 }
 
-// confirmAtOnce is an owner that confirms a claim before its write is known.
+// confirmAtOnce makes an owner confirm a claim before the reply to its write.
 func confirmAtOnce(_ *faultyMachine, _ clock.Millis, msg order.Msg, cmds []order.Cmd) []order.Cmd {
 	if c, ok := msg.(order.ClaimRequestMsg); ok && c.Op == order.OpClaim {
 		cmds = append(cmds, order.PeerCmd{To: c.From, Msg: order.ClaimResponseMsg{Token: c.Token, Result: order.ResultClaimed}})
@@ -59,7 +59,7 @@
 	return cmds
 }
 
-// retryUnknown sends again after a reply that does not prove not run.
+// retryUnknown sends another attempt after a reply that leaves the execution unknown.
 func retryUnknown(m *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	for _, cmd := range cmds {
 		if a, ok := cmd.(order.AnswerCmd); ok && a.Answer.Outcome == order.OutcomeUnknown {
@@ -69,7 +69,7 @@
 	return cmds
 }
 
-// unknownAsNotExecuted answers an uncertain order as not run.
+// unknownAsNotExecuted answers an order with unknown execution as not executed.
 func unknownAsNotExecuted(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	return answers(cmds, func(a *order.Answer) bool {
 		if a.Outcome != order.OutcomeUnknown {
@@ -80,7 +80,7 @@
 	})
 }
 
-// sendAfterDeadline sends although the order was refused at its deadline.
+// sendAfterDeadline sends an attempt after the order was refused at its deadline.
 func sendAfterDeadline(m *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	for _, cmd := range cmds {
 		if a, ok := cmd.(order.AnswerCmd); ok && a.Answer.Reason == order.ReasonDeadline {
@@ -90,7 +90,7 @@
 	return cmds
 }
 
-// unknownAsDone answers an uncertain order as run.
+// unknownAsDone answers an order with unknown execution as done.
 func unknownAsDone(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	return answers(cmds, func(a *order.Answer) bool {
 		if a.Outcome != order.OutcomeUnknown {
@@ -101,7 +101,7 @@
 	})
 }
 
-// refusedAsRepeat reports a claim that never existed.
+// refusedAsRepeat answers a refused order as already submitted, although no claim exists.
 func refusedAsRepeat(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	return answers(cmds, func(a *order.Answer) bool {
 		if a.Outcome != order.OutcomeRefused {
@@ -122,7 +122,7 @@
 	return cmds
 }
 
-// dropRelease is an entry side that never releases a claim.
+// dropRelease never sends the release of a claim to its owner.
 func dropRelease(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
 	var out []order.Cmd
 	for _, cmd := range cmds {
@@ -136,8 +136,8 @@
 	return out
 }
 
-// TestCheckerCatchesFaults guards against a checker that passes everything: each
-// invariant is broken on purpose and must be counted.
+// TestCheckerCatchesFaults guards against a checker that misses violations: each
+// double violates some invariants, and the checker must count them.
 func TestCheckerCatchesFaults(t *testing.T) {
 	t.Parallel()
 	const lost orderRule = "lost"
--- a/experiment/orders_run.go
+++ b/experiment/orders_run.go
@@ -19,7 +19,7 @@
 	store       *orderStore
 	upstreams   map[string]*Upstream
 	vmNames     []string
-	vms         map[string]*orderVM // current incarnation by name
+	vms         map[string]*orderVM // current process by name
 	deadVMs     []*orderVM
 	cutUntil    map[[2]string]clock.Millis
 	checker     *orderChecker
@@ -28,11 +28,11 @@
 	faultCounts []int
 }
 
-// ordersResult is what one run measured.
+// ordersResult holds the figures of one run.
 type ordersResult struct {
 	violations      map[orderRule]int
 	executed        int
-	lost            int // never run, and an attempt was lost or the claim's holder was killed
+	lost            int // never executed, and an attempt was lost or the holder of the claim was killed
 	lostBy          map[lossCause]int
 	lostUnexplained int
 	submissions     int
@@ -43,10 +43,10 @@
 
 const (
 	ordersStart clock.Millis = 1_700_000_000_000
-	// ordersTailMs lets callers repeat and releases end after the faults.
+	// ordersTailMs is the time after the last fault in which callers repeat and claims are released.
 	ordersTailMs = 90 * clock.Second
 	minVMs       = 7
-	vmSpread     = 3 // 7 to 9 VMs
+	vmSpread     = 3 // runs have 7 to 9 VMs
 )
 
 func replyMsg(r attempt.Reply) order.Msg { return order.AttemptReplyMsg{Reply: r} }
@@ -97,7 +97,7 @@
 	return r
 }
 
-// faultsActive reports whether faults may still happen.
+// faultsActive reports whether faults may still be injected.
 func (r *ordersRun) faultsActive() bool { return r.cfg.faults && r.loop.Now() < r.faultsEnd }
 
 func (r *ordersRun) result() ordersResult {
--- a/experiment/orders_store.go
+++ b/experiment/orders_store.go
@@ -7,8 +7,8 @@
 	"lentillink.example/lentillink/store"
 )
 
-// orderStore is a fake configuration store in virtual time. A write takes
-// effect once, in one order for all keys; its answer may be late or lost.
+// orderStore is a fake configuration store in virtual time. A write takes effect
+// at most once and in one order for all keys; its reply may be late or lost.
 type orderStore struct {
 	loop           *Loop
 	rng            *rand.Rand
@@ -16,7 +16,7 @@
 	revision       uint64
 	downUntil      clock.Millis
 	slowUntil      clock.Millis
-	lostReplyRatio float64 // share of calls whose answer is lost
+	lostReplyRatio float64 // fraction of calls whose reply is lost
 	writes         int
 	onWrite        func(key string, value []byte)
 }
@@ -30,7 +30,7 @@
 	return &orderStore{loop: loop, rng: rng, entries: make(map[string]store.Entry), onWrite: func(string, []byte) {}}
 }
 
-// call performs one call and reports its result to done.
+// call performs r and calls done with the reply.
 func (s *orderStore) call(r store.Request, done func(store.Reply)) {
 	if r.Op == store.OpSwap {
 		s.writes++
@@ -54,7 +54,7 @@
 	})
 }
 
-// fail fails a call during an outage, quickly or by a timeout.
+// fail makes a call during an outage fail, quickly or with a timeout.
 func (s *orderStore) fail(reply store.Reply, done func(store.Reply)) {
 	reply.Kind = store.KindUnavailable
 	wait := clock.Millis(2)
@@ -64,7 +64,7 @@
 	s.loop.After(wait, func() { done(reply) })
 }
 
-// loseReply reports an unknown result. The call takes effect before it, after it, or never.
+// loseReply reports an unknown result. The call takes effect before or after that report, or never.
 func (s *orderStore) loseReply(r store.Request, reply store.Reply, latency clock.Millis, done func(store.Reply)) {
 	switch s.rng.IntN(4) {
 	case 0:
--- a/experiment/orders_test.go
+++ b/experiment/orders_test.go
@@ -7,8 +7,8 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-// TestOrders guards against an order that runs twice and against a false
-// answer, over several fault histories.
+// TestOrders guards against an order that is executed twice and against a false
+// answer, over several histories of faults.
 func TestOrders(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -20,7 +20,7 @@
 	}
 }
 
-// TestOrdersFull runs the size that the design page asks for.
+// TestOrdersFull guards the same invariants at the size that the design page requires.
 func TestOrdersFull(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/experiment/orders_vm.go
+++ b/experiment/orders_vm.go
@@ -9,7 +9,7 @@
 	"lentillink.example/lentillink/store"
 )
 
-// orderVM is one incarnation of a VM: it performs the commands of its machine.
+// orderVM is one process of a VM. It performs the commands of its state machine.
 type orderVM struct {
 	run         *ordersRun
 	name        string
@@ -42,7 +42,7 @@
 	return vm
 }
 
-// deliver hands a message to the machine, or keeps it while the VM is paused.
+// deliver passes a message to the machine, or queues it while the VM is paused.
 func (vm *orderVM) deliver(msg order.Msg) {
 	switch {
 	case vm.dead:
@@ -76,7 +76,7 @@
 	}
 }
 
-// scheduleWake wakes the machine when it asks for it.
+// scheduleWake schedules a tick at the machine's next wake time.
 func (vm *orderVM) scheduleWake() {
 	at, ok := vm.machine.NextWake()
 	if !ok || vm.nextWake > vm.run.loop.Now() && vm.nextWake <= at {
@@ -92,7 +92,7 @@
 	})
 }
 
-// pause delays every message and tick until the VM wakes, then delivers all of them.
+// pause delays every message and tick by d and delivers all of them when the VM resumes.
 func (vm *orderVM) pause(d clock.Millis) {
 	until := vm.run.loop.Now() + d
 	if vm.dead || until <= vm.pausedUntil {
@@ -112,7 +112,7 @@
 	})
 }
 
-// sendMessage carries a message between VMs: with delay, loss, duplicates and cuts.
+// sendMessage delivers a message between VMs with delay, loss, duplicates and cut links.
 func (r *ordersRun) sendMessage(from, to string, msg order.Msg) {
 	copies := 1
 	delay := 1 + clock.Millis(r.rng.IntN(2))
@@ -139,5 +139,5 @@
 	}
 }
 
-// newOrdersRNG returns the generator of one part of a run.
+// newOrdersRNG returns the random number generator of one part of a run.
 func newOrdersRNG(seed, part uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, part)) }
--- a/experiment/presets.go
+++ b/experiment/presets.go
@@ -17,15 +17,15 @@
 	faultsPerRun                   = 10
 )
 
-// Presets runs random histories of operators that race while the store, the
-// VMs and the links fail, and counts broken promises. The baseline writes
-// without comparing, as an unconditional put does.
+// Presets runs random histories of concurrent preset changes while the store, the
+// VMs and the links fail, and counts violations. The baseline writes without
+// comparing the revision, like an unconditional put.
 func Presets(seed uint64, histories int) Report {
 	var got, base historyCounts
 	for i := range histories {
 		got.add(runHistory(seed+uint64(i), false))
 	}
-	// A tenth is enough to show the baseline's fault.
+	// A tenth of the histories is enough to show the violations of the baseline.
 	for i := range max(1, histories/10) {
 		base.add(runHistory(seed+uint64(i), true))
 	}
@@ -46,7 +46,7 @@
 	return r
 }
 
-// historyCounts counts what the histories broke, and how often each case occurred.
+// historyCounts counts the violations in histories, and how often each case occurred.
 type historyCounts struct {
 	reverts, lostChanges, manyWinners, noWinner, falseReports, diverged int
 	races, accepted, notAccepted, unknown, olderRecords                 int
@@ -72,7 +72,7 @@
 type history struct {
 	fleet     *Fleet
 	rng       *rand.Rand
-	committed map[string]bool // change identifiers that the store took
+	committed map[string]bool // identifiers of the changes that the store accepted
 	stored    preset.Record   // newest record in the store
 	reports   []changeReport
 	races     []*race
@@ -87,7 +87,7 @@
 type race struct {
 	base     uint64
 	changes  []string
-	rejected int // operators who were told that another change came first
+	rejected int // operators whose result says that another change came first
 }
 
 func runHistory(seed uint64, unconditional bool) historyCounts {
@@ -106,7 +106,7 @@
 	h.fleet.RunFor(historyMs)
 	h.heal()
 	elapsed, ok := h.fleet.RunUntil(50, convergeLimitMs, h.sameRecord)
-	h.fleet.RunFor(operatorTimeoutMs) // operators who are still waiting get their answers
+	h.fleet.RunFor(operatorTimeoutMs) // until the last operators get their results
 	_, members := h.fleet.RunUntil(500, convergeLimitMs, func() bool {
 		return !h.anyPaused() && h.sameRecord() && h.fleet.Converged()
 	})
@@ -123,7 +123,7 @@
 	}
 }
 
-// startRace has several operators change the record that one of them sees.
+// startRace starts changes of several operators with the same base revision.
 func (h *history) startRace(number int) {
 	r := &race{}
 	for i := range 2 + h.rng.IntN(3) {
--- a/experiment/presets_fault.go
+++ b/experiment/presets_fault.go
@@ -9,7 +9,7 @@
 
 const maxFaultMs = 15 * clock.Second
 
-// injectFault starts one random fault that ends by itself.
+// injectFault starts one random fault that ends after a random time.
 func (h *history) injectFault() {
 	f, s := h.fleet, h.fleet.Store
 	span := 500 + clock.Millis(h.rng.Int64N(int64(maxFaultMs)))
@@ -36,7 +36,7 @@
 		f.LinkCut = func(a, b *FleetVM) bool { return (a.Region == side) != (b.Region == side) }
 		f.Loop.After(span, func() { f.LinkCut = nil })
 	default:
-		f.LinkCut = func(a, _ *FleetVM) bool { return a == n } // one way only
+		f.LinkCut = func(a, _ *FleetVM) bool { return a == n } // in one direction only
 		f.Loop.After(span, func() { f.LinkCut = nil })
 	}
 }
@@ -53,7 +53,7 @@
 	})
 }
 
-// heal ends every fault but pauses.
+// heal ends every fault except pauses.
 func (h *history) heal() {
 	f := h.fleet
 	f.LinkCut = nil
@@ -75,7 +75,7 @@
 
 func (h *history) anyPaused() bool { return slices.ContainsFunc(h.fleet.VMs, h.fleet.Paused) }
 
-// evaluate compares what operators were told and what VMs did with what the store took.
+// evaluate compares the results given to operators and the records of the VMs with the writes that the store accepted.
 func (h *history) evaluate(elapsed clock.Millis, converged bool) historyCounts {
 	p := historyCounts{races: len(h.races), slowestMs: elapsed}
 	if !converged {
@@ -128,7 +128,7 @@
 	}
 }
 
-// otherWinner reports whether a change of another race took the revision after the base.
+// otherWinner reports whether a change of another race has the revision after the base of r.
 func (h *history) otherWinner(r *race, final *preset.Record) bool {
 	for _, past := range append(final.History, final.LatestChange()) {
 		if past.Revision == r.base+1 && h.committed[past.ChangeID] {
--- a/experiment/query_test.go
+++ b/experiment/query_test.go
@@ -8,8 +8,8 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-// TestQueryExperiments guards the figures of section 1.8 that the query model must reach, and
-// that a seed repeats its figures.
+// TestQueryExperiments guards the bounds of section 1.8 of the design page for the
+// query model, and that a seed repeats its figures.
 func TestQueryExperiments(t *testing.T) {
 	tests := []struct {
 		name string
@@ -24,7 +24,7 @@
 			t.Parallel()
 			last := uint64(3)
 			if testing.Short() {
-				last = 1 // the race detector makes a run several times longer
+				last = 1 // the race detector makes a run several times slower
 			}
 			for seed := uint64(1); seed <= last; seed++ {
 				r := tt.run(seed)
--- a/experiment/querycarrier.go
+++ b/experiment/querycarrier.go
@@ -5,9 +5,9 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// queryCarrier stands for the connections to one upstream. It queues attempts
-// in order, drops those that were cancelled or whose deadline passed, and
-// frees the connection of a running attempt that is cancelled.
+// queryCarrier simulates the carrier of one upstream. It queues attempts in
+// order, drops those that were cancelled or whose deadline has passed, and frees
+// the connection of a running attempt when it is cancelled.
 type queryCarrier struct {
 	loop          *Loop
 	up            *Upstream
@@ -16,8 +16,8 @@
 	running       map[attempt.ID]bool
 	queued        map[attempt.ID]bool
 	queue         []queuedQuery
-	unresponsive  bool // the upstream accepts requests and never answers
-	answersNewest bool // the upstream answers at its newest version, whatever was asked
+	unresponsive  bool // the upstream accepts requests and never replies
+	answersNewest bool // the upstream replies at its newest version, whatever version was requested
 	deliver       func(attempt.Reply)
 }
 
@@ -78,7 +78,7 @@
 		switch {
 		case r.Status != attempt.OK:
 		case c.up.Dead:
-			// The upstream died while it ran the request.
+			// The upstream died while it executed the request.
 			r = attempt.Reply{ID: r.ID, Upstream: r.Upstream, Status: attempt.Failed}
 		default:
 			r.Rows = c.table.rows(r.Version, r.Ranges)
--- a/experiment/querycheck.go
+++ b/experiment/querycheck.go
@@ -9,8 +9,8 @@
 	"lentillink.example/lentillink/query"
 )
 
-// rowTable holds one row per key for each version. The value of a row names
-// the version and the key.
+// rowTable holds one row per key for each version. The value of a row names its
+// version and its key.
 type rowTable map[uint64][]coverage.Row
 
 func (t rowTable) rows(version uint64, ranges []coverage.Range) []coverage.Row {
@@ -28,7 +28,7 @@
 	return rows
 }
 
-// mixesVersions reports whether rows of an answer come from another version than its snapshot.
+// mixesVersions reports whether an answer has rows of another version than its snapshot.
 func mixesVersions(a query.Answer) bool {
 	want := fmt.Sprintf("%d:", a.Snapshot)
 	for _, row := range a.Rows {
@@ -39,8 +39,8 @@
 	return false
 }
 
-// coverageIsCorrect checks an answer key by key: each key has exactly one row or is
-// reported missing, and the counts and the outcome agree.
+// coverageIsCorrect checks an answer key by key: each key either has exactly one
+// row or is reported as missing, and the counts and the outcome agree.
 func coverageIsCorrect(a query.Answer) bool {
 	rows := make([]int, queryKeys)
 	for _, row := range a.Rows {
--- a/experiment/querysystem.go
+++ b/experiment/querysystem.go
@@ -22,20 +22,20 @@
 	queryReplicas     = 2
 	queryKeys         = 200
 	queryKeysPerGroup = queryKeys / queryGroups
-	// queryHopMs is the way of a reply from the carrier.
+	// queryHopMs is the delay of a reply from the carrier.
 	queryHopMs = 1
-	// queryConns is the connection limit of an upstream today.
+	// queryConns is the current connection limit of an upstream.
 	queryConns = 25
-	// queryBurst bounds the saved-up hedges and retries; 0 in the baseline.
+	// queryBurst bounds the unused hedge and retry tokens; it is 0 in the baseline.
 	queryBurst = 200
-	// The first queries only fill the book and are left out of the figures.
+	// The first queries only fill the latency estimates of the balancer and are excluded from the figures.
 	queryWarmUpMs = clock.Second
 )
 
-// queryPolicy leaves room for the initial tokens within 5% extra attempts.
+// queryPolicy leaves room for the initial tokens of the budgets within 5% extra attempts.
 var queryPolicy = preset.RankPolicy{HedgeBudgetPercent: 4.85, RetryBudgetPercent: 1}
 
-// querySystem drives one query.Model and its upstream.Book against fakes.
+// querySystem drives one query.Model and its upstream.Balancer against fakes.
 type querySystem struct {
 	loop        *Loop
 	rng         *rand.Rand
@@ -47,14 +47,14 @@
 	wakeAt      clock.Millis
 	policy      preset.RankPolicy
 	deadline    clock.Millis
-	minCoverage float64 // coverage in percent below which a query fails
+	minCoverage float64 // percentage of coverage below which a query fails
 	started     int
 	latency     *hdrhistogram.Histogram
 	onAnswer    func(query.Answer)
 }
 
-// newQuerySystem builds the system. With the mechanism off the choice of
-// upstreams is random and there are neither hedges nor retries.
+// newQuerySystem builds the system. If enabled is false, upstreams are picked at
+// random and there are neither hedges nor retries.
 func newQuerySystem(seed uint64, enabled bool) *querySystem {
 	s := &querySystem{
 		loop: NewLoop(0), rng: rand.New(rand.NewPCG(seed, 2)),
@@ -90,7 +90,7 @@
 	return s
 }
 
-// run starts queries at the rate as a Poisson process, then lets them end.
+// run starts queries as a Poisson process with the given rate, and then runs until they have ended.
 func (s *querySystem) run(perSecond float64, queries int) {
 	gap := float64(clock.Second) / perSecond
 	at := 0.0
@@ -146,7 +146,7 @@
 
 func (s *querySystem) totals() query.Totals { return s.model.Totals(rank.Urgent) }
 
-// extraPercent returns the attempts beyond the needed ones as a share of them.
+// extraPercent returns the extra attempts as a percentage of the needed attempts.
 func (s *querySystem) extraPercent() float64 {
 	n := s.totals()
 	return 100 * float64(n.Sent-n.AttemptsNeeded) / float64(n.AttemptsNeeded)
--- a/experiment/registry.go
+++ b/experiment/registry.go
@@ -1,13 +1,13 @@
 package experiment
 
-// Entry is one experiment that the command line offers.
+// Entry is one experiment of the command line.
 type Entry struct {
 	Name  string
 	Short string
 	Run   func(seed uint64) Report
 }
 
-// All returns every experiment in the order in which they are listed.
+// All returns every experiment in the order of the listing.
 func All() []Entry {
 	return []Entry{
 		{"straggler", "one slow upstream and 2% slow sub-requests, against no hedging", Straggler},
@@ -29,7 +29,7 @@
 	}
 }
 
-// Sizes of the runs that the design page asks for.
+// Sizes of the runs that the design page requires.
 const (
 	ordersCount      = 100_000
 	presetsHistories = 1000
@@ -38,8 +38,8 @@
 func allOrders(seed uint64) Report  { return Orders(seed, ordersCount) }
 func allPresets(seed uint64) Report { return Presets(seed, presetsHistories) }
 
-// timedControl and wallCapacity measure processor time with the monotonic clock.
-// It is the only figure that differs between runs of one seed, besides memory.
+// timedControl and timedCapacity measure processor time with the monotonic clock.
+// Apart from memory, it is the only figure that differs between runs of one seed.
 func timedControl(seed uint64) Report  { return Control(seed, nanoseconds) }
 func timedCapacity(seed uint64) Report { return Capacity(seed, nanoseconds) }
 
--- a/experiment/replicaloss.go
+++ b/experiment/replicaloss.go
@@ -9,13 +9,13 @@
 	lossQueries   = 4_000
 	lossPerSecond = 200
 	lossAtMs      = 4 * clock.Second
-	// lossGroupInterval loses a replica in every fourth group.
+	// lossGroupInterval is the distance between groups that lose a replica: every fourth group does.
 	lossGroupInterval = 4
 )
 
-// ReplicaLoss loses one replica in a quarter of the groups while queries run.
-// Most of the lost ones refuse connections, one accepts them and never answers.
-// The baseline has a random choice, no retries and no hedges.
+// ReplicaLoss loses one replica in a quarter of the groups while queries run. One
+// of the lost replicas accepts connections and never replies; the others refuse
+// connections. The baseline picks upstreams at random, without retries or hedges.
 func ReplicaLoss(seed uint64) Report {
 	off := runReplicaLoss(seed, false)
 	on := runReplicaLoss(seed, true)
@@ -39,7 +39,7 @@
 
 func runReplicaLoss(seed uint64, enabled bool) lossResult {
 	s := newQuerySystem(seed, enabled)
-	s.minCoverage = 100 // any missing key fails the query
+	s.minCoverage = 100 // a query with any missing key fails
 	result := lossResult{system: s}
 	s.onAnswer = func(a query.Answer) {
 		result.answers++
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -6,13 +6,13 @@
 	"text/tabwriter"
 )
 
-// Figure is one measured value beside its baseline.
+// Figure is one measured value with its baseline.
 type Figure struct {
 	Name     string  `json:"name"`
 	Unit     string  `json:"unit"`
-	Baseline float64 `json:"baseline"` // the same run with the mechanism off
+	Baseline float64 `json:"baseline"` // value of the same run without the tested mechanism
 	Value    float64 `json:"value"`
-	Bound    string  `json:"bound,omitempty"` // the stated target, as text; empty if there is none
+	Bound    string  `json:"bound,omitempty"` // required bound as text; empty if there is none
 	OK       bool    `json:"ok"`
 }
 
@@ -24,7 +24,7 @@
 	Notes   []string `json:"notes,omitempty"`
 }
 
-// AtMost adds a figure that must not exceed bound.
+// AtMost adds a figure with an upper bound.
 func (r *Report) AtMost(name, unit string, baseline, value, bound float64) {
 	r.Figures = append(r.Figures, Figure{
 		Name: name, Unit: unit, Baseline: baseline, Value: value,
@@ -32,7 +32,7 @@
 	})
 }
 
-// AtLeast adds a figure that must reach bound.
+// AtLeast adds a figure with a lower bound.
 func (r *Report) AtLeast(name, unit string, baseline, value, bound float64) {
 	r.Figures = append(r.Figures, Figure{
 		Name: name, Unit: unit, Baseline: baseline, Value: value,
@@ -45,7 +45,7 @@
 	r.Figures = append(r.Figures, Figure{Name: name, Unit: unit, Baseline: baseline, Value: value, OK: true})
 }
 
-// OK reports whether every figure keeps its bound.
+// OK reports whether every figure is within its bound.
 func (r *Report) OK() bool {
 	for _, f := range r.Figures {
 		if !f.OK {
--- a/experiment/rollover.go
+++ b/experiment/rollover.go
@@ -11,21 +11,21 @@
 const (
 	rolloverQueries   = 16_000
 	rolloverPerSecond = 1_300
-	// With 8 connections each, a group of two serves about 1,900 requests a second, so
-	// the rate above is about 70% of the capacity.
+	// With 8 connections per upstream, a group of two replicas serves about 1,900
+	// requests per second, so this rate is about 70% of the capacity.
 	rolloverConns     = 8
 	rolloverReleases  = 4
 	rolloverPeriodMs  = 3 * clock.Second
-	rolloverSpreadMs  = 1500 // a release reaches all upstreams within this time
+	rolloverSpreadMs  = 1500 // time within which a release reaches all upstreams
 	rolloverMoves     = 12
 	rolloverMoveMs    = clock.Second
-	rolloverMapLagMs  = 60 // a new shard map reaches all upstreams within this time
-	rolloverRushed    = 3  // this release drops the old version before all groups have the new one
+	rolloverMapLagMs  = 60 // time within which a new shard map reaches all upstreams
+	rolloverRushed    = 3  // number of the release that drops the old version before all groups have the new one
 	rolloverRushLagMs = 400
 )
 
-// Rollover changes the index version four times and moves key ranges twelve
-// times under full load. In the baseline each upstream answers at its newest version.
+// Rollover changes the index version four times and moves key ranges twelve times
+// under full load. In the baseline each upstream replies at its newest version.
 func Rollover(seed uint64) Report {
 	off := newRollover(seed, false)
 	on := newRollover(seed, true)
@@ -46,9 +46,9 @@
 
 type rollover struct {
 	system        *querySystem
-	boundaries    []uint32 // group g holds the keys from bounds[g] to bounds[g+1]
+	boundaries    []uint32 // group g holds the keys from boundaries[g] to boundaries[g+1]
 	epoch         uint64
-	commonToggles []clock.Millis // milliseconds at which some group shared no version with the rest
+	commonToggles []clock.Millis // times at which a version common to all groups began or ceased to exist
 	answers       int
 	withCommon    int
 	complete      int
@@ -89,8 +89,8 @@
 	r.system.run(rolloverPerSecond, rolloverQueries)
 }
 
-// release brings a version to each upstream at its own time. The old version
-// disappears from each one after the new one is everywhere, or at once if rushed.
+// release loads a version on each upstream at a random time. The old version is
+// dropped after all upstreams have the new one, or if rushed, as the new one is loaded.
 func (r *rollover) release(version uint64, rushed bool) {
 	r.eachUpstream(func(_ int, up *Upstream) {
 		loadAfter := clock.Millis(r.system.rng.IntN(rolloverSpreadMs))
@@ -112,7 +112,7 @@
 	}
 }
 
-// hasCommon reports whether some version is held in every group.
+// hasCommon reports whether every group has a replica that holds the same version.
 func (r *rollover) hasCommon() bool {
 	for version := uint64(1); version <= rolloverReleases+1; version++ {
 		everywhere := true
@@ -128,8 +128,8 @@
 	return false
 }
 
-// moveBoundary shifts the border between two groups. Each upstream adopts the new
-// map at its own time, so that gaps and overlaps appear for a while.
+// moveBoundary moves the boundary between two groups. Each upstream adopts the new
+// map at a random time, so that gaps and overlaps exist for a while.
 func (r *rollover) moveBoundary() {
 	border := 1 + r.system.rng.IntN(queryGroups-1)
 	low, high := r.boundaries[border-1]+1, r.boundaries[border+1]-1
@@ -164,7 +164,7 @@
 	}
 }
 
-// hadCommon reports whether a common version existed all the time between two times.
+// hadCommon reports whether a common version existed during the whole interval.
 func (r *rollover) hadCommon(from, to clock.Millis) bool {
 	has := true
 	for _, change := range r.commonToggles {
--- a/experiment/spread.go
+++ b/experiment/spread.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	spreadBoundMs                  = 4000 // section 1.1 of the design page
+	spreadBoundMs                  = 4000 // from section 1.1 of the design page
 	leavingBoundMs                 = 3000
 	spreadLossPercent              = 5.0
 	spreadTrials                   = 3
@@ -18,12 +18,12 @@
 	spreadLimit       clock.Millis = clock.Minute
 )
 
-// FleetSizes are the numbers of members at which the control plane is measured.
+// FleetSizes are the numbers of members for which the control plane is measured.
 var FleetSizes = []int{9, 100, 400, 1600}
 
-// Spread measures how long an accepted change, and a report that an upstream
-// leaves, take to reach all live VMs while the store is lost and 5% of
-// messages are lost. The baseline leaves the spreading to the heartbeats.
+// Spread measures how long an accepted preset change, and a report that an
+// upstream is leaving, take to reach all live VMs while the store is unavailable
+// and 5% of the messages are lost. The baseline only spreads them with heartbeats.
 func Spread(seed uint64, sizes ...int) Report {
 	r := Report{Name: "spread", Seed: seed}
 	if len(sizes) == 0 {
@@ -39,7 +39,7 @@
 	return r
 }
 
-// spreadTimes are the longest times of some trials in milliseconds.
+// spreadTimes holds the longest times of several trials, in milliseconds.
 type spreadTimes struct {
 	joined, record, leaving float64
 }
@@ -57,7 +57,7 @@
 	return t
 }
 
-// startAndJoin starts all VMs and waits until they see each other and have a record.
+// startAndJoin starts all VMs and runs until they see each other and have a record.
 func (f *Fleet) startAndJoin() float64 {
 	const within = 2 * clock.Second
 	f.StartAll(within)
@@ -71,7 +71,7 @@
 	return float64(took + within)
 }
 
-// spreadRecord commits a change and loses the store at once.
+// spreadRecord commits a change and then makes the store unavailable immediately.
 func (f *Fleet) spreadRecord(trial int) float64 {
 	f.Store.Down = false
 	f.RunFor(5 * clock.Second)
@@ -80,7 +80,7 @@
 		ID: fmt.Sprintf("spread-%d", trial), Author: "experiment", Reason: "spread", SwitchTo: []string{"peak", "ordinary"}[trial%2],
 	}
 	var want uint64
-	// The watches are gone before the write, so that only the peers spread it.
+	// The watches end before the write, so that only peers can spread the change.
 	f.Store.Fail()
 	f.Store.Down = false
 	f.StartChange(vm, change, 10*clock.Second, func(res preset.Result) {
--- a/experiment/stall.go
+++ b/experiment/stall.go
@@ -5,14 +5,14 @@
 	"lentillink.example/lentillink/rank"
 )
 
-// Shape of the stall experiment.
+// Parameters of the stall experiment.
 const (
-	stallLoad    = 0.1 // of capacity, per rank
+	stallLoad    = 0.1 // fraction of capacity, per rank
 	stallPauseMs = 10 * clock.Second
 	stallMs      = 15 * clock.Second
 )
 
-// runStall pauses one VM for stallPauseMs while the others carry a light load,
+// runStall pauses one VM for stallPauseMs while the others receive a light load,
 // and returns the load. The paused VM receives no queries itself.
 func runStall(cfg TierConfig) *TierLoad {
 	t := NewTier(cfg)
@@ -29,8 +29,8 @@
 	return l
 }
 
-// Stall pauses a VM that carries connections for others. The baseline waits
-// for membership to suspect it.
+// Stall pauses a VM that is a carrier for others. In the baseline, the others
+// only stop using it when membership suspects it.
 func Stall(seed uint64) Report {
 	report := Report{Name: "stall", Seed: seed}
 	cfg := DefaultTier(seed)
--- a/experiment/straggler.go
+++ b/experiment/straggler.go
@@ -7,9 +7,10 @@
 	stragglerFactor    = 10
 )
 
-// Straggler runs queries while one upstream of 40 and 2% of all sub-requests
-// take 10 times as long. The baseline has a random choice and no hedges. The
-// fault-free p99 is that of the mechanism, which is the lower of the two.
+// Straggler runs queries while one upstream of 40 and 2% of all sub-requests take
+// 10 times as long. The baseline picks upstreams at random, without hedges. The
+// p99 without faults is that of the tested mechanism, which is lower than that of
+// the baseline.
 func Straggler(seed uint64) Report {
 	healthy := runStraggler(seed, true, false)
 	off := runStraggler(seed, false, true)
--- a/experiment/tier.go
+++ b/experiment/tier.go
@@ -14,33 +14,33 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// Delays of the fakes around a Tier.
+// Parameters of the fakes around a Tier.
 const (
 	tierStart    clock.Millis = 1_700_000_000_000
-	tierHopMs    clock.Millis = 1 // between VMs, and between a VM and an upstream
-	tierOpenMs   clock.Millis = 6 // to open a connection to an upstream
+	tierHopMs    clock.Millis = 1 // one-way delay between VMs, and between a VM and an upstream
+	tierOpenMs   clock.Millis = 6 // time to open a connection to an upstream
 	tierWarmUpMs clock.Millis = 5 * clock.Second
 	keysPerGroup uint32       = 100
 )
 
-// TierConfig describes a fleet of whole cores with its upstreams.
+// TierConfig describes a fleet of complete cores with its upstreams.
 type TierConfig struct {
 	Seed               uint64
 	VMs                int
 	Groups             int
 	Replicas           int
-	Connections        int // limit of each upstream
+	Connections        int // limit per upstream
 	MedianMs           float64
 	Routing            vm.Routing
-	Record             preset.Record // presets and the one in force at the start
-	NoAdmissionControl bool          // admit every query at once, for baselines
-	NoStallDetection   bool          // leave silent carriers to membership, for baselines
-	OrderGroups        int           // groups of the order service, 0 for none
+	Record             preset.Record // presets, and the one in force at the start
+	NoAdmissionControl bool          // admit every query immediately; used by baselines
+	NoStallDetection   bool          // detect unresponsive carriers only by membership; used by baselines
+	OrderGroups        int           // number of groups of the order service, 0 for no order service
 	Hooks              TierHooks
 }
 
-// DefaultTier returns the search service of today's sizes with fewer
-// connections, so that a flood of five times its capacity runs in seconds.
+// DefaultTier returns the search service at today's sizes, with fewer connections
+// so that a flood of five times its capacity runs in seconds.
 func DefaultTier(seed uint64) TierConfig {
 	return TierConfig{
 		Seed: seed, VMs: 9, Groups: 20, Replicas: 2, Connections: 20, MedianMs: 40, Record: preset.Default(),
@@ -57,10 +57,10 @@
 
 	vms         []*tierVM
 	byID        map[string]*tierVM
-	upstreamIDs []string // of the upstreams, in order
+	upstreamIDs []string // in order of creation
 	rng         *rand.Rand
 	lastCallID  uint64
-	pending     map[uint64]func(vm.Cmd) // callers that wait
+	pending     map[uint64]func(vm.Cmd) // callers without an answer, by call id
 }
 
 // tierVM is one VM of a Tier.
@@ -69,16 +69,16 @@
 	self        fleet.VM
 	core        *vm.Core
 	nextWake    clock.Millis
-	generation  int // raised by each stop, so that old callbacks are ignored
+	generation  int // incremented when a process ends or starts, so that callbacks of earlier processes are ignored
 	dead        bool
-	pausedUntil clock.Millis // paused until this time
-	delayedMsgs int          // messages that came during a pause
+	pausedUntil clock.Millis
+	delayedMsgs int // number of messages that arrived during pauses
 
 	seed     uint64
 	services []upstream.Service
 }
 
-// NewTier starts the cores and runs them until they are ready and warm.
+// NewTier starts the cores and runs them until they are ready and warmed up.
 func NewTier(cfg TierConfig) *Tier {
 	loop := NewLoop(tierStart)
 	t := &Tier{
@@ -148,7 +148,7 @@
 	return vm.New(opts...)
 }
 
-// pollVMList gives a VM the list of VMs every second, as its runtime would.
+// pollVMList delivers the VM list to a VM every second, as its runtime does.
 func (t *Tier) pollVMList(n *tierVM) {
 	generation := n.generation
 	t.Loop.After(clock.Second, func() {
@@ -159,7 +159,7 @@
 		for _, other := range t.vms {
 			if !other.dead {
 				v := other.self
-				v.Incarnation = 0 // the platform's list does not know processes
+				v.Incarnation = 0 // the platform's list has no process incarnations
 				list = append(list, v)
 			}
 		}
@@ -168,7 +168,7 @@
 	})
 }
 
-// update runs one message through the core and performs its commands.
+// update passes one message to the core and performs the returned commands.
 func (n *tierVM) update(msg vm.Msg) {
 	if n.dead {
 		return
@@ -195,7 +195,7 @@
 	n.schedule()
 }
 
-// schedule makes sure that a tick comes at the core's next wake.
+// schedule schedules a tick at the core's next wake time.
 func (n *tierVM) schedule() {
 	at, ok := n.core.NextWake()
 	if !ok {
@@ -259,8 +259,8 @@
 	})
 }
 
-// abort frees the connection at once. The fake upstream finishes the work all
-// the same, as a real one that notices the cancellation late would.
+// abort frees the connection. The fake upstream still finishes the work, like a
+// real one that notices the cancellation late.
 func (n *tierVM) abort(m vm.AbortCmd) {
 	generation := n.generation
 	n.tier.Loop.After(2*tierHopMs, func() {
--- a/experiment/tier_connections.go
+++ b/experiment/tier_connections.go
@@ -2,8 +2,8 @@
 
 import "lentillink.example/lentillink/clock"
 
-// OpenConnections returns the connections of all live VMs to an upstream. Those
-// of a VM that ended are closed.
+// OpenConnections returns the number of connections of all live VMs to an
+// upstream. The connections of an ended process are closed.
 func (t *Tier) OpenConnections(upstream string) int {
 	open := 0
 	for _, n := range t.vms {
@@ -14,8 +14,8 @@
 	return open
 }
 
-// TrackPeakConnections looks at every upstream each millisecond until end and keeps
-// the highest number of open connections to one of them.
+// TrackPeakConnections samples every upstream each millisecond until end and
+// records the highest number of open connections to one of them.
 func (t *Tier) TrackPeakConnections(end clock.Millis) *PeakConnections {
 	p := &PeakConnections{}
 	var sample func()
@@ -33,7 +33,7 @@
 	return p
 }
 
-// PeakConnections is the highest number of connections that were open to one upstream.
+// PeakConnections is the highest number of connections that were open to one upstream at the same time.
 type PeakConnections struct {
 	OpenConns int
 	Upstream  string
--- a/experiment/tier_hooks.go
+++ b/experiment/tier_hooks.go
@@ -18,7 +18,7 @@
 	BeforeUpdate func(id string, msg vm.Msg)
 	AfterUpdate  func(id string, core *vm.Core)
 	MapCmd       func(id string, cmd vm.Cmd) []vm.Cmd
-	// DeliverReply decides when and how often a reply is delivered after the network hop.
+	// DeliverReply decides when and how often a reply is delivered after the network delay.
 	DeliverReply func(req attempt.Request, r attempt.Reply, deliver func(attempt.Reply))
 	MapLoad      func(id upstream.ID, load upstream.Load) upstream.Load
 	MapVMList    func(id string, list []fleet.VM) []fleet.VM
@@ -70,7 +70,7 @@
 
 func (h *TierHooks) linkCut(from, to string) bool { return h.LinkCut != nil && h.LinkCut(from, to) }
 
-// orderService describes the upstreams that take orders.
+// orderService describes the order service and creates its upstreams.
 func (t *Tier) orderService() upstream.Service {
 	svc := upstream.Service{Name: "orders"}
 	for g := range t.Config.OrderGroups {
@@ -90,7 +90,7 @@
 	return svc
 }
 
-// Kill ends the process of a VM at once. Its peers notice the broken connections.
+// Kill ends the process of a VM immediately. Its peers see their connections break.
 func (t *Tier) Kill(id string) {
 	n := t.byID[id]
 	if n.dead {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Replace starts a new process for a VM that has ended. It remembers nothing.
+// Replace starts a new process, without any state, for a VM whose process has ended.
 func (t *Tier) Replace(id string) {
 	n := t.byID[id]
 	if !n.dead {
@@ -124,14 +124,14 @@
 	t.pollVMList(n)
 }
 
-// Pause holds every message to a VM back for d. They arrive when it resumes.
+// Pause delays every message to a VM until d has passed.
 func (t *Tier) Pause(id string, d clock.Millis) {
 	n := t.byID[id]
 	n.pausedUntil = max(n.pausedUntil, t.Loop.Now()+d)
 }
 
-// Stop begins the planned stop of a VM. The process ends once it has drained;
-// done receives the time that this took.
+// Stop begins the graceful stop of a VM. The process ends once it has drained, and
+// done receives the time that the drain took.
 func (t *Tier) Stop(id string, done func(clock.Millis)) {
 	n := t.byID[id]
 	generation, begin := n.generation, t.Loop.Now()
@@ -142,7 +142,7 @@
 			return
 		}
 		if t.Loop.Now() < n.pausedUntil {
-			t.Loop.At(n.pausedUntil+10, poll) // a paused process cannot end itself
+			t.Loop.At(n.pausedUntil+10, poll) // a paused process cannot exit
 			return
 		}
 		if n.core.Drained(t.Loop.Now()) {
--- a/experiment/tier_load.go
+++ b/experiment/tier_load.go
@@ -12,13 +12,13 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// Bounds of the latency histograms, in milliseconds.
+// Range and precision of the latency histograms; the maximum is in milliseconds.
 const (
 	histogramMaxMs  = 600_000
 	histogramDigits = 3
 )
 
-// RankResult sums up the answers of one rank over a measured window.
+// RankResult holds the results of one rank over a measured window.
 type RankResult struct {
 	Sent           int // requests
 	Finished       int // complete answers given in the window, also to requests sent before it
@@ -26,24 +26,24 @@
 	Partial        int
 	Refused        int
 	Failed         int
-	Open           int // not answered yet
+	Open           int // requests without an answer
 	Attempts       int
 	AttemptsNeeded int
-	WastedAttempts int // attempts sent for queries that ended refused or failed
+	WastedAttempts int // attempts sent for refused or failed queries
 	Latency        *hdrhistogram.Histogram
 }
 
-// P99 returns the 99th percentile of complete and partial answers in milliseconds.
+// P99 returns the 99th percentile of the latency of complete and partial answers in milliseconds.
 func (r *RankResult) P99() float64 { return float64(r.Latency.ValueAtQuantile(99)) }
 
-// TierLoad sends queries to a Tier at Poisson-distributed times.
+// TierLoad sends queries to a Tier as a Poisson process.
 type TierLoad struct {
 	tier       *Tier
 	rng        *rand.Rand
 	results    *rank.Table[RankResult]
-	violations []string // violations of what must always hold
+	violations []string // descriptions of invalid answers
 	next       int
-	receivers  []*tierVM // VMs that receive queries, in turn
+	receivers  []*tierVM // VMs that receive queries, round-robin
 }
 
 // NewTierLoad returns a load generator with its own seed.
@@ -53,8 +53,8 @@
 	return l
 }
 
-// Reset starts a new window. Only requests that are sent in it count; answers
-// to earlier ones are checked but not counted.
+// Reset starts a new window. Only requests sent in the window are counted; answers
+// to earlier ones are checked but not counted, except in Finished.
 func (l *TierLoad) Reset() {
 	l.results = &rank.Table[RankResult]{}
 	for _, r := range rank.All() {
@@ -65,10 +65,10 @@
 // Result returns the results of a rank.
 func (l *TierLoad) Result(r rank.Rank) *RankResult { return l.results.Ref(r) }
 
-// Violations returns what did not hold.
+// Violations describes the invalid answers.
 func (l *TierLoad) Violations() []string { return l.violations }
 
-// Send starts a stream of queries at the given rate until end.
+// Send starts a stream of queries with the given rate until end.
 func (l *TierLoad) Send(r rank.Rank, perSecond float64, end clock.Millis) {
 	if perSecond <= 0 {
 		return
@@ -88,7 +88,7 @@
 	schedule()
 }
 
-// pickVM returns the next VM that is ready, as the balancer of the platform does.
+// pickVM returns the next VM that is ready, as the platform's load balancer does.
 func (l *TierLoad) pickVM() *tierVM {
 	for range l.receivers {
 		n := l.receivers[l.next%len(l.receivers)]
@@ -140,8 +140,8 @@
 	_ = r.Latency.RecordValue(int64(max(took, 1)))
 }
 
-// check verifies an answer on its own: it belongs to the request, and its
-// coverage adds up.
+// check verifies that an answer belongs to its request and that its coverage adds
+// up.
 func (l *TierLoad) check(id string, a vm.QueryAnswer) {
 	if a.ID != id {
 		l.violations = append(l.violations, fmt.Sprintf("%s received the answer to %s", id, a.ID))
--- a/experiment/tier_store.go
+++ b/experiment/tier_store.go
@@ -13,8 +13,8 @@
 	ExtraDelayMs clock.Millis // added to every call
 	Reads        int
 	Writes       int
-	Failed       int // calls that were refused while down
-	// LoseReply reports whether the answer to a write that took effect is lost.
+	Failed       int // calls that failed while the store was down
+	// LoseReply reports whether to lose the reply to a write that took effect. It may be nil.
 	LoseReply func(store.Request) bool
 
 	entries map[string]store.Entry
@@ -29,7 +29,7 @@
 	}
 }
 
-// Call performs r and calls done with its reply 2 to 5 ms later.
+// Call performs r and calls done with the reply 2 to 5 ms later.
 func (s *TierStore) Call(r store.Request, done func(store.Reply)) {
 	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
 	s.loop.After(s.halfDelay(), func() {
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -9,27 +9,26 @@
 	"lentillink.example/lentillink/coverage"
 )
 
-// Upstream is a fake upstream in virtual time. Each connection carries one
-// request at a time. Its exported fields may be changed while a run goes on,
-// which is how faults are injected.
+// Upstream is a fake upstream in virtual time. Each connection carries one request
+// at a time. Exported fields may be changed during a run to inject faults.
 type Upstream struct {
 	MedianMs          float64 // median service time
-	Sigma             float64 // spread of the log-normal service time
+	Sigma             float64 // standard deviation of the log-normal distribution of the service time
 	SlowFactor        float64 // multiplies every service time; 1 for a healthy upstream
-	SlowRatio         float64 // share of requests that take SlowRequestFactor times as long
+	SlowRatio         float64 // fraction of requests that take SlowRequestFactor times as long
 	SlowRequestFactor float64
-	Workers           int // requests served at once; more queue inside the upstream, 0 for no bound
-	ShedAbove         int // inner queue length above which it sheds, 0 for never
+	Workers           int // requests served concurrently, others are queued; 0 for no limit
+	ShedAbove         int // queue length at which requests are shed; 0 for never
 	Dead              bool
 	Leaving           bool
 	HeldVersions      []uint64
 	Epoch             uint64
 	Ranges            []coverage.Range
-	ColdUntil         clock.Millis // service times are ColdFactor times longer before this time
+	ColdUntil         clock.Millis // service times are multiplied by ColdFactor before this time
 	ColdFactor        float64
 
-	// OnReceive sees every request that arrives, Run those that start to run.
-	// Answer completes the reply to a request that was run. All may be nil.
+	// OnReceive is called for every request that arrives, OnStart for those that are
+	// executed. CompleteReply may change the reply to an executed request. All may be nil.
 	OnReceive     func(attempt.Request)
 	OnStart       func(attempt.Request)
 	CompleteReply func(attempt.Request, *attempt.Reply)
@@ -42,7 +41,7 @@
 	executions map[string]int
 }
 
-// NewUpstream returns a healthy fake with one snapshot version.
+// NewUpstream returns a healthy upstream with one snapshot version.
 func NewUpstream(loop *Loop, rng *rand.Rand, keys coverage.Range) *Upstream {
 	return &Upstream{
 		MedianMs: 8, Sigma: 0.35, SlowFactor: 1, SlowRequestFactor: 10, ColdFactor: 5,
@@ -51,14 +50,14 @@
 	}
 }
 
-// Started returns the number of requests that the upstream began to run.
+// Started returns the number of requests that the upstream began to execute.
 func (u *Upstream) Started() int { return u.started }
 
-// Executions returns how often the order with the given id was run.
+// Executions returns how often the upstream began to execute the order with the given id.
 func (u *Upstream) Executions(id string) int { return u.executions[id] }
 
-// Serve handles one request and calls done with its reply in virtual time.
-// A dead upstream refuses the connection.
+// Serve handles one request and calls done with its reply in virtual time. A dead
+// upstream refuses the connection.
 func (u *Upstream) Serve(req attempt.Request, done func(attempt.Reply)) {
 	reply := attempt.Reply{ID: req.ID, Upstream: req.Upstream, HeldVersions: u.HeldVersions, Epoch: u.Epoch, Leaving: u.Leaving}
 	if u.OnReceive != nil {
