--- a/experiment/capacity_test.go
+++ b/experiment/capacity_test.go
@@ -11,11 +11,11 @@
 // bounds at the two-year size, and against a report without extrapolated figures.
 func TestCapacity(t *testing.T) {
 	if testing.Short() {
-		t.Skip("measures memory; the race detector changes it")
+		t.Skip("the race detector changes the measured memory")
 	}
 	report := experiment.Capacity(1, nil)
 	if !report.OK() {
-		t.Error("got a missed bound, want all kept")
+		t.Error("got a figure outside its bound, want none")
 	}
 	computed := 0
 	for _, f := range report.Figures {
--- a/experiment/carrier_change_test.go
+++ b/experiment/carrier_change_test.go
@@ -25,13 +25,13 @@
 				wait(step)
 			}
 		}},
-		{"death and quick return", 0.2, func(tier *experiment.Tier, wait func(clock.Millis)) {
+		{"killed VM replaced after 1 s", 0.2, func(tier *experiment.Tier, wait func(clock.Millis)) {
 			tier.Kill("vm-3")
 			wait(clock.Second)
 			tier.Replace("vm-3")
 			wait(step)
 		}},
-		{"death and join", 0.2, func(tier *experiment.Tier, wait func(clock.Millis)) {
+		{"killed VM replaced after 16 s", 0.2, func(tier *experiment.Tier, wait func(clock.Millis)) {
 			tier.Kill("vm-4")
 			wait(2 * step)
 			tier.Replace("vm-4")
@@ -39,7 +39,7 @@
 		}},
 		// While both carriers of an upstream change, its group has 20 of 36 connections,
 		// so the total load of the three ranks must be below 55%.
-		{"two at once", 0.15, func(tier *experiment.Tier, wait func(clock.Millis)) {
+		{"one VM stopped and one killed together", 0.15, func(tier *experiment.Tier, wait func(clock.Millis)) {
 			tier.Stop("vm-1", func(clock.Millis) {})
 			tier.Kill("vm-7")
 			wait(2 * step)
@@ -65,17 +65,17 @@
 			tt.run(tier, wait)
 			tier.Loop.RunUntil(end + clock.Minute)
 			if peak.OpenConns > cfg.Connections {
-				t.Errorf("%d connections to %s after %d ms, want at most %d", peak.OpenConns, peak.Upstream, peak.At, cfg.Connections)
+				t.Errorf("got %d connections to %s after %d ms, want at most %d", peak.OpenConns, peak.Upstream, peak.At, cfg.Connections)
 			}
 			for _, r := range rank.All() {
 				got := load.Result(r)
 				if got.Failed+got.Partial+got.Refused > 0 || got.Complete == 0 {
-					t.Errorf("%s: %d sent, %d complete, %d failed, %d partial, %d refused",
+					t.Errorf("%s: got %d sent, %d complete, %d failed, %d partial, %d refused, want only complete answers",
 						r, got.Sent, got.Complete, got.Failed, got.Partial, got.Refused)
 				}
 				// Callers of a killed VM get no answer from it; all others must get one.
 				if got.Open > 0 && tt.name == "planned stop and join" {
-					t.Errorf("%s: %d without an answer", r, got.Open)
+					t.Errorf("%s: got %d queries without an answer, want 0", r, got.Open)
 				}
 				t.Logf("%s: %d sent, %d complete, %d open, p99 %.0f ms", r, got.Sent, got.Complete, got.Open, got.P99())
 			}
--- a/experiment/connections_test.go
+++ b/experiment/connections_test.go
@@ -18,6 +18,6 @@
 	}
 	t.Log(out.String())
 	if !report.OK() {
-		t.Error("got a missed bound, want all kept")
+		t.Error("got a figure outside its bound, want none")
 	}
 }
--- a/experiment/fleet_test.go
+++ b/experiment/fleet_test.go
@@ -27,7 +27,7 @@
 	checkBounds(t, r)
 	for _, f := range r.Figures {
 		if f.Name == "accepted changes lost" && f.Baseline == 0 {
-			t.Error("the baseline, unconditional writes, lost no change: the check cannot fail")
+			t.Error("got no lost change in the baseline with unconditional writes, want some: the check would never fail")
 		}
 	}
 }
--- a/experiment/flood_test.go
+++ b/experiment/flood_test.go
@@ -36,7 +36,7 @@
 				r := tt.run(seed)
 				logAndCheckBounds(t, r)
 				if repeats && !reflect.DeepEqual(r, <-repeated) {
-					t.Error("two runs with one seed differ")
+					t.Error("got different reports from two runs with the same seed, want equal ones")
 				}
 			})
 		}
@@ -51,6 +51,6 @@
 	}
 	t.Log(out.String())
 	if !r.OK() {
-		t.Errorf("seed %d misses a bound", r.Seed)
+		t.Errorf("seed %d: got a figure outside its bound, want none", r.Seed)
 	}
 }
--- a/experiment/leaving_test.go
+++ b/experiment/leaving_test.go
@@ -13,7 +13,7 @@
 // TestLeavingAgainstFalseLoad guards against a load endpoint that does not report
 // leaving, immediately or after a while, and thereby returns work to an upstream
 // that refuses it; and against a restarted upstream that receives no work.
-func TestLeavingAgainstLyingLoad(t *testing.T) {
+func TestLeavingAgainstFalseLoad(t *testing.T) {
 	t.Parallel()
 	const id = "search/g03/1"
 	for name, tc := range map[string]struct {
@@ -21,9 +21,9 @@
 		restarted    bool                            // the upstream is down before it accepts work again
 		want         bool                            // whether the upstream receives work again
 	}{
-		"endpoint always lies": {hidesLeaving: func(clock.Millis) bool { return true }},
-		"endpoint lies later":  {hidesLeaving: func(ms clock.Millis) bool { return ms > 5*clock.Second }},
-		"upstream restarts":    {hidesLeaving: func(clock.Millis) bool { return false }, restarted: true, want: true},
+		"endpoint never reports leaving":   {hidesLeaving: func(clock.Millis) bool { return true }},
+		"endpoint stops reporting leaving": {hidesLeaving: func(ms clock.Millis) bool { return ms > 5*clock.Second }},
+		"upstream restarts":                {hidesLeaving: func(clock.Millis) bool { return false }, restarted: true, want: true},
 	} {
 		cfg := experiment.DefaultTier(1)
 		var tier *experiment.Tier
--- a/experiment/matrix_cell.go
+++ b/experiment/matrix_cell.go
@@ -112,7 +112,7 @@
 		fault, found := findFault(f)
 		step, known := findStep(s)
 		if !ok || !found || !known {
-			return nil, fmt.Errorf("cell %q is not FAULT/STEP", single)
+			return nil, fmt.Errorf("cell %q: want FAULT/STEP, a fault and a step of the matrix", single)
 		}
 		list = append(list, &faultInjection{fault: fault, step: step})
 	}
@@ -209,7 +209,7 @@
 	c.presets.finish()
 	for id, generation := range c.stopping {
 		if n := c.tier.byID[id]; n.generation == generation-1 && !n.dead {
-			c.check.fail(InvariantPlannedStop, "%s has not drained %d ms after the load ended", id, cellDrainMs)
+			c.check.fail(InvariantPlannedStop, "VM %s has not drained %d ms after the load ended", id, cellDrainMs)
 		}
 	}
 	if len(c.injections) == 1 && c.injections[0].fault.name == faultVMStopped {
@@ -224,7 +224,7 @@
 		case !s.reached:
 			r.Problem = "step " + s.step.name + " was not reached"
 		case !s.injected:
-			r.Problem = "fault " + s.fault.name + " found nothing to strike"
+			r.Problem = "fault " + s.fault.name + " was not injected"
 		case s.effects == 0 && (s.countEffects == nil || s.countEffects() == 0):
 			r.Problem = "fault " + s.fault.name + " had no effect"
 		}
@@ -255,13 +255,13 @@
 	if n := c.tier.byID[s.vm]; n == nil || n.dead {
 		s.vm = c.randomVM()
 	}
-	c.tracef("%s strikes at %s, vm %s", s.fault.name, s.step.name, s.vm)
+	c.tracef("fault %s injected at step %s, VM %s", s.fault.name, s.step.name, s.vm)
 	heal := s.fault.inject(c, s, m)
 	s.injected = true
 	until := c.tier.Loop.Now() + s.fault.duration()
 	c.healTime = max(c.healTime, until)
 	c.tier.Loop.At(until, func() {
-		c.tracef("%s heals", s.fault.name)
+		c.tracef("fault %s ends", s.fault.name)
 		if heal != nil {
 			heal()
 		}
--- a/experiment/matrix_check.go
+++ b/experiment/matrix_check.go
@@ -54,7 +54,7 @@
 	}
 	for _, q := range list {
 		if q.order && log.orders[q.id] > 1 {
-			c.fail(InvariantAtMostOnce, "order %s ran %d times", q.id, log.orders[q.id])
+			c.fail(InvariantAtMostOnce, "order %s was executed %d times, want at most once", q.id, log.orders[q.id])
 		}
 	}
 	for _, l := range log.lateRequests {
@@ -66,21 +66,21 @@
 	switch {
 	case q.disconnected:
 	case len(q.answers) == 0:
-		c.fail(InvariantAnswered, "%s sent to %s at %d was never answered", q.body, q.vm, q.sentAt)
+		c.fail(InvariantAnswered, "request %s, sent to %s at time %d, has no answer", q.body, q.vm, q.sentAt)
 	case len(q.answers) > 1:
-		c.fail(InvariantOwnAnswer, "%s was answered %d times", q.body, len(q.answers))
+		c.fail(InvariantOwnAnswer, "request %s has %d answers, want 1", q.body, len(q.answers))
 	case q.answeredAt > q.deadline:
-		c.fail(InvariantAnswered, "%s of %s was answered %d ms late by %s", q.body, q.rank, q.answeredAt-q.deadline, q.vm)
+		c.fail(InvariantAnswered, "request %s of rank %s was answered %d ms too late by %s", q.body, q.rank, q.answeredAt-q.deadline, q.vm)
 	}
 }
 
 func (c *checker) query(q *request, a vm.QueryAnswer, log *upstreamLog) {
 	if q.order || a.ID != q.id {
-		c.fail(InvariantOwnAnswer, "%s received the answer to %s", q.body, a.ID)
+		c.fail(InvariantOwnAnswer, "request %s received the answer to %s", q.body, a.ID)
 		return
 	}
 	if a.Execution == attempt.NotExecuted && log.runs[q.body] > 0 {
-		c.fail(InvariantNotRun, "%s: ran no, but an upstream began it %d times", q.body, log.runs[q.body])
+		c.fail(InvariantNotRun, "request %s: answered as not executed, but upstreams began to execute it %d times", q.body, log.runs[q.body])
 	}
 	if a.Outcome != vm.Complete && a.Outcome != vm.Partial {
 		return
@@ -94,11 +94,11 @@
 	for _, row := range a.Rows {
 		version, body := splitRow(row.Value)
 		if version != want {
-			c.fail(InvariantOneSnapshot, "%s of snapshot %d has a row of %s", q.body, a.Snapshot, version)
+			c.fail(InvariantOneSnapshot, "answer to %s at snapshot %d has a row of version %s", q.body, a.Snapshot, version)
 			return
 		}
 		if body != q.body {
-			c.fail(InvariantOwnAnswer, "%s has a row of %s", q.body, body)
+			c.fail(InvariantOwnAnswer, "answer to %s has a row of request %s", q.body, body)
 			return
 		}
 	}
@@ -112,10 +112,10 @@
 		missing.Add(gap)
 	}
 	if a.Covered+missing.Len() != a.Expected {
-		c.fail(InvariantTrueCoverage, "%s covers %d and misses %d of %d keys", q.body, a.Covered, missing.Len(), a.Expected)
+		c.fail(InvariantTrueCoverage, "answer to %s: %d covered and %d missing keys, want %d in total", q.body, a.Covered, missing.Len(), a.Expected)
 	}
 	if complete := a.Outcome == vm.Complete; complete != (missing.Len() == 0) {
-		c.fail(InvariantTrueCoverage, "%s is %s with %d missing keys", q.body, a.Outcome, missing.Len())
+		c.fail(InvariantTrueCoverage, "answer to %s is %s with %d missing keys", q.body, a.Outcome, missing.Len())
 	}
 	rows := make(map[uint32]int)
 	for _, row := range a.Rows {
@@ -124,16 +124,16 @@
 	served := log.served[q.body][a.Snapshot]
 	for _, covered := range missing.Missing(coverage.Range{To: a.Expected}) {
 		if served == nil || len(served.Missing(covered)) > 0 {
-			c.fail(InvariantTrueCoverage, "%s claims keys %d to %d, which no upstream served", q.body, covered.From, covered.To)
+			c.fail(InvariantTrueCoverage, "answer to %s covers keys %d to %d, which no upstream served at its snapshot", q.body, covered.From, covered.To)
 			return
 		}
 		for k := (covered.From + rowInterval - 1) / rowInterval * rowInterval; k < covered.To; k += rowInterval {
 			switch {
 			case rows[k] == 0:
-				c.fail(InvariantTrueCoverage, "%s claims key %d but has no row of it", q.body, k)
+				c.fail(InvariantTrueCoverage, "answer to %s covers key %d but has no row for it", q.body, k)
 				return
 			case rows[k] > 1:
-				c.fail(InvariantOwnAnswer, "%s has %d rows of key %d", q.body, rows[k], k)
+				c.fail(InvariantOwnAnswer, "answer to %s has %d rows for key %d, want 1", q.body, rows[k], k)
 				return
 			}
 		}
@@ -142,15 +142,15 @@
 
 func (c *checker) order(q *request, a vm.OrderAnswer, log *upstreamLog) {
 	if !q.order || a.ID != q.id {
-		c.fail(InvariantOwnAnswer, "%s received the answer to order %s", q.body, a.ID)
+		c.fail(InvariantOwnAnswer, "request %s received the answer to order %s", q.body, a.ID)
 		return
 	}
 	switch {
 	case a.Execution == attempt.NotExecuted && log.runs[q.body] > 0:
-		c.fail(InvariantNotRun, "%s: ran no (%s), but it ran %d times", q.body, a.Reason, log.runs[q.body])
+		c.fail(InvariantNotRun, "order %s: answered as not executed (%s), but it was executed %d times", q.body, a.Reason, log.runs[q.body])
 	case a.Outcome == order.OutcomeDone && log.runs[q.body] != 1:
-		c.fail(InvariantAtMostOnce, "%s is called done and ran %d times", q.body, log.runs[q.body])
+		c.fail(InvariantAtMostOnce, "order %s: answered as done, but it was executed %d times, want once", q.body, log.runs[q.body])
 	case a.Outcome == order.OutcomeDone && string(a.Body) != "done "+q.body:
-		c.fail(InvariantOwnAnswer, "%s received the body %q", q.body, a.Body)
+		c.fail(InvariantOwnAnswer, "order %s received the wrong body %q", q.body, a.Body)
 	}
 }
--- a/experiment/matrix_fault.go
+++ b/experiment/matrix_fault.go
@@ -79,7 +79,7 @@
 		prepared = append(prepared, s.step.name)
 	}
 	if len(prepared) == 2 && prepared[0] == "claim-read-back" && prepared[1] == "claim-read-back" {
-		return "only one answer is lost to provoke a read-back"
+		return "only one store reply is lost, which provokes a single read-back"
 	}
 	return ""
 }
--- a/experiment/matrix_fault_upstream.go
+++ b/experiment/matrix_fault_upstream.go
@@ -29,7 +29,7 @@
 			id = candidate
 		}
 	}
-	c.tracef("fault %s concerns %s", s.fault.name, id)
+	c.tracef("fault %s affects %s", s.fault.name, id)
 	return id, c.tier.Upstreams[id]
 }
 
--- a/experiment/matrix_fault_vm.go
+++ b/experiment/matrix_fault_vm.go
@@ -116,7 +116,7 @@
 		for peer == "" || peer == s.vm {
 			peer = c.tier.vms[c.rng.IntN(len(c.tier.vms))].self.ID
 		}
-		c.tracef("link from %s to %s cut, both ways: %t", s.vm, peer, both)
+		c.tracef("link from %s to %s cut, both directions: %t", s.vm, peer, both)
 		cut := [][2]string{{s.vm, peer}}
 		if both {
 			cut = append(cut, [2]string{peer, s.vm})
--- a/experiment/matrix_hooks.go
+++ b/experiment/matrix_hooks.go
@@ -97,7 +97,7 @@
 func (c *cell) stop(id string) {
 	generation := c.tier.byID[id].generation
 	c.stopping[id] = generation + 1
-	c.tracef("%s begins its planned stop", id)
+	c.tracef("%s begins its graceful stop", id)
 	c.tier.Stop(id, func(took clock.Millis) {
 		c.tracef("%s drained in %d ms", id, took)
 		delete(c.stopping, id)
@@ -118,7 +118,7 @@
 func (c *checker) drained(list []*request, id string, generation int) {
 	for _, q := range list {
 		if q.vm == id && q.generation == generation && len(q.answers) == 0 {
-			c.fail(InvariantPlannedStop, "%s was not answered before %s ended its planned stop", q.body, id)
+			c.fail(InvariantPlannedStop, "request %s was not answered before %s completed its graceful stop", q.body, id)
 		}
 	}
 }
@@ -131,11 +131,11 @@
 			switch a := cmd.(type) {
 			case vm.AnswerQueryCmd:
 				if a.Answer.Outcome == vm.Failed || a.Answer.Outcome == vm.Partial {
-					c.fail(InvariantPlannedStop, "%s through %s ended %s: %s", q.body, q.vm, a.Answer.Outcome, a.Answer.Reason)
+					c.fail(InvariantPlannedStop, "request %s through %s ended %s: %s", q.body, q.vm, a.Answer.Outcome, a.Answer.Reason)
 				}
 			case vm.AnswerOrderCmd:
 				if a.Answer.Outcome == order.OutcomeUnknown {
-					c.fail(InvariantPlannedStop, "%s through %s ended unknown: %s", q.body, q.vm, a.Answer.Reason)
+					c.fail(InvariantPlannedStop, "order %s through %s has an unknown outcome: %s", q.body, q.vm, a.Answer.Reason)
 				}
 			}
 		}
--- a/experiment/matrix_preset.go
+++ b/experiment/matrix_preset.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		if got := s.revisionInForce(n.self.ID, n.core); got < revision {
-			s.cell.check.fail(InvariantPresetInForce, "%s has revision %d in force %d ms after %d was accepted", n.self.ID, got, t.Loop.Now()-since, revision)
+			s.cell.check.fail(InvariantPresetInForce, "%s has revision %d in force %d ms after revision %d was accepted", n.self.ID, got, t.Loop.Now()-since, revision)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	name, revision := s.presetInForce(id, core)
 	key := fmt.Sprintf("%s/%d", id, s.cell.tier.byID[id].generation)
 	if revision < s.highestRevisions[key] {
-		s.cell.check.fail(InvariantNoRevert, "%s went from revision %d to %d", id, s.highestRevisions[key], revision)
+		s.cell.check.fail(InvariantNoRevert, "%s reverted from revision %d to %d", id, s.highestRevisions[key], revision)
 	}
 	s.highestRevisions[key] = revision
 	if revision == 0 {
@@ -136,7 +136,7 @@
 	}
 	rec := core.Record()
 	if known, ok := s.presetNames[revision]; ok && known != name || rec.Revision == revision && rec.InForce != name {
-		s.cell.check.fail(InvariantOnePreset, "%s has %q in force at revision %d, others %q, record %q", id, name, revision, known, rec.InForce)
+		s.cell.check.fail(InvariantOnePreset, "%s has %q in force at revision %d, another VM %q, the record %q", id, name, revision, known, rec.InForce)
 	}
 	s.presetNames[revision] = name
 }
@@ -147,7 +147,7 @@
 	t := s.cell.tier
 	stored, err := preset.Decode(t.Store.entries[preset.StoreKey].Value)
 	if err != nil {
-		s.cell.check.fail(InvariantNoRevert, "the store holds no record: %v", err)
+		s.cell.check.fail(InvariantNoRevert, "the store holds no valid preset record: %v", err)
 		return
 	}
 	for _, ch := range s.changes {
@@ -157,12 +157,12 @@
 			}
 		}
 		if _, ok := stored.FindChange(ch.id); ok && ch.result.Accepted == preset.NotAccepted {
-			s.cell.check.fail(InvariantNoRevert, "change %s was called not accepted but is in the store", ch.id)
+			s.cell.check.fail(InvariantNoRevert, "change %s was reported as not accepted but is in the store", ch.id)
 		}
 	}
 	for _, n := range t.vms {
 		if name, revision := s.presetInForce(n.self.ID, n.core); !n.dead && (revision != stored.Revision || name != stored.InForce) {
-			s.cell.check.fail(InvariantPresetInForce, "at the end %s has %q, revision %d, the store %q, %d", n.self.ID, name, revision, stored.InForce, stored.Revision)
+			s.cell.check.fail(InvariantPresetInForce, "at the end %s has preset %q at revision %d in force, the store %q at revision %d", n.self.ID, name, revision, stored.InForce, stored.Revision)
 		}
 	}
 }
--- a/experiment/matrix_test.go
+++ b/experiment/matrix_test.go
@@ -68,7 +68,7 @@
 func TestRunCellRefusesUnknownNames(t *testing.T) {
 	for _, name := range []string{"", "straggler", "straggler/nowhere", "nothing/query-sent", "straggler/query-sent+x"} {
 		if _, err := experiment.RunCell(1, name, experiment.CellOptions{}); err == nil {
-			t.Errorf("cell %q was accepted", name)
+			t.Errorf("cell %q: got no error, want one", name)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		seed uint64
 		cell string
 	}{
-		"order unknown though no carrier took it":     {2, "vm-stopped/claim-write"},
+		"order unknown though no carrier accepted it": {2, "vm-stopped/claim-write"},
 		"replaced VM sends to a leaving upstream":     {5, "store-answer-lost/query-replies-in+upstream-leaving/carrier-change"},
 		"planned stop with more queries than it runs": {4, "vm-stopped/query-queued"},
 	}
--- a/experiment/matrix_upstream_log.go
+++ b/experiment/matrix_upstream_log.go
@@ -41,7 +41,7 @@
 func (log *upstreamLog) onReceive(req attempt.Request) {
 	since, leaves := log.leavingSince[req.Upstream]
 	if leaves && log.loop.Now() > since+leavingBoundMs {
-		log.lateRequests = append(log.lateRequests, fmt.Sprintf("%s from %s reached %s %d ms after it began to leave",
+		log.lateRequests = append(log.lateRequests, fmt.Sprintf("request %s from %s reached %s %d ms after it began to leave",
 			req.Body, req.ID.VM, req.Upstream, log.loop.Now()-since))
 	}
 }
--- a/experiment/orders_test.go
+++ b/experiment/orders_test.go
@@ -15,7 +15,7 @@
 		report := experiment.Orders(seed, 5000)
 		if !report.OK() {
 			_ = report.Write(os.Stderr)
-			t.Errorf("seed %d: got a missed bound, want none", seed)
+			t.Errorf("seed %d: got a figure outside its bound, want none", seed)
 		}
 	}
 }
@@ -29,6 +29,6 @@
 	report := experiment.Orders(1, 100000)
 	_ = report.Write(os.Stderr)
 	if !report.OK() {
-		t.Error("got a missed bound, want none")
+		t.Error("got a figure outside its bound, want none")
 	}
 }
--- a/experiment/query_test.go
+++ b/experiment/query_test.go
@@ -34,10 +34,10 @@
 				}
 				t.Log(out.String())
 				if !r.OK() {
-					t.Errorf("seed %d misses a bound", seed)
+					t.Errorf("seed %d: got a figure outside its bound, want none", seed)
 				}
 				if seed == 1 && !testing.Short() && !reflect.DeepEqual(r, tt.run(seed)) {
-					t.Error("two runs with one seed differ")
+					t.Error("got different reports from two runs with the same seed, want equal ones")
 				}
 			}
 		})
--- a/experiment/stall_test.go
+++ b/experiment/stall_test.go
@@ -15,7 +15,7 @@
 		report := experiment.Stall(seed)
 		if !report.OK() {
 			_ = report.Write(os.Stderr)
-			t.Errorf("seed %d: got a missed bound, want none", seed)
+			t.Errorf("seed %d: got a figure outside its bound, want none", seed)
 		}
 	}
 }
--- a/experiment/tier_load.go
+++ b/experiment/tier_load.go
@@ -144,7 +144,7 @@
 // up.
 func (l *TierLoad) check(id string, a vm.QueryAnswer) {
 	if a.ID != id {
-		l.violations = append(l.violations, fmt.Sprintf("%s received the answer to %s", id, a.ID))
+		l.violations = append(l.violations, fmt.Sprintf("query %s received the answer to %s", id, a.ID))
 	}
 	var missing uint32
 	for _, gap := range a.Missing {
@@ -152,8 +152,8 @@
 	}
 	switch {
 	case a.Covered+missing != a.Expected:
-		l.violations = append(l.violations, fmt.Sprintf("%s covers %d and misses %d of %d keys", id, a.Covered, missing, a.Expected))
+		l.violations = append(l.violations, fmt.Sprintf("query %s: %d covered and %d missing keys, want %d in total", id, a.Covered, missing, a.Expected))
 	case a.Outcome == vm.Complete && (missing > 0 || a.Expected == 0):
-		l.violations = append(l.violations, id+" is called complete but is not")
+		l.violations = append(l.violations, id+" is answered as complete, but keys are missing or none were expected")
 	}
 }
