--- a/experiment/replay/event.go
+++ b/experiment/replay/event.go
@@ -3,9 +3,9 @@
 import "lentillink.example/lentillink/clock"
 
 type event struct {
-	at  clock.Millis
-	seq int
-	run func()
+	at       clock.Millis
+	seq      int
+	callback func()
 }
 
 type events []event
--- a/experiment/replay/pattern.go
+++ b/experiment/replay/pattern.go
@@ -15,8 +15,8 @@
 	grownUrgent, grownOrdinary = 11, 34
 
 	// The users' upstreams pause for 200 ms every 4.5 s.
-	pauseMs      clock.Millis = 200
-	pauseEveryMs clock.Millis = 4500
+	pauseMs         clock.Millis = 200
+	pauseIntervalMs clock.Millis = 4500
 
 	// slowFactor is how much longer slow upstreams take.
 	slowFactor = 8
@@ -44,13 +44,13 @@
 // Patterns returns all patterns.
 func Patterns() []Pattern {
 	return []Pattern{
-		{"pauses", Today, 0.75, 0.89, 0.15, 0, (*Simulation).pauses},
+		{"pauses", Today, 0.75, 0.89, 0.15, 0, (*Simulation).addPauses},
 		{"one in seven upstreams slow", Today, todayFloor, todayFloor, 0.15, 100, func(w *Simulation) {
-			w.pauses()
-			w.slow(14, 3, 10)
+			w.addPauses()
+			w.slowDown(14, 3, 10)
 		}},
 		{"a whole shard gone", Today, todayFloor, todayFloor, 0.15, 0, func(w *Simulation) {
-			w.ups["u3-0"].down, w.ups["u3-1"].down = true, true
+			w.upstreams["u3-0"].down, w.upstreams["u3-1"].down = true, true
 		}},
 		{"urgent requests at five times their rate", Today, todayFloor, todayFloor, 0.15, 200, func(w *Simulation) {
 			w.Load("urgent", 4*todayUrgent, w.now+5000, w.now+10_000)
@@ -58,15 +58,15 @@
 		{"twice what the upstreams can do", Today, todayFloor, 0, 1, 5000, func(w *Simulation) {
 			w.Load("ordinary", 250, w.now+5000, w.now+10_000)
 		}},
-		{"grown, pauses", Grown, 0.85 * 0.85, 0.95 * 0.95, 0.15, 0, (*Simulation).pauses},
+		{"grown, pauses", Grown, 0.85 * 0.85, 0.95 * 0.95, 0.15, 0, (*Simulation).addPauses},
 		{"grown, one in six upstreams slow", Grown, grownFloor, grownFloor, 0.15, 100, func(w *Simulation) {
-			w.pauses()
-			w.slow(6, 1)
+			w.addPauses()
+			w.slowDown(6, 1)
 		}},
 		{"grown, one in six slow for 6 s, then others", Grown, grownFloor, grownFloor, 0.15, 100, func(w *Simulation) {
-			w.pauses()
-			w.slowFor(6, 1, w.now+2000, 6000)
-			w.slowFor(6, 2, w.now+10_000, 6000)
+			w.addPauses()
+			w.slowDownFor(6, 1, w.now+2000, 6000)
+			w.slowDownFor(6, 2, w.now+10_000, 6000)
 		}},
 	}
 }
@@ -87,32 +87,32 @@
 	return w
 }
 
-// pauses makes every upstream pause now and then, each at its own time.
-func (w *Simulation) pauses() {
-	for _, id := range w.sortedUps() {
-		u := w.ups[id]
-		u.pauseMs, u.everyMs = pauseMs, pauseEveryMs
-		u.pauseAt = w.now + clock.Millis(w.rng.Int64N(int64(pauseEveryMs)))
+// addPauses makes every upstream pause now and then, each at its own time.
+func (w *Simulation) addPauses() {
+	for _, id := range w.sortedUpstreamIDs() {
+		u := w.upstreams[id]
+		u.pauseMs, u.pauseIntervalMs = pauseMs, pauseIntervalMs
+		u.nextPause = w.now + clock.Millis(w.rng.Int64N(int64(pauseIntervalMs)))
 	}
 }
 
-// slow makes upstreams slow whose index has one of the rests.
-func (w *Simulation) slow(modulus int, rests ...int) {
-	for i, id := range w.sortedUps() {
-		for _, r := range rests {
+// slowDown makes upstreams slow whose index has one of the rests.
+func (w *Simulation) slowDown(modulus int, remainders ...int) {
+	for i, id := range w.sortedUpstreamIDs() {
+		for _, r := range remainders {
 			if i%modulus == r {
-				w.ups[id].factor = slowFactor
+				w.upstreams[id].factor = slowFactor
 			}
 		}
 	}
 }
 
-// slowFor does the same for some time.
-func (w *Simulation) slowFor(modulus, rest int, from, length clock.Millis) {
-	for i, id := range w.sortedUps() {
-		if u := w.ups[id]; i%modulus == rest {
+// slowDownFor does the same for some time.
+func (w *Simulation) slowDownFor(modulus, remainder int, from, duration clock.Millis) {
+	for i, id := range w.sortedUpstreamIDs() {
+		if u := w.upstreams[id]; i%modulus == remainder {
 			w.at(from, func() { u.factor = slowFactor })
-			w.at(from+length, func() { u.factor = 1 })
+			w.at(from+duration, func() { u.factor = 1 })
 		}
 	}
 }
--- a/experiment/replay/pattern_test.go
+++ b/experiment/replay/pattern_test.go
@@ -25,8 +25,8 @@
 			}
 			for seed := range seeds(p) {
 				w := p.Run(seed+1, false)
-				for _, b := range w.Violations() {
-					t.Errorf("seed %d: %s", seed+1, b)
+				for _, violation := range w.Violations() {
+					t.Errorf("seed %d: %s", seed+1, violation)
 				}
 				u, o := w.Outcome("urgent"), w.Outcome("ordinary")
 				t.Logf("seed %d: urgent: %s; ordinary: %s", seed+1, u, o)
--- a/experiment/replay/world.go
+++ b/experiment/replay/simulation.go
@@ -14,36 +14,36 @@
 // Simulation replays a load in virtual time: VMs with a relay.Model each, upstreams
 // with slots, queues and pauses, and callers.
 type Simulation struct {
-	now    clock.Millis
-	rng    *rand.Rand
-	events events
-	seq    int
-	vms    []*relay.Model
-	ups    map[string]*server
-	routes []route.Route
-	asked  map[uint64]*asked
-	nextID uint64
-	result map[string]*Outcome // by route
-	extra  map[string]int      // arrivals beyond the first, by service
-	needed map[string]int
-	first  map[string]bool // service and caller's identifier that have arrived
-	ran    map[string]bool // caller's identifiers that some upstream began
-	wrong  []string        // broken promises
-	hands  map[uint64]hand // groups that a carrier works on, by its own number
-	names  map[uint64]string
-	urgent map[string]bool
-	size   Size
+	now           clock.Millis
+	rng           *rand.Rand
+	events        events
+	seq           int
+	vms           []*relay.Model
+	upstreams     map[string]*upstream
+	routes        []route.Route
+	openRequests  map[uint64]*callerRequest
+	nextID        uint64
+	outcomes      map[string]*Outcome // by route
+	extraArrivals map[string]int      // arrivals beyond the first, by service
+	needed        map[string]int
+	arrived       map[string]bool       // service and caller's identifier that have arrived
+	started       map[string]bool       // caller's identifiers that some upstream began
+	violations    []string              // broken promises
+	delegations   map[uint64]delegation // groups that a carrier works on, by its own number
+	names         map[uint64]string
+	urgent        map[string]bool
+	size          Size
 }
 
-// hand says who handed a group over, and under which number.
-type hand struct {
-	vm    int
-	group uint64
+// delegation says who handed a group over, and under which number.
+type delegation struct {
+	vm int
+	id uint64
 }
 
 const (
-	startMs clock.Millis = 1000
-	wayMs   clock.Millis = 1 // one way between a VM and an upstream or another VM
+	startMs  clock.Millis = 1000
+	oneWayMs clock.Millis = 1 // one way between a VM and an upstream or another VM
 )
 
 // Size is the size of an installation.
@@ -69,9 +69,9 @@
 		budget.Ratio, budget.Extra = 0, 0
 	}
 	w := &Simulation{
-		now: startMs, rng: rand.New(rand.NewPCG(seed, seed)), ups: make(map[string]*server), asked: make(map[uint64]*asked),
-		result: make(map[string]*Outcome), extra: make(map[string]int), needed: make(map[string]int), size: size,
-		first: make(map[string]bool), ran: make(map[string]bool), hands: make(map[uint64]hand), names: make(map[uint64]string), urgent: make(map[string]bool),
+		now: startMs, rng: rand.New(rand.NewPCG(seed, seed)), upstreams: make(map[string]*upstream), openRequests: make(map[uint64]*callerRequest),
+		outcomes: make(map[string]*Outcome), extraArrivals: make(map[string]int), needed: make(map[string]int), size: size,
+		arrived: make(map[string]bool), started: make(map[string]bool), delegations: make(map[uint64]delegation), names: make(map[uint64]string), urgent: make(map[string]bool),
 	}
 	names := make([]string, shards)
 	centres := []string{"a", "b", "c"}
@@ -79,7 +79,7 @@
 		names[s] = fmt.Sprintf("s%d", s)
 		for r := range size.Replicas {
 			id := fmt.Sprintf("u%d-%d", s, r)
-			w.ups[id] = &server{up: relay.Upstream{
+			w.upstreams[id] = &upstream{info: relay.Upstream{
 				ID: id, Service: names[s], Address: id, DataCentre: centres[(s+r)%3], Slots: 2,
 			}, slots: 2, queueCap: 12, factor: 1}
 		}
@@ -101,8 +101,8 @@
 		m := relay.New(relay.WithSeed(seed+uint64(i)), relay.WithSelf(fleet[i].ID, fleet[i].DataCentre), relay.WithBudget(budget))
 		w.vms = append(w.vms, m)
 		w.update(i, relay.TableMsg{Table: table})
-		for _, id := range w.sortedUps() {
-			w.update(i, relay.UpstreamMsg{Upstream: w.ups[id].up})
+		for _, id := range w.sortedUpstreamIDs() {
+			w.update(i, relay.UpstreamMsg{Upstream: w.upstreams[id].info})
 		}
 		if !size.Independent {
 			w.update(i, relay.FleetMsg{VMs: fleet})
@@ -112,31 +112,31 @@
 }
 
 // Outcome returns what callers of a route got.
-func (w *Simulation) Outcome(route string) *Outcome { return w.result[route] }
+func (w *Simulation) Outcome(route string) *Outcome { return w.outcomes[route] }
 
 // Violations returns the promises that were broken: wrong answers, requests without
 // one, and extra arrivals beyond the budget.
 func (w *Simulation) Violations() []string {
-	out := slices.Clone(w.wrong)
+	out := slices.Clone(w.violations)
 	windows := float64(w.now-startMs) / float64(w.size.Budget.WindowMs)
-	for s, n := range w.extra {
-		if most := w.size.Budget.Ratio*float64(w.needed[s]) + windows*w.size.Budget.Extra; float64(n) > most {
-			out = append(out, fmt.Sprintf("%s got %d extra arrivals for %d requests, want at most %.0f", s, n, w.needed[s], most))
+	for s, n := range w.extraArrivals {
+		if limit := w.size.Budget.Ratio*float64(w.needed[s]) + windows*w.size.Budget.Extra; float64(n) > limit {
+			out = append(out, fmt.Sprintf("%s got %d extra arrivals for %d requests, want at most %.0f", s, n, w.needed[s], limit))
 		}
 	}
-	if n := len(w.asked); n != 0 {
+	if n := len(w.openRequests); n != 0 {
 		out = append(out, fmt.Sprintf("%d requests have no answer", n))
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (w *Simulation) sortedUps() []string {
+func (w *Simulation) sortedUpstreamIDs() []string {
 	var ids []string
 	for s, r := 0, 0; ; {
 		id := fmt.Sprintf("u%d-%d", s, r)
 		switch {
-		case w.ups[id] != nil:
+		case w.upstreams[id] != nil:
 			ids = append(ids, id)
 			r++
 		case r == 0:
@@ -149,14 +149,14 @@
 
 func (w *Simulation) at(t clock.Millis, run func()) {
 	w.seq++
-	heap.Push(&w.events, event{at: max(t, w.now), seq: w.seq, run: run})
+	heap.Push(&w.events, event{at: max(t, w.now), seq: w.seq, callback: run})
 }
 
 func (w *Simulation) runUntil(end clock.Millis) {
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.run()
+		e.callback()
 	}
 	w.now = end
 }
@@ -180,29 +180,29 @@
 func (w *Simulation) perform(vm int, c relay.Cmd) {
 	switch c := c.(type) {
 	case relay.SendCmd:
-		w.at(w.now+wayMs, func() { w.arriveAt(vm, c) })
+		w.at(w.now+oneWayMs, func() { w.receive(vm, c) })
 	case relay.CancelCmd:
-		w.at(w.now+wayMs, func() { w.cancel(vm, c.Attempt) })
+		w.at(w.now+oneWayMs, func() { w.cancel(vm, c.Attempt) })
 	case relay.AnswerCmd:
-		w.answered(vm, c.ID, relay.DelegationResult{Answer: c.Answer, ExpectedMs: c.ExpectedMs})
+		w.deliverAnswer(vm, c.ID, relay.DelegationResult{Answer: c.Answer, ExpectedMs: c.ExpectedMs})
 	case relay.PartialResultCmd:
-		w.answered(vm, c.ID, relay.DelegationResult{Answer: c.Answer, Partial: true, ExpectedMs: c.ExpectedMs})
+		w.deliverAnswer(vm, c.ID, relay.DelegationResult{Answer: c.Answer, Partial: true, ExpectedMs: c.ExpectedMs})
 	case relay.DelegateCmd:
 		w.nextID++
-		id, to := w.nextID, w.index(c.To)
-		w.hands[id] = hand{vm, c.Delegation.ID}
+		id, to := w.nextID, w.vmIndex(c.To)
+		w.delegations[id] = delegation{vm, c.Delegation.ID}
 		w.names[id] = c.Delegation.Name
-		w.at(w.now+wayMs, func() {
-			h := c.Delegation
-			w.update(to, relay.ArrivalMsg{ID: id, Name: h.Name, Host: h.Host, Path: h.Path, Delegation: &h})
+		w.at(w.now+oneWayMs, func() {
+			d := c.Delegation
+			w.update(to, relay.ArrivalMsg{ID: id, Name: d.Name, Host: d.Host, Path: d.Path, Delegation: &d})
 		})
 	case relay.AckDelegationCmd:
-		h := w.hands[c.ID]
-		w.at(w.now+wayMs, func() { w.update(h.vm, relay.DelegationAckMsg{From: w.vmName(vm), ID: h.group}) })
+		d := w.delegations[c.ID]
+		w.at(w.now+oneWayMs, func() { w.update(d.vm, relay.DelegationAckMsg{From: w.vmName(vm), ID: d.id}) })
 	case relay.CancelDelegationCmd:
-		for id, h := range w.hands {
-			if h.vm == vm && h.group == c.ID {
-				w.at(w.now+wayMs, func() { w.update(w.index(c.To), relay.CallerDisconnectedMsg{ID: id}) })
+		for id, d := range w.delegations {
+			if d.vm == vm && d.id == c.ID {
+				w.at(w.now+oneWayMs, func() { w.update(w.vmIndex(c.To), relay.CallerDisconnectedMsg{ID: id}) })
 			}
 		}
 	}
@@ -210,7 +210,7 @@
 
 func (w *Simulation) vmName(i int) string { return fmt.Sprintf("vm%d", i) }
 
-func (w *Simulation) index(name string) int {
+func (w *Simulation) vmIndex(name string) int {
 	for i := range w.vms {
 		if w.vmName(i) == name {
 			return i
@@ -219,21 +219,21 @@
 	return -1
 }
 
-// answered passes an answer to the caller or to the VM that handed over.
-func (w *Simulation) answered(vm int, id uint64, back relay.DelegationResult) {
-	if h, ok := w.hands[id]; ok {
-		back.ID = h.group
-		if !back.Partial {
-			delete(w.hands, id)
+// deliverAnswer passes an answer to the caller or to the VM that handed over.
+func (w *Simulation) deliverAnswer(vm int, id uint64, result relay.DelegationResult) {
+	if d, ok := w.delegations[id]; ok {
+		result.ID = d.id
+		if !result.Partial {
+			delete(w.delegations, id)
 		}
-		w.at(w.now+wayMs, func() { w.update(h.vm, relay.DelegationResultMsg{From: w.vmName(vm), Result: back}) })
+		w.at(w.now+oneWayMs, func() { w.update(d.vm, relay.DelegationResultMsg{From: w.vmName(vm), Result: result}) })
 		return
 	}
-	a := w.asked[id]
+	a := w.openRequests[id]
 	if a == nil {
-		w.wrong = append(w.wrong, fmt.Sprintf("request %d is answered twice", id))
+		w.violations = append(w.violations, fmt.Sprintf("request %d is answered twice", id))
 		return
 	}
-	delete(w.asked, id)
-	w.at(w.now+callerMs, func() { w.judge(a, w.names[id], back.Answer) })
+	delete(w.openRequests, id)
+	w.at(w.now+callerOneWayMs, func() { w.handleAnswer(a, w.names[id], result.Answer) })
 }
--- a/experiment/replay/upstream.go
+++ b/experiment/replay/upstream.go
@@ -7,19 +7,19 @@
 	"lentillink.example/lentillink/relay"
 )
 
-// server is an upstream of the replay.
-type server struct {
-	up       relay.Upstream
-	slots    int
-	queueCap int
-	busy     int
-	queue    []*job
-	factor   float64 // multiple of the work time
-	pauseAt  clock.Millis
-	pauseMs  clock.Millis
-	everyMs  clock.Millis
-	pauseEnd clock.Millis
-	down     bool
+// upstream is an upstream of the replay.
+type upstream struct {
+	info            relay.Upstream
+	slots           int
+	queueCap        int
+	busy            int
+	queue           []*job
+	factor          float64 // multiple of the work time
+	nextPause       clock.Millis
+	pauseMs         clock.Millis
+	pauseIntervalMs clock.Millis
+	pauseEnd        clock.Millis
+	down            bool
 }
 
 type job struct {
@@ -30,19 +30,19 @@
 	dropped bool
 }
 
-// arriveAt brings an attempt to its upstream.
-func (w *Simulation) arriveAt(vm int, c relay.SendCmd) {
-	u := w.ups[c.Upstream]
+// receive brings an attempt to its upstream.
+func (w *Simulation) receive(vm int, c relay.SendCmd) {
+	u := w.upstreams[c.Upstream]
 	if u.down {
-		w.at(w.now+wayMs, func() { w.update(vm, relay.AttemptFailedMsg{Attempt: c.Attempt, NotSent: true, Cause: "down"}) })
+		w.at(w.now+oneWayMs, func() { w.update(vm, relay.AttemptFailedMsg{Attempt: c.Attempt, NotSent: true, Cause: "down"}) })
 		return
 	}
 	name := w.names[c.Request]
-	key := u.up.Service + "/" + name
-	if w.first[key] {
-		w.extra[u.up.Service]++
+	key := u.info.Service + "/" + name
+	if w.arrived[key] {
+		w.extraArrivals[u.info.Service]++
 	}
-	w.first[key] = true
+	w.arrived[key] = true
 	mean := 20.0
 	if w.urgent[name] {
 		mean = 6.7
@@ -61,10 +61,10 @@
 }
 
 // serve starts queued jobs while slots are free and the upstream does not pause.
-func (w *Simulation) serve(u *server) {
-	if u.everyMs > 0 && w.now >= u.pauseAt {
-		u.pauseEnd = u.pauseAt + u.pauseMs
-		u.pauseAt += u.everyMs
+func (w *Simulation) serve(u *upstream) {
+	if u.pauseIntervalMs > 0 && w.now >= u.nextPause {
+		u.pauseEnd = u.nextPause + u.pauseMs
+		u.nextPause += u.pauseIntervalMs
 	}
 	if w.now < u.pauseEnd {
 		w.at(u.pauseEnd, func() { w.serve(u) })
@@ -77,10 +77,10 @@
 			continue
 		}
 		u.busy++
-		w.ran[j.name] = true
+		w.started[j.name] = true
 		w.at(w.now+max(j.work, 1), func() {
 			u.busy--
-			w.reply(j, relay.Reply{Status: 200, Receipt: fmt.Sprintf("%s.%s.%d", u.up.ID, j.name, j.attempt)})
+			w.reply(j, relay.Reply{Status: 200, Receipt: fmt.Sprintf("%s.%s.%d", u.info.ID, j.name, j.attempt)})
 			w.serve(u)
 		})
 	}
@@ -88,13 +88,13 @@
 
 func (w *Simulation) reply(j *job, rep relay.Reply) {
 	if !j.dropped {
-		w.at(w.now+wayMs, func() { w.update(j.vm, relay.ReplyMsg{Attempt: j.attempt, Reply: rep}) })
+		w.at(w.now+oneWayMs, func() { w.update(j.vm, relay.ReplyMsg{Attempt: j.attempt, Reply: rep}) })
 	}
 }
 
 func (w *Simulation) cancel(vm int, attempt uint64) {
-	for _, id := range w.sortedUps() {
-		for _, j := range w.ups[id].queue {
+	for _, id := range w.sortedUpstreamIDs() {
+		for _, j := range w.upstreams[id].queue {
 			if j.vm == vm && j.attempt == attempt {
 				j.dropped = true
 			}
