--- a/experiment/replay/caller.go
+++ b/experiment/replay/caller.go
@@ -10,21 +10,21 @@
 
 type callerRequest struct {
 	route       *route.Route
-	firstSentAt clock.Millis // of the first one
+	firstSentAt clock.Millis // time of the first attempt
 	attempts    int
 }
 
-// Outcome counts what callers of one route got.
+// Outcome counts the answers to the callers of one route.
 type Outcome struct {
 	sent, inTarget, late, refused, failed int
-	creditSum                             float64 // sum of squared shares of answers in time
+	creditSum                             float64 // sum of the squared shard ratios of answers within the target
 }
 
-// Unserved returns how many requests ended refused or failed.
+// Unserved returns the number of requests that ended refused or failed.
 func (o *Outcome) Unserved() int { return o.refused + o.failed }
 
-// Credit returns the share of requests that were answered in time, each times
-// the square of its share of shards.
+// Credit returns the credit per request: an answer within the target counts the
+// square of its ratio of shards, any other request counts 0.
 func (o *Outcome) Credit() float64 { return o.creditSum / float64(max(o.sent, 1)) }
 
 // String lists the counts.
@@ -33,14 +33,14 @@
 }
 
 const (
-	// callerOneWayMs is one way between a caller and a VM.
+	// callerOneWayMs is the one-way delay between a caller and a VM.
 	callerOneWayMs = 3
 
-	// newConnectionRatio is the share of requests whose callers open a connection first.
+	// newConnectionRatio is the fraction of requests for which the caller opens a new connection.
 	newConnectionRatio = 0.4
 )
 
-// handleAnswer counts an answer; a refused caller returns once.
+// handleAnswer counts and checks an answer. A caller retries once after a refusal or a failure.
 func (w *Simulation) handleAnswer(a *callerRequest, name string, ans relay.Answer) {
 	o := w.outcomes[a.route.Name]
 	switch ans.Outcome {
@@ -79,7 +79,7 @@
 	}
 }
 
-// send makes a caller send a request to some VM.
+// send sends a request of a caller to a random VM.
 func (w *Simulation) send(r *route.Route, first clock.Millis, attempt int) {
 	remaining := r.TimeoutMs - (w.now - first)
 	o := w.outcomes[r.Name]
@@ -105,7 +105,7 @@
 	})
 }
 
-// Load sends requests of a route at random times, perSecond on average.
+// Load schedules requests of a route as a Poisson process with the given rate.
 func (w *Simulation) Load(name string, perSecond float64, from, to clock.Millis) {
 	for i := range w.routes {
 		r := &w.routes[i]
--- a/experiment/replay/pattern.go
+++ b/experiment/replay/pattern.go
@@ -5,12 +5,12 @@
 )
 
 const (
-	// loadMs is how long callers send requests, and drainMs how long after that
-	// everything must have ended.
+	// loadMs is the time for which callers send requests. drainMs is the time after
+	// that within which every request must have ended.
 	loadMs  = 20 * clock.Second
 	drainMs = 5 * clock.Second
 
-	// Requests a second of all callers on the users' installations.
+	// Requests per second of all callers on the users' installations.
 	todayUrgent, todayOrdinary = 22, 67
 	grownUrgent, grownOrdinary = 11, 34
 
@@ -18,24 +18,25 @@
 	pauseMs         clock.Millis = 200
 	pauseIntervalMs clock.Millis = 4500
 
-	// slowFactor is how much longer slow upstreams take.
+	// slowFactor multiplies the service times of slow upstreams.
 	slowFactor = 8
 )
 
-// Pattern is a load under which the decisions of a VM matter. Urgent and Ordinary
-// are the least credit that the users accept: their floors for a kind of request on
-// a day with trouble, or the square of the least share of shards on one without.
+// Pattern is a load under which the decisions of a VM affect the result.
+// MinUrgentCredit and MinOrdinaryCredit are the lowest credit that the users
+// accept: for a pattern with faults or overload their floor for this kind of
+// request, for other patterns the square of the lowest accepted ratio of shards.
 type Pattern struct {
 	Name                               string
 	Size                               Size
 	MinUrgentCredit, MinOrdinaryCredit float64
-	MaxUrgentDeficit                   float64 // than ordinary
+	MaxUrgentDeficit                   float64 // below the credit of ordinary requests
 	MaxUnserved                        int     // requests that end refused or failed
 
 	prepare func(w *Simulation)
 }
 
-// Floors of the users for a kind of request, on days with trouble.
+// Lowest credit that the users accept for a kind of request on days with faults or overload.
 const (
 	todayFloor = 0.46
 	grownFloor = 0.33
@@ -71,7 +72,7 @@
 	}
 }
 
-// Run replays the pattern. As a baseline, every VM is left to itself.
+// Run replays the pattern. In the baseline, the VMs work independently.
 func (p Pattern) Run(seed uint64, baseline bool) *Simulation {
 	size := p.Size
 	size.Independent = baseline
@@ -87,7 +88,7 @@
 	return w
 }
 
-// addPauses makes every upstream pause now and then, each at its own time.
+// addPauses makes every upstream pause periodically, each with its own offset.
 func (w *Simulation) addPauses() {
 	for _, id := range w.sortedUpstreamIDs() {
 		u := w.upstreams[id]
@@ -96,7 +97,7 @@
 	}
 }
 
-// slowDown makes upstreams slow whose index has one of the rests.
+// slowDown makes the upstreams slow whose index modulo modulus is one of remainders.
 func (w *Simulation) slowDown(modulus int, remainders ...int) {
 	for i, id := range w.sortedUpstreamIDs() {
 		for _, r := range remainders {
@@ -107,7 +108,7 @@
 	}
 }
 
-// slowDownFor does the same for some time.
+// slowDownFor makes the upstreams with the given remainder slow for a limited time.
 func (w *Simulation) slowDownFor(modulus, remainder int, from, duration clock.Millis) {
 	for i, id := range w.sortedUpstreamIDs() {
 		if u := w.upstreams[id]; i%modulus == remainder {
--- a/experiment/replay/pattern_test.go
+++ b/experiment/replay/pattern_test.go
@@ -7,7 +7,7 @@
 	"lentillink.example/lentillink/experiment/replay"
 )
 
-// seeds are played for each pattern. Grown ones take longer.
+// seeds returns the number of seeds per pattern. Patterns of the size Grown take longer, so they run with one.
 func seeds(p replay.Pattern) uint64 {
 	if p.Size.Shards == replay.Grown.Shards {
 		return 1
@@ -15,8 +15,8 @@
 	return 2
 }
 
-// TestPatterns guards against a change of the decisions of relay that serves
-// callers worse than the users accept, or breaks a promise, under some load.
+// TestPatterns guards against a change of relay's decisions that, under some load,
+// serves callers worse than the users accept or violates a guarantee.
 func TestPatterns(t *testing.T) {
 	for _, p := range replay.Patterns() {
 		t.Run(p.Name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestRepeats guards against a run that does not repeat from its seed.
+// TestRepeats guards against a run that cannot be repeated from its seed.
 func TestRepeats(t *testing.T) {
 	p := replay.Patterns()[1]
 	describe := func() string {
--- a/experiment/replay/simulation.go
+++ b/experiment/replay/simulation.go
@@ -11,8 +11,8 @@
 	"lentillink.example/lentillink/route"
 )
 
-// Simulation replays a load in virtual time: VMs with a relay.Model each, upstreams
-// with slots, queues and pauses, and callers.
+// Simulation replays a load in virtual time on VMs with a relay.Model each,
+// upstreams with slots, queues and pauses, and callers.
 type Simulation struct {
 	now           clock.Millis
 	rng           *rand.Rand
@@ -24,18 +24,18 @@
 	openRequests  map[uint64]*callerRequest
 	nextID        uint64
 	outcomes      map[string]*Outcome // by route
-	extraArrivals map[string]int      // arrivals beyond the first, by service
+	extraArrivals map[string]int      // attempts beyond the first one per request, by service
 	needed        map[string]int
-	arrived       map[string]bool       // service and caller's identifier that have arrived
-	started       map[string]bool       // caller's identifiers that some upstream began
-	violations    []string              // broken promises
-	delegations   map[uint64]delegation // groups that a carrier works on, by its own number
+	arrived       map[string]bool       // service and request name of the attempts that arrived
+	started       map[string]bool       // names of the requests that some upstream began to execute
+	violations    []string              // violated guarantees
+	delegations   map[uint64]delegation // open delegations, by the carrier's request number
 	names         map[uint64]string
 	urgent        map[string]bool
 	size          Size
 }
 
-// delegation says who handed a group over, and under which number.
+// delegation identifies the VM that delegated work and its number for the delegation.
 type delegation struct {
 	vm int
 	id uint64
@@ -43,7 +43,7 @@
 
 const (
 	startMs  clock.Millis = 1000
-	oneWayMs clock.Millis = 1 // one way between a VM and an upstream or another VM
+	oneWayMs clock.Millis = 1 // one-way delay between a VM and an upstream or another VM
 )
 
 // Size is the size of an installation.
@@ -51,18 +51,18 @@
 	VMs, Shards, Replicas int
 	Budget                relay.BudgetMsg
 
-	// Independent leaves every VM to itself: it gathers all shards, and sends nothing twice.
+	// Independent disables cooperation and extra attempts: each VM gathers all shards itself and sends nothing twice.
 	Independent bool
 }
 
-// Today and Grown are the sizes of the users' installations.
+// Today and Grown are the current and the expected size of the users' installations.
 var (
 	Today = Size{VMs: 9, Shards: 20, Replicas: 2, Budget: relay.BudgetMsg{Ratio: 0.2, Extra: 58, WindowMs: 10 * clock.Second}}
 	Grown = Size{VMs: 24, Shards: 90, Replicas: 3, Budget: relay.BudgetMsg{Ratio: 0.2, Extra: 166, WindowMs: 10 * clock.Second}}
 )
 
-// New returns VMs spread over three data centres, and shards whose replicas are
-// each in another one.
+// New returns a simulation with VMs spread over three data centres and shards whose
+// replicas are in different data centres.
 func New(seed uint64, size Size) *Simulation {
 	vms, shards, budget := size.VMs, size.Shards, size.Budget
 	if size.Independent {
@@ -111,11 +111,11 @@
 	return w
 }
 
-// Outcome returns what callers of a route got.
+// Outcome returns the counts of a route.
 func (w *Simulation) Outcome(route string) *Outcome { return w.outcomes[route] }
 
-// Violations returns the promises that were broken: wrong answers, requests without
-// one, and extra arrivals beyond the budget.
+// Violations returns the violated guarantees: wrong answers, requests without an
+// answer, and extra arrivals beyond the budget.
 func (w *Simulation) Violations() []string {
 	out := slices.Clone(w.violations)
 	windows := float64(w.now-startMs) / float64(w.size.Budget.WindowMs)
@@ -219,7 +219,7 @@
 	return -1
 }
 
-// deliverAnswer passes an answer to the caller or to the VM that handed over.
+// deliverAnswer passes an answer to the caller, or a result to the VM that delegated the work.
 func (w *Simulation) deliverAnswer(vm int, id uint64, result relay.DelegationResult) {
 	if d, ok := w.delegations[id]; ok {
 		result.ID = d.id
--- a/experiment/replay/upstream.go
+++ b/experiment/replay/upstream.go
@@ -7,14 +7,14 @@
 	"lentillink.example/lentillink/relay"
 )
 
-// upstream is an upstream of the replay.
+// upstream is a simulated upstream.
 type upstream struct {
 	info            relay.Upstream
 	slots           int
 	queueCap        int
 	busy            int
 	queue           []*job
-	factor          float64 // multiple of the work time
+	factor          float64 // multiplies the service time
 	nextPause       clock.Millis
 	pauseMs         clock.Millis
 	pauseIntervalMs clock.Millis
@@ -30,7 +30,7 @@
 	dropped bool
 }
 
-// receive brings an attempt to its upstream.
+// receive handles the arrival of an attempt at its upstream.
 func (w *Simulation) receive(vm int, c relay.SendCmd) {
 	u := w.upstreams[c.Upstream]
 	if u.down {
@@ -60,7 +60,7 @@
 	w.serve(u)
 }
 
-// serve starts queued jobs while slots are free and the upstream does not pause.
+// serve starts queued jobs while slots are free and the upstream is not paused.
 func (w *Simulation) serve(u *upstream) {
 	if u.pauseIntervalMs > 0 && w.now >= u.nextPause {
 		u.pauseEnd = u.nextPause + u.pauseMs
