--- a/experiment/replay/caller.go
+++ b/experiment/replay/caller.go
@@ -29,7 +29,7 @@
 
 // String lists the counts.
 func (o *Outcome) String() string {
-	return fmt.Sprintf("asked %d, in target %d, late %d, refused %d, failed %d, credit %.3f", o.sent, o.inTarget, o.late, o.refused, o.failed, o.Credit())
+	return fmt.Sprintf("sent %d, in target %d, late %d, refused %d, failed %d, credit %.3f", o.sent, o.inTarget, o.late, o.refused, o.failed, o.Credit())
 }
 
 const (
@@ -47,10 +47,10 @@
 	case relay.Gathered:
 		ratio := float64(len(ans.Receipts)) / float64(len(a.route.Gather))
 		if len(ans.Receipts)+ans.Missing != len(a.route.Gather) {
-			w.violations = append(w.violations, name+": receipts and missing shards are not all shards")
+			w.violations = append(w.violations, name+": receipts and missing shards do not add up to all shards")
 		}
 		if ratio < a.route.MinShardRatio {
-			w.violations = append(w.violations, name+": less than the least share")
+			w.violations = append(w.violations, name+": answered with a ratio of shards below the minimum of the route")
 		}
 		if w.now-a.firstSentAt > a.route.TargetMs {
 			o.late++
@@ -60,10 +60,10 @@
 		o.creditSum += ratio * ratio
 	case relay.Refused, relay.NotReady:
 		if w.started[name] {
-			w.violations = append(w.violations, name+": refused as not run, though it has run")
+			w.violations = append(w.violations, name+": refused as not executed, but an upstream began to execute it")
 		}
 		if ans.RetryAfterMs <= 0 {
-			w.violations = append(w.violations, name+": refused without a time to come back")
+			w.violations = append(w.violations, name+": refused without a retry delay")
 		}
 		if a.attempts < 2 {
 			w.at(w.now+ans.RetryAfterMs, func() { w.send(a.route, a.firstSentAt, a.attempts+1) })
--- a/experiment/replay/pattern_test.go
+++ b/experiment/replay/pattern_test.go
@@ -21,7 +21,7 @@
 	for _, p := range replay.Patterns() {
 		t.Run(p.Name, func(t *testing.T) {
 			if testing.Short() && p.Size.Shards == replay.Grown.Shards {
-				t.Skip("takes seconds")
+				t.Skip("patterns of the size Grown take seconds")
 			}
 			for seed := range seeds(p) {
 				w := p.Run(seed+1, false)
@@ -31,10 +31,10 @@
 				u, o := w.Outcome("urgent"), w.Outcome("ordinary")
 				t.Logf("seed %d: urgent: %s; ordinary: %s", seed+1, u, o)
 				if u.Credit() < p.MinUrgentCredit || o.Credit() < p.MinOrdinaryCredit {
-					t.Errorf("got credit %.3f and %.3f, want at least %.2f and %.2f", u.Credit(), o.Credit(), p.MinUrgentCredit, p.MinOrdinaryCredit)
+					t.Errorf("got urgent and ordinary credit %.3f and %.3f, want at least %.2f and %.2f", u.Credit(), o.Credit(), p.MinUrgentCredit, p.MinOrdinaryCredit)
 				}
 				if u.Credit() < o.Credit()-p.MaxUrgentDeficit {
-					t.Errorf("got urgent %.3f far below ordinary %.3f", u.Credit(), o.Credit())
+					t.Errorf("got urgent credit %.3f too far below ordinary credit %.3f", u.Credit(), o.Credit())
 				}
 				if n := u.Unserved() + o.Unserved(); n > p.MaxUnserved {
 					t.Errorf("got %d refused or failed, want at most %d", n, p.MaxUnserved)
@@ -52,6 +52,6 @@
 		return fmt.Sprint(w.Outcome("urgent"), w.Outcome("ordinary"))
 	}
 	if a, b := describe(), describe(); a != b {
-		t.Errorf("got %s, then %s", a, b)
+		t.Errorf("got %s, then %s from the same seed, want equal counts", a, b)
 	}
 }
--- a/experiment/replay/simulation.go
+++ b/experiment/replay/simulation.go
@@ -121,7 +121,7 @@
 	windows := float64(w.now-startMs) / float64(w.size.Budget.WindowMs)
 	for s, n := range w.extraArrivals {
 		if limit := w.size.Budget.Ratio*float64(w.needed[s]) + windows*w.size.Budget.Extra; float64(n) > limit {
-			out = append(out, fmt.Sprintf("%s got %d extra arrivals for %d requests, want at most %.0f", s, n, w.needed[s], limit))
+			out = append(out, fmt.Sprintf("service %s got %d extra arrivals for %d requests, want at most %.0f", s, n, w.needed[s], limit))
 		}
 	}
 	if n := len(w.openRequests); n != 0 {
@@ -231,7 +231,7 @@
 	}
 	a := w.openRequests[id]
 	if a == nil {
-		w.violations = append(w.violations, fmt.Sprintf("request %d is answered twice", id))
+		w.violations = append(w.violations, fmt.Sprintf("request %d has more than one answer", id))
 		return
 	}
 	delete(w.openRequests, id)
