--- a/catalog/model_test.go
+++ b/catalog/model_test.go
@@ -54,8 +54,8 @@
 		}
 		r.now = max(r.now, at)
 		r.update(catalog.TickMsg{})
-		if again, ok := r.m.NextWake(); ok && again <= r.now {
-			r.t.Fatalf("next wake time %d is not after the tick at %d: busy loop", again, r.now)
+		if next, ok := r.m.NextWake(); ok && next <= r.now {
+			r.t.Fatalf("next wake time %d is not after the tick at %d: busy loop", next, r.now)
 		}
 	}
 	r.now = to
@@ -150,11 +150,11 @@
 		}
 		calls++
 	}
-	if got, want := calls, 25; got > want {
-		t.Errorf("got %d calls in 10 s of outage, want at most %d", got, want)
+	if got, maxCalls := calls, 25; got > maxCalls {
+		t.Errorf("got %d calls in 10 s of outage, want at most %d", got, maxCalls)
 	}
-	if got, want := calls, 9; got < want {
-		t.Errorf("got %d calls in 10 s of outage, want at least %d", got, want)
+	if got, minCalls := calls, 9; got < minCalls {
+		t.Errorf("got %d calls in 10 s of outage, want at least %d", got, minCalls)
 	}
 }
 
--- a/catalog/publish.go
+++ b/catalog/publish.go
@@ -77,8 +77,8 @@
 
 // expireSubscribers deletes subscriptions that were not renewed in time.
 func (m *Model) expireSubscribers(now clock.Millis) {
-	for vm, until := range m.subscribers.expiresAt {
-		if now >= until {
+	for vm, expiresAt := range m.subscribers.expiresAt {
+		if now >= expiresAt {
 			delete(m.subscribers.expiresAt, vm)
 		}
 	}
--- a/catalog/subscription.go
+++ b/catalog/subscription.go
@@ -59,19 +59,19 @@
 	for i, m := range ranked {
 		ids[i] = m.ID
 	}
-	watchers := (len(ids) + subscribersPerPublisher - 1) / subscribersPerPublisher
+	watcherCount := (len(ids) + subscribersPerPublisher - 1) / subscribersPerPublisher
 	rank := slices.Index(ids, self)
 	if rank < 0 || len(ids) < 2 {
 		return nil, false
 	}
-	mayPublish = rank < watchers+sparePublishers
-	if rank < watchers {
+	mayPublish = rank < watcherCount+sparePublishers
+	if rank < watcherCount {
 		return nil, mayPublish
 	}
-	start := int(xxhash.Sum64String(self) % uint64(watchers))
-	publishers = append(slices.Clone(ids[start:watchers]), ids[:start]...)
+	start := int(xxhash.Sum64String(self) % uint64(watcherCount))
+	publishers = append(slices.Clone(ids[start:watcherCount]), ids[:start]...)
 	publishers = publishers[:min(len(publishers), 1+sparePublishers)]
-	return append(publishers, ids[watchers:min(rank, watchers+sparePublishers)]...), mayPublish
+	return append(publishers, ids[watcherCount:min(rank, watcherCount+sparePublishers)]...), mayPublish
 }
 
 // Subscribe requests the changes after a revision from a publisher.
@@ -155,15 +155,15 @@
 	if !m.contacted {
 		return cmds // a subscription needs a revision to start from
 	}
-	best := sub.bestCandidate(now)
-	if best == "" || sub.pending != "" || best == sub.publisher && now < sub.subscribedAt+renewIntervalMs {
+	candidate := sub.bestCandidate(now)
+	if candidate == "" || sub.pending != "" || candidate == sub.publisher && now < sub.subscribedAt+renewIntervalMs {
 		return cmds
 	}
-	if best != sub.publisher {
-		sub.pending = best
+	if candidate != sub.publisher {
+		sub.pending = candidate
 	}
 	sub.subscribedAt = now
-	return append(cmds, SubscribeCmd{To: best, Subscribe: Subscribe{After: m.revision}})
+	return append(cmds, SubscribeCmd{To: candidate, Subscribe: Subscribe{After: m.revision}})
 }
 
 // handleUpdate handles an update from a publisher.
--- a/catalog/subscription_test.go
+++ b/catalog/subscription_test.go
@@ -280,8 +280,8 @@
 				want := g.revision() - 1
 				g.advance(changeBoundMs)
 				for _, v := range g.vms {
-					reached := !v.dead && !v.storeFails && !v.storeHangs // a VM without contact to the store is exempt
-					if got := v.known["config"]; reached && got != want {
+					reachesStore := !v.dead && !v.storeFails && !v.storeHangs // a VM without contact to the store is exempt
+					if got := v.known["config"]; reachesStore && got != want {
 						t.Errorf("%s: got revision %d of the configuration, want %d", v.id, got, want)
 					}
 				}
@@ -312,25 +312,25 @@
 func TestPublisherWithoutHistory(t *testing.T) {
 	g := newCluster(20)
 	root := g.root()
-	var cut *testVM
+	var isolated *testVM
 	for _, v := range g.vms {
 		if publishers, mayPublish := catalog.Publishers(v.id, []catalog.Member{{ID: root.id}, {ID: v.id}}); !mayPublish || len(publishers) > 0 && v != root {
-			cut = v
+			isolated = v
 		}
 	}
-	cut.storeFails, cut.muted = true, true
+	isolated.storeFails, isolated.muted = true, true
 	g.kill(root)
 	g.advance(100)
 	g.change("config")
 	want := g.revision()
 	g.restart(root)
 	g.advance(15_000) // longer than publisherBackoffMs
-	cut.muted = false
+	isolated.muted = false
 	g.advance(15_000)
-	cut.storeFails = false
+	isolated.storeFails = false
 	g.advance(changeBoundMs)
-	if got := cut.known["config"]; got != want {
-		t.Errorf("%s: got revision %d of the configuration, want %d", cut.id, got, want)
+	if got := isolated.known["config"]; got != want {
+		t.Errorf("%s: got revision %d of the configuration, want %d", isolated.id, got, want)
 	}
 }
 
@@ -349,8 +349,8 @@
 	few, many := calls(6), calls(60)
 	// The publisher makes at most one call for each change and one a second; the rest
 	// is for the two spare publishers.
-	if most := 3 * changes; many > most || few > most {
-		t.Errorf("got %d calls with 6 VMs and %d with 60, want at most %d", few, many, most)
+	if limit := 3 * changes; many > limit || few > limit {
+		t.Errorf("got %d calls with 6 VMs and %d with 60, want at most %d", few, many, limit)
 	}
 }
 
@@ -361,8 +361,8 @@
 	g.calls = 0
 	g.kill(root)
 	g.advance(500)
-	if got, most := g.calls, 6; got > most {
-		t.Errorf("got %d calls in the 500 ms after the loss of the publisher, want at most %d", got, most)
+	if got, limit := g.calls, 6; got > limit {
+		t.Errorf("got %d calls in the 500 ms after the loss of the publisher, want at most %d", got, limit)
 	}
 }
 
@@ -394,13 +394,13 @@
 		for _, member := range group {
 			id := member.ID
 			publishers, _ := catalog.Publishers(id, group)
-			for _, f := range publishers {
-				back, mayPublish := catalog.Publishers(f, group)
+			for _, publisher := range publishers {
+				back, mayPublish := catalog.Publishers(publisher, group)
 				if slices.Contains(back, id) {
-					t.Errorf("%d VMs: %s and %s may subscribe to each other", n, id, f)
+					t.Errorf("%d VMs: %s and %s may subscribe to each other", n, id, publisher)
 				}
 				if !mayPublish {
-					t.Errorf("%d VMs: %s does not expect the subscription of %s", n, f, id)
+					t.Errorf("%d VMs: %s does not expect the subscription of %s", n, publisher, id)
 				}
 			}
 		}
--- a/fleet/decode.go
+++ b/fleet/decode.go
@@ -68,7 +68,7 @@
 func (m *message) setField(f field) (err error) {
 	switch f.num {
 	case 1:
-		m.kind = kind(min(f.varint, math.MaxUint8))
+		m.kind = messageKind(min(f.varint, math.MaxUint8))
 	case 2:
 		m.seq = f.varint
 	case 3:
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -30,10 +30,10 @@
 	return f
 }
 
-func waitUntil(t *testing.T, f *experiment.Fleet, limit clock.Millis, what string, ok func() bool) {
+func waitUntil(t *testing.T, f *experiment.Fleet, limit clock.Millis, condition string, reached func() bool) {
 	t.Helper()
-	if took, done := f.RunUntil(50, limit, ok); !done {
-		t.Fatalf("%s: not reached within %d ms", what, took)
+	if took, done := f.RunUntil(50, limit, reached); !done {
+		t.Fatalf("%s: not reached within %d ms", condition, took)
 	}
 }
 
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -26,8 +26,8 @@
 // messages that grows with the logarithm of the fleet size. A burst sends extra
 // messages immediately instead of waiting for the next ping.
 type gossipState struct {
-	members     queue
-	reports     queue
+	memberQueue queue
+	reportQueue queue
 	suppressed  bool // received updates are applied but not forwarded
 	burstRounds int  // remaining rounds of the current burst
 	nextBurst   clock.Millis
@@ -80,7 +80,7 @@
 
 // newGossip returns a message of kind k with queued changes. If the receiver is
 // dead or suspect here, the message includes that state, so that the receiver can refute it.
-func (m *Model) newGossip(k kind, to string) *message {
+func (m *Model) newGossip(k messageKind, to string) *message {
 	msg := &message{kind: k, sender: m.self.VM}
 	if mem := m.byID[to]; mem != nil && (mem.State == Suspect || mem.State == Dead) {
 		msg.updates = append(msg.updates, mem.VM)
@@ -90,12 +90,12 @@
 	if k == kindGossip {
 		reportLimit = maxGossipReports
 	}
-	for _, id := range m.gossip.reports.take(reportLimit, m.transmitLimit()) {
+	for _, id := range m.gossip.reportQueue.take(reportLimit, m.transmitLimit()) {
 		if r, ok := m.reports.byUpstream[upstream.ID(id)]; ok {
 			msg.reports = append(msg.reports, m.toWire(r))
 		}
 	}
-	for _, id := range m.gossip.members.take(max(capacity-len(msg.reports), capacity/2), m.transmitLimit()) {
+	for _, id := range m.gossip.memberQueue.take(max(capacity-len(msg.reports), capacity/2), m.transmitLimit()) {
 		if mem := m.byID[id]; mem != nil && mem != m.self {
 			msg.updates = append(msg.updates, mem.VM)
 		}
@@ -117,7 +117,7 @@
 	}
 	m.gossip.burstRounds--
 	m.gossip.nextBurst = now + burstInterval
-	if len(m.gossip.reports.items) > maxGossipReports {
+	if len(m.gossip.reportQueue.items) > maxGossipReports {
 		m.gossip.burstRounds = max(m.gossip.burstRounds, 1) // more reports are queued than fit in the messages of one burst
 	}
 	for _, mem := range m.sample(burstFanout, nil) {
--- a/fleet/merge.go
+++ b/fleet/merge.go
@@ -85,7 +85,7 @@
 	mem.VM = v
 	m.index(mem)
 	if !m.gossip.suppressed {
-		m.gossip.members.push(mem.ID)
+		m.gossip.memberQueue.push(mem.ID)
 	}
 	if before.State != v.State || before.Incarnation != v.Incarnation {
 		mem.stateSince = now
--- a/fleet/model.go
+++ b/fleet/model.go
@@ -67,10 +67,10 @@
 	}
 	m.probes.pings = make(map[uint64]ping)
 	m.probes.stopAcks = make(map[string]bool)
-	m.gossip.members.index = make(map[string]*queueItem)
-	m.gossip.reports.index = make(map[string]*queueItem)
+	m.gossip.memberQueue.index = make(map[string]*queueItem)
+	m.gossip.reportQueue.index = make(map[string]*queueItem)
 	m.reports.byUpstream = make(map[upstream.ID]Report)
-	m.sync.hints = cfg.seeds
+	m.sync.hints = cfg.seedVMs
 	m.self = newMember(cfg.self)
 	m.self.State = Alive
 	m.index(m.self)
@@ -85,7 +85,7 @@
 	case PeerMsg:
 		m.handlePeer(now, msg)
 	case ListedVMsMsg:
-		m.sync.hints, m.sync.haveVMList = msg.VMs[:min(len(msg.VMs), maxMembers)], true
+		m.sync.hints, m.sync.vmListReceived = msg.VMs[:min(len(msg.VMs), maxMembers)], true
 	case RecordMsg:
 		m.applyRecord(now, msg.Record, compressedRecord{})
 	case StoreMsg:
@@ -107,7 +107,7 @@
 		m.started = true
 		m.lastPeerMsg = now
 		m.resetTimers(now)
-		m.gossip.members.push(m.self.ID)
+		m.gossip.memberQueue.push(m.self.ID)
 	case now >= m.lastUpdate+pauseThreshold:
 		for _, s := range m.suspects {
 			s.suspectUntil += now - m.lastUpdate
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -11,7 +11,7 @@
 type config struct {
 	self          VM
 	seed          uint64
-	seeds         []VM
+	seedVMs       []VM
 	initialRecord preset.Record
 	readInterval  clock.Millis
 	burstRounds   int
@@ -24,7 +24,7 @@
 func WithSeed(seed uint64) Option { return func(c *config) { c.seed = seed } }
 
 // WithSeedVMs adds VMs to contact before the VM list is received.
-func WithSeedVMs(vms ...VM) Option { return func(c *config) { c.seeds = append(c.seeds, vms...) } }
+func WithSeedVMs(vms ...VM) Option { return func(c *config) { c.seedVMs = append(c.seedVMs, vms...) } }
 
 // WithInitialRecord sets the record that is written when neither the store nor a peer has one.
 func WithInitialRecord(r preset.Record) Option { return func(c *config) { c.initialRecord = r } }
--- a/fleet/ready_test.go
+++ b/fleet/ready_test.go
@@ -58,16 +58,16 @@
 // but has received nothing from a peer, and so accepts requests as if it were the
 // only VM and sends them to leaving upstreams.
 func TestNewVMIsNotReadyBeforeJoining(t *testing.T) {
-	two := []fleet.VM{{ID: "vm-1", Address: "a:1"}, {ID: "vm-2", Address: "b:1"}}
+	twoVMs := []fleet.VM{{ID: "vm-1", Address: "a:1"}, {ID: "vm-2", Address: "b:1"}}
 	peer := fleet.New(fleet.WithSelf(fleet.VM{ID: "vm-2", Address: "b:1", Incarnation: 1}), fleet.WithSeed(2))
 	tests := map[string]struct {
 		vmList       []fleet.VM
 		peer         *fleet.Model
 		minMs, maxMs clock.Millis
 	}{
-		"no reply from peer": {vmList: two, minMs: 3 * clock.Second, maxMs: 4 * clock.Second},
-		"reply from peer":    {vmList: two, peer: peer, maxMs: 3*clock.Second - 1},
-		"no other VM":        {vmList: two[:1], maxMs: 3*clock.Second - 1},
+		"no reply from peer": {vmList: twoVMs, minMs: 3 * clock.Second, maxMs: 4 * clock.Second},
+		"reply from peer":    {vmList: twoVMs, peer: peer, maxMs: 3*clock.Second - 1},
+		"no other VM":        {vmList: twoVMs[:1], maxMs: 3*clock.Second - 1},
 		"empty VM list":      {minMs: 0, maxMs: 4 * clock.Second},
 	}
 	for name, tt := range tests {
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -138,11 +138,11 @@
 		m.requestChunk(now)
 		return
 	}
-	got := p.received
+	compressed := p.received
 	p.received = nil
-	rec, err := decompressRecord(got, p.hash)
+	rec, err := decompressRecord(compressed, p.hash)
 	if err == nil {
-		m.applyRecord(now, rec, compressedRecord{bytes: got, hash: p.hash})
+		m.applyRecord(now, rec, compressedRecord{bytes: compressed, hash: p.hash})
 	}
 }
 
@@ -150,8 +150,8 @@
 	if xxhash.Sum64(b) != hash {
 		return preset.Record{}, decodeErrorf(KindMalformed, "compressed record does not match its hash")
 	}
-	limit := io.LimitReader(flate.NewReader(bytes.NewReader(b)), preset.MaxRecordBytes+1)
-	doc, err := io.ReadAll(limit)
+	limited := io.LimitReader(flate.NewReader(bytes.NewReader(b)), preset.MaxRecordBytes+1)
+	doc, err := io.ReadAll(limited)
 	if err != nil {
 		return preset.Record{}, decodeErrorf(KindMalformed, "decompress record: %w", err)
 	}
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -22,19 +22,19 @@
 // highestScored returns the n eligible members with the highest scores for key, best first.
 func (m *Model) highestScored(key string, n int) []candidate {
 	keyHash := xxhash.Sum64String(key)
-	best := make([]candidate, 0, n+1)
+	top := make([]candidate, 0, n+1)
 	for i, mh := range m.eligibleHashes {
 		score := mix(keyHash ^ mh)
-		if len(best) == n && score <= best[n-1].score {
+		if len(top) == n && score <= top[n-1].score {
 			continue
 		}
-		best = append(best, candidate{m.eligible[i], score})
-		for j := len(best) - 1; j > 0 && best[j].score > best[j-1].score; j-- {
-			best[j], best[j-1] = best[j-1], best[j]
+		top = append(top, candidate{m.eligible[i], score})
+		for j := len(top) - 1; j > 0 && top[j].score > top[j-1].score; j-- {
+			top[j], top[j-1] = top[j-1], top[j]
 		}
-		best = best[:min(len(best), n)]
+		top = top[:min(len(top), n)]
 	}
-	return best
+	return top
 }
 
 // selectWatchers returns the members that watch the store. It takes the best member
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -71,7 +71,7 @@
 	}
 	m.reports.digest ^= r.hash()
 	m.reports.byUpstream[r.Upstream] = r
-	m.gossip.reports.push(string(r.Upstream))
+	m.gossip.reportQueue.push(string(r.Upstream))
 	m.startBurst(now)
 	if old.Leaving != r.Leaving {
 		m.emitUpstream(r.Upstream, r.Leaving)
--- a/fleet/storesync.go
+++ b/fleet/storesync.go
@@ -126,7 +126,7 @@
 
 // handleEntry applies the stored record. The store is behind the fleet only if it
 // lost data or the reply is outdated; the record is then written back.
-func (m *Model) handleEntry(now clock.Millis, entry store.Entry, isCurrent bool) {
+func (m *Model) handleEntry(now clock.Millis, entry store.Entry, isCurrentRead bool) {
 	var storedRevision uint64
 	if entry.Revision > 0 {
 		var ok bool
@@ -134,7 +134,7 @@
 			return
 		}
 	}
-	if !isCurrent || m.store.writeTag != 0 || storedRevision > 0 && storedRevision >= m.record.Revision {
+	if !isCurrentRead || m.store.writeTag != 0 || storedRevision > 0 && storedRevision >= m.record.Revision {
 		return
 	}
 	switch {
@@ -165,7 +165,7 @@
 }
 
 // writeRecord uses compare-and-swap with the revision of the entry just read, so that it cannot overwrite a later change.
-func (m *Model) writeRecord(rec preset.Record, expect uint64) {
+func (m *Model) writeRecord(rec preset.Record, expectedRevision uint64) {
 	value, err := preset.Encode(rec)
 	if err != nil {
 		return
@@ -173,7 +173,7 @@
 	m.store.lastTag++
 	m.store.writeTag = m.store.lastTag
 	m.emit(StoreCmd{store.Request{
-		Requester: "fleet", Tag: m.store.lastTag, Op: store.OpSwap, Key: preset.StoreKey, Value: value, Revision: expect,
+		Requester: "fleet", Tag: m.store.lastTag, Op: store.OpSwap, Key: preset.StoreKey, Value: value, Revision: expectedRevision,
 	}})
 }
 
--- a/fleet/sync.go
+++ b/fleet/sync.go
@@ -24,18 +24,18 @@
 // digests of its member table with a random member. It also periodically contacts a
 // VM that is dead here or known only from the VM list, so that partitions heal.
 type syncState struct {
-	hints       []VM
-	addresses   map[string]string // addresses of contacted hints that may not be members
-	joined      bool              // the member table of a peer was received
-	joinDone    bool              // joined, no other VM exists, or joinTimeout has passed
-	haveVMList  bool              // the VM list was received
-	nextSync    clock.Millis
-	nextContact clock.Millis
+	hints          []VM
+	addresses      map[string]string // addresses of contacted hints that may not be members
+	joined         bool              // the member table of a peer was received
+	joinDone       bool              // joined, no other VM exists, or joinTimeout has passed
+	vmListReceived bool              // the VM list was received
+	nextSync       clock.Millis
+	nextContact    clock.Millis
 }
 
 func (m *Model) runSync(now clock.Millis) {
 	s := &m.sync
-	s.joinDone = s.joinDone || s.joined || s.haveVMList && m.alone() || now >= m.store.startedAt+joinTimeout
+	s.joinDone = s.joinDone || s.joined || s.vmListReceived && m.alone() || now >= m.store.startedAt+joinTimeout
 	if now >= s.nextSync {
 		if s.joined {
 			s.nextSync = now + syncInterval/2 + m.jitter(syncInterval)
--- a/fleet/wire.go
+++ b/fleet/wire.go
@@ -8,17 +8,17 @@
 	"lentillink.example/lentillink/clock"
 )
 
-type kind uint8
+type messageKind uint8
 
 const (
-	kindPing    kind = iota + 1
-	kindAck          // answers a ping
-	kindPingReq      // requests a ping of target
-	kindGossip       // carries changes; not answered
-	kindDigest       // requests the members in buckets that differ
-	kindState        // answers a digest
-	kindPull         // requests the record from an offset on
-	kindChunk        // answers a pull
+	kindPing    messageKind = iota + 1
+	kindAck                 // answers a ping
+	kindPingReq             // requests a ping of target
+	kindGossip              // carries changes; not answered
+	kindDigest              // requests the members in buckets that differ
+	kindState               // answers a digest
+	kindPull                // requests the record from an offset on
+	kindChunk               // answers a pull
 	kindLast    = kindChunk
 )
 
@@ -35,7 +35,7 @@
 
 // message is a decoded payload.
 type message struct {
-	kind     kind
+	kind     messageKind
 	seq      uint64
 	target   string // for kindPingReq
 	sender   VM     // the sending VM; the identifier is empty if absent
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -67,9 +67,9 @@
 
 // TestCorruptedPayloads guards against a panic or an invalid record caused by a corrupted message.
 func TestCorruptedPayloads(t *testing.T) {
-	list := samplePayloads()
+	payloads := samplePayloads()
 	kinds := make(map[byte]bool)
-	for _, p := range list {
+	for _, p := range payloads {
 		kinds[p[1]] = true
 		if err := fleet.CheckPayload(p); err != nil {
 			t.Fatalf("valid payload rejected: %v", err)
@@ -81,7 +81,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		for range rapid.IntRange(1, 10).Draw(t, "messages") {
-			p := bytes.Clone(rapid.SampledFrom(list).Draw(t, "payload"))
+			p := bytes.Clone(rapid.SampledFrom(payloads).Draw(t, "payload"))
 			for range rapid.IntRange(0, 3).Draw(t, "changes") {
 				p[rapid.IntRange(0, len(p)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 			}
--- a/relay/arrive.go
+++ b/relay/arrive.go
@@ -190,7 +190,7 @@
 	case r.callerRetry, r.route.Priority == 0:
 		limit = max(r.targetAt, now)
 	}
-	late, maxExcess := 0, clock.Millis(0)
+	lateCount, maxExcess := 0, clock.Millis(0)
 	for _, a := range assignments {
 		for _, sub := range a.subrequests {
 			wait := m.estimateSubrequest(now, sub)
@@ -198,12 +198,12 @@
 				wait = a.carrier.estimateFor(now, r.route.Name)
 			}
 			if end := now + wait; end > limit {
-				late++
+				lateCount++
 				maxExcess = max(maxExcess, end-limit)
 			}
 		}
 	}
-	return maxExcess, len(r.subrequests)-late < r.requiredReplies()
+	return maxExcess, len(r.subrequests)-lateCount < r.requiredReplies()
 }
 
 // estimateRequest estimates how long another request like r would take from now:
@@ -226,7 +226,7 @@
 func (m *Model) estimateSubrequest(now clock.Millis, sub *subrequest) clock.Millis {
 	medianMs := m.statsFor(sub.req.route).medianMs
 	capacity, open := 0, 0
-	fastest := maxSlowRatio
+	minSlowness := maxSlowRatio
 	for _, u := range sub.service.upstreams {
 		if !u.usable() {
 			continue
@@ -234,7 +234,7 @@
 		n := m.attemptLimit(u, sub.req.route.Priority)
 		capacity += n
 		open += min(len(u.open), n)
-		fastest = min(fastest, u.sustainedSlowness())
+		minSlowness = min(minSlowness, u.sustainedSlowness())
 	}
 	if capacity == 0 {
 		return 0 // no usable upstream and so no queue; dispatch handles this case
@@ -242,7 +242,7 @@
 	ahead := sub.service.queuedAhead(sub.req.route.Priority)
 	wait := 0.0
 	if open+ahead >= capacity {
-		wait = medianMs * fastest * float64(open+ahead-capacity+1) / float64(capacity)
+		wait = medianMs * minSlowness * float64(open+ahead-capacity+1) / float64(capacity)
 	}
-	return clock.Millis(wait + medianMs*fastest)
+	return clock.Millis(wait + medianMs*minSlowness)
 }
--- a/relay/carrier.go
+++ b/relay/carrier.go
@@ -64,7 +64,7 @@
 
 // setFleet replaces the list of VMs.
 func (m *Model) setFleet(now clock.Millis, vms []VM) {
-	known := make(map[string]*peerVM, len(vms))
+	newPeers := make(map[string]*peerVM, len(vms))
 	m.vmIDs = m.vmIDs[:0]
 	inFleet := false
 	for _, v := range vms {
@@ -75,12 +75,12 @@
 				info: v, delegations: make(map[uint64]*delegation), estimates: make(map[string]estimate), hash: xxhash.Sum64String(v.DataCentre + "\x00" + v.ID),
 			}
 		}
-		known[v.ID] = c
+		newPeers[v.ID] = c
 		m.vmIDs = append(m.vmIDs, v.ID)
 	}
 	slices.Sort(m.vmIDs)
 	old := m.peers
-	m.peers = known
+	m.peers = newPeers
 	m.inFleet = inFleet
 	m.vmCount = max(len(vms), 1)
 	carrier := inFleet && m.isCarrier(now)
@@ -91,7 +91,7 @@
 	}
 	m.connectCarriers(now)
 	for _, id := range sortedKeys(old) {
-		if c := old[id]; known[id] != c {
+		if c := old[id]; newPeers[id] != c {
 			for _, d := range c.sortedDelegations() {
 				// The VM left the list or changed its address. It may still send a result,
 				// but its failure would not be detected.
@@ -104,9 +104,9 @@
 // preconnect opens a connection to an upstream before it is needed. For shards, only
 // carriers do so, because an upstream accepts fewer connections than there may be
 // VMs.
-func (m *Model) preconnect(u *upstream, carrier bool) {
+func (m *Model) preconnect(u *upstream, isCarrier bool) {
 	if u.service.isShard {
-		if !carrier {
+		if !isCarrier {
 			return
 		}
 	} else if int(float64(u.service.maxConns)*(carrierConnectionShare+otherConnectionShare)) < m.vmCount {
@@ -233,16 +233,16 @@
 	if len(carriers) == 1 {
 		return 0
 	}
-	best, bestScore := 0, 0.0
+	bestIndex, bestScore := 0, 0.0
 	for i, c := range carriers {
 		// A uniform number in (0, 1) for each pair of shard and carrier.
 		const bits = 53
 		x := (float64(mix(s.hash^c.hash)>>(64-bits)) + 0.5) / (1 << bits)
 		if score := -float64(c.info.shards()) / math.Log(x); score > bestScore {
-			best, bestScore = i, score
+			bestIndex, bestScore = i, score
 		}
 	}
-	return best
+	return bestIndex
 }
 
 // mix distributes the bits of a combined hash (the finalizer of SplitMix64).
--- a/relay/carrier_test.go
+++ b/relay/carrier_test.go
@@ -166,8 +166,8 @@
 		cmds := m.Update(2000, arrival(1))
 		return m, cmds[len(cmds)-1].(relay.DelegateCmd)
 	}
-	result := func(h relay.DelegateCmd, more bool, receipts ...string) relay.DelegationResultMsg {
-		return relay.DelegationResultMsg{From: h.To, Result: relay.DelegationResult{ID: h.Delegation.ID, Partial: more, Answer: relay.Answer{
+	result := func(cmd relay.DelegateCmd, partial bool, receipts ...string) relay.DelegationResultMsg {
+		return relay.DelegationResultMsg{From: cmd.To, Result: relay.DelegationResult{ID: cmd.Delegation.ID, Partial: partial, Answer: relay.Answer{
 			Outcome: relay.Gathered, Receipts: receipts, Body: record(byte(len(receipts))),
 		}}}
 	}
@@ -180,20 +180,20 @@
 		return relay.Answer{Outcome: relay.NoRoute}
 	}
 	t.Run("all replies", func(t *testing.T) {
-		m, h := delegated()
-		if got := answerOf(m.Update(2010, result(h, false, "x", "y"))); got.Outcome != relay.Gathered || got.Missing != 0 || len(got.Receipts) != 2 {
+		m, cmd := delegated()
+		if got := answerOf(m.Update(2010, result(cmd, false, "x", "y"))); got.Outcome != relay.Gathered || got.Missing != 0 || len(got.Receipts) != 2 {
 			t.Errorf("got %+v, want both replies", got)
 		}
 	})
 	t.Run("final result with a reply missing", func(t *testing.T) {
-		m, h := delegated()
-		if got := answerOf(m.Update(2010, result(h, false, "x"))); got.Outcome != relay.Gathered || got.Missing != 1 || len(got.Receipts) != 1 {
+		m, cmd := delegated()
+		if got := answerOf(m.Update(2010, result(cmd, false, "x"))); got.Outcome != relay.Gathered || got.Missing != 1 || len(got.Receipts) != 1 {
 			t.Errorf("got %+v, want one reply and one missing", got)
 		}
 	})
 	t.Run("partial result at the target", func(t *testing.T) {
-		m, h := delegated()
-		if got := commandNames(m.Update(2038, result(h, true, "x"))); len(got) != 0 {
+		m, cmd := delegated()
+		if got := commandNames(m.Update(2038, result(cmd, true, "x"))); len(got) != 0 {
 			t.Errorf("before the target: got %v, want no answer yet", got)
 		}
 		if got := answerOf(m.Update(2041, relay.TickMsg{})); got.Outcome != relay.Gathered || got.Missing != 1 {
@@ -201,9 +201,9 @@
 		}
 	})
 	t.Run("partial result, then all", func(t *testing.T) {
-		m, h := delegated()
-		m.Update(2038, result(h, true, "x"))
-		if got := answerOf(m.Update(2039, result(h, false, "x", "y"))); got.Missing != 0 || len(got.Receipts) != 2 {
+		m, cmd := delegated()
+		m.Update(2038, result(cmd, true, "x"))
+		if got := answerOf(m.Update(2039, result(cmd, false, "x", "y"))); got.Missing != 0 || len(got.Receipts) != 2 {
 			t.Errorf("got %+v, want each reply once", got)
 		}
 	})
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -21,7 +21,7 @@
 // chooseUpstream returns the upstream with the lowest expected latency for a
 // sub-request, or nil if none can take it now. available reports whether some
 // upstream could take it now or later.
-func (m *Model) chooseUpstream(now clock.Millis, sub *subrequest, hedge bool) (best *upstream, available bool) {
+func (m *Model) chooseUpstream(now clock.Millis, sub *subrequest, hedge bool) (chosen *upstream, available bool) {
 	medianMs := m.statsFor(sub.req.route).medianMs
 	bestScore := 0.0
 	mayProbe := !hedge && sub.req.route.Idempotent && !sub.req.probed && float64(sub.req.targetAt-now) >= probeMinMedians*medianMs
@@ -44,16 +44,16 @@
 			sub.req.probed = true
 			return u, true
 		}
-		if s := m.score(now, u, medianMs); best == nil || s < bestScore {
-			best, bestScore = u, s
+		if s := m.score(now, u, medianMs); chosen == nil || s < bestScore {
+			chosen, bestScore = u, s
 		}
 	}
-	if best == nil && !hedge && avoided != nil && (len(avoided.open) == 0 || avoided.failures == 0) {
+	if chosen == nil && !hedge && avoided != nil && (len(avoided.open) == 0 || avoided.failures == 0) {
 		// No other upstream is left: probe this one, after a failure with a single
 		// attempt at a time.
-		best = avoided
+		chosen = avoided
 	}
-	return best, available
+	return chosen, available
 }
 
 // isLocal reports whether an upstream is in this VM's data centre.
--- a/relay/delegation.go
+++ b/relay/delegation.go
@@ -279,7 +279,7 @@
 	for _, sub := range d.subrequests {
 		r.subrequests = append(r.subrequests, sub)
 		if mayHaveRun {
-			sub.deliveries, sub.mayRun = 1, 1
+			sub.deliveries, sub.possibleRuns = 1, 1
 			m.retry(now, sub)
 			continue
 		}
--- a/relay/finish.go
+++ b/relay/finish.go
@@ -88,17 +88,17 @@
 		}
 		return Answer{Outcome: Relayed, Reply: *r.subrequests[0].reply}
 	}
-	late := now >= r.deadline
+	deadlinePassed := now >= r.deadline
 	switch {
 	case !r.mayHaveRun() && r.openAttempts == 0:
 		a := Answer{Outcome: Refused, Reason: "no_upstream", RetryAfterMs: m.retryAfter(max(noUpstreamRetryMs, r.retryAfterMs), r.deadline-now)}
-		if late {
+		if deadlinePassed {
 			a.Reason = "waited_too_long"
 		}
 		return a
 	case !r.gathers() && r.subrequests[0].lastFailure != nil && r.openAttempts == 0:
 		return Answer{Outcome: Relayed, Reply: *r.subrequests[0].lastFailure, Reason: "upstream_failed"}
-	case late:
+	case deadlinePassed:
 		return Answer{Outcome: TimedOut, Reason: "timeout"}
 	default:
 		return Answer{Outcome: Failed, Reason: "upstreams_failed"}
--- a/relay/model.go
+++ b/relay/model.go
@@ -155,7 +155,7 @@
 		}
 	}
 	if u == nil {
-		u = &upstream{service: m.service(info.Service), hash: xxhash.Sum64String(info.ID), window: maxWindow, latencyRatio: 1}
+		u = &upstream{service: m.service(info.Service), hash: xxhash.Sum64String(info.ID), attemptWindow: maxAttemptWindow, latencyRatio: 1}
 		m.upstreams[info.ID] = u
 		u.service.upstreams = append(u.service.upstreams, u)
 	}
--- a/relay/model_test.go
+++ b/relay/model_test.go
@@ -144,9 +144,9 @@
 // TestUpstreamReports guards against a leaving upstream that gets work again because
 // an older report arrives late, and against a restarted one that gets none.
 func TestUpstreamReports(t *testing.T) {
-	up := func(born, sequence uint64, leaving bool) relay.UpstreamMsg {
+	up := func(incarnation, sequence uint64, leaving bool) relay.UpstreamMsg {
 		return relay.UpstreamMsg{Upstream: relay.Upstream{
-			ID: "u0", Service: "s", Address: "a0", DataCentre: "a", Slots: 2, Incarnation: born, Sequence: sequence, Leaving: leaving,
+			ID: "u0", Service: "s", Address: "a0", DataCentre: "a", Slots: 2, Incarnation: incarnation, Sequence: sequence, Leaving: leaving,
 		}}
 	}
 	m := newSingleServiceModel(t, false, 0)
--- a/relay/preset.go
+++ b/relay/preset.go
@@ -43,9 +43,9 @@
 	m.policies.active, m.policies.loaded = p, true
 	for _, r := range rank.All() {
 		policy := p.Policy(r)
-		set := func(b *budget, share float64) {
-			limit := BudgetMsg{Ratio: share / percent, WindowMs: rankWindowMs}
-			if share > 0 {
+		set := func(b *budget, percentage float64) {
+			limit := BudgetMsg{Ratio: percentage / percent, WindowMs: rankWindowMs}
+			if percentage > 0 {
 				limit.Extra = rankExtra
 			}
 			b.setLimit(limit)
@@ -85,11 +85,11 @@
 
 // minShardRatio returns the minimum share of shards: the larger of the route's and
 // the preset's.
-func (p *policies) minShardRatio(share float64, priority int) float64 {
+func (p *policies) minShardRatio(routeRatio float64, priority int) float64 {
 	if !p.loaded {
-		return share
+		return routeRatio
 	}
-	return max(share, p.active.Policy(rankOf(priority)).MinCoveragePercent/percent)
+	return max(routeRatio, p.active.Policy(rankOf(priority)).MinCoveragePercent/percent)
 }
 
 // queueFull reports whether a rank has as many open requests as the preset allows.
--- a/relay/reply.go
+++ b/relay/reply.go
@@ -11,7 +11,7 @@
 	sub, u, reply := a.subrequest, a.upstream, msg.Reply
 	switch {
 	case reply.NotRun:
-		sub.mayRun--
+		sub.possibleRuns--
 		m.handleNotRun(now, a, reply)
 	case reply.Status >= 500:
 		u.recordFailure(now)
@@ -70,7 +70,7 @@
 	m.endAttempt(a)
 	sub, u := a.subrequest, a.upstream
 	if msg.NotSent {
-		sub.mayRun--
+		sub.possibleRuns--
 		sub.deliveries--
 	}
 	u.recordFailure(now)
@@ -87,9 +87,9 @@
 		return
 	}
 	r := sub.req
-	repeatable := r.route.Idempotent || sub.mayRun == 0
+	repeatable := r.route.Idempotent || sub.possibleRuns == 0
 	switch {
-	case !repeatable, sub.mayRun >= max(r.route.MaxAttempts, 1), now >= r.deadline:
+	case !repeatable, sub.possibleRuns >= max(r.route.MaxAttempts, 1), now >= r.deadline:
 		m.giveUp(now, sub)
 	case sub.deliveries > 0 && (sub.service.budget.remaining(now, m.vmCount, 1) < 1 || !m.policies.allows(now, &m.policies.retries, r.route.Priority)):
 		m.event("retry_denied", r, nil, sub.service.name, now-r.arrived)
--- a/relay/request.go
+++ b/relay/request.go
@@ -40,18 +40,18 @@
 
 // subrequest is the part of a request for one service.
 type subrequest struct {
-	req         *request
-	service     *service
-	dataCentre  string // data centre whose carrier gathers it, if any
-	resolved    bool   // has a reply, or will get none
-	reply       *Reply
-	lastFailure *Reply // last unsuccessful reply
-	tried       []*upstream
-	mayRun      int // attempts that may have run
-	open        []*attempt
-	queued      bool
-	deliveries  int // attempts that reached or may have reached an upstream
-	hedged      bool
+	req          *request
+	service      *service
+	dataCentre   string // data centre whose carrier gathers it, if any
+	resolved     bool   // has a reply, or will get none
+	reply        *Reply
+	lastFailure  *Reply // last unsuccessful reply
+	tried        []*upstream
+	possibleRuns int // attempts that may have run
+	open         []*attempt
+	queued       bool
+	deliveries   int // attempts that reached or may have reached an upstream
+	hedged       bool
 }
 
 // attempt is one transmission of a sub-request to one upstream.
@@ -91,7 +91,7 @@
 		}
 	}
 	for _, sub := range r.subrequests {
-		if sub.mayRun > 0 {
+		if sub.possibleRuns > 0 {
 			return true
 		}
 	}
--- a/relay/send.go
+++ b/relay/send.go
@@ -33,7 +33,7 @@
 		sub.service.budget.spend(now)
 	}
 	sub.deliveries++
-	sub.mayRun++
+	sub.possibleRuns++
 	sub.tried = append(sub.tried, u)
 	sub.open = append(sub.open, a)
 	sub.req.openAttempts++
@@ -84,7 +84,7 @@
 		return
 	}
 	for _, sub := range r.subrequests {
-		if sub.resolved || sub.hedged || len(sub.open) != 1 || sub.mayRun >= r.route.MaxAttempts {
+		if sub.resolved || sub.hedged || len(sub.open) != 1 || sub.possibleRuns >= r.route.MaxAttempts {
 			continue
 		}
 		a := sub.open[0]
--- a/relay/service.go
+++ b/relay/service.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxWindow limits the attempts that one VM has open at one upstream.
-	maxWindow = 16
+	// maxAttemptWindow limits the attempts that one VM has open at one upstream.
+	maxAttemptWindow = 16
 
 	// Shares of the connections that an upstream accepts. Its carriers divide the
 	// larger share. All other VMs divide the smaller one, which they need when a
@@ -49,7 +49,7 @@
 // carrier sends nearly all work of its shards, every other VM only what it reclaims.
 // All VMs send work to services that are not shards.
 func (m *Model) attemptLimit(u *upstream, priority int) int {
-	limit, maxConns := int(u.window), float64(u.service.maxConns)
+	limit, maxConns := int(u.attemptWindow), float64(u.service.maxConns)
 	slots := u.info.Slots
 	switch {
 	case u.service.isShard && m.inFleet && m.selfIsCarrier:
@@ -129,7 +129,7 @@
 // next returns the queued sub-request to serve first, nil if there is none. It also
 // drops resolved ones from the queue.
 func (s *service) next(now clock.Millis) *subrequest {
-	best := -1
+	firstIndex := -1
 	kept := s.queue[:0]
 	for _, sub := range s.queue {
 		if sub.req.answered || sub.resolved {
@@ -137,16 +137,16 @@
 			continue
 		}
 		kept = append(kept, sub)
-		if i := len(kept) - 1; best < 0 || kept[i].precedes(now, kept[best]) {
-			best = i
+		if i := len(kept) - 1; firstIndex < 0 || kept[i].precedes(now, kept[firstIndex]) {
+			firstIndex = i
 		}
 	}
 	clear(s.queue[len(kept):])
 	s.queue = kept
-	if best < 0 {
+	if firstIndex < 0 {
 		return nil
 	}
-	return s.queue[best]
+	return s.queue[firstIndex]
 }
 
 func (s *service) dequeue(sub *subrequest) {
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -65,7 +65,7 @@
 	slowRatio      float64      // the same for the last slow reply
 	slowAvoidMs    clock.Millis // avoidance time after that; 0 if the last reply was not slow
 	slowAvoidUntil clock.Millis
-	window         float64 // attempts that it accepts at once without shedding
+	attemptWindow  float64 // attempts that it accepts at once without shedding
 	failures       int     // in a row
 	avoidUntil     clock.Millis
 	coldUntil      clock.Millis
@@ -108,7 +108,7 @@
 func (u *upstream) recordLatency(now clock.Millis, ratio float64) {
 	u.failures = 0
 	u.avoidUntil = min(u.avoidUntil, now)
-	u.window = min(u.window+1/max(u.window, 1), maxWindow)
+	u.attemptWindow = min(u.attemptWindow+1/max(u.attemptWindow, 1), maxAttemptWindow)
 	if ratio < slowThreshold {
 		u.slowAvoidMs, u.slowAvoidUntil = 0, min(u.slowAvoidUntil, now)
 		u.latencyRatio += latencyRatioWeight * (ratio - u.latencyRatio)
@@ -130,7 +130,7 @@
 
 // recordShed records a reply that the upstream is full.
 func (u *upstream) recordShed(now clock.Millis) {
-	u.window = max(u.window/2, 1)
+	u.attemptWindow = max(u.attemptWindow/2, 1)
 	u.avoidUntil = max(u.avoidUntil, now+shedAvoidMs)
 }
 
--- a/route/split.go
+++ b/route/split.go
@@ -18,22 +18,22 @@
 		credits = make([]float64, len(r.Split))
 		s.credits[r.Name] = credits
 	}
-	total, best := 0.0, -1
+	total, selected := 0.0, -1
 	for i, target := range r.Split {
 		if target.Weight <= 0 {
 			continue
 		}
 		credits[i] += target.Weight
 		total += target.Weight
-		if best < 0 || credits[i] > credits[best] {
-			best = i
+		if selected < 0 || credits[i] > credits[selected] {
+			selected = i
 		}
 	}
-	if best < 0 {
+	if selected < 0 {
 		return ""
 	}
-	credits[best] -= total
-	return r.Split[best].Service
+	credits[selected] -= total
+	return r.Split[selected].Service
 }
 
 // Prune deletes the state of routes that t no longer splits.
