--- a/catalog/model.go
+++ b/catalog/model.go
@@ -25,7 +25,7 @@
 	// signals subscribers that the store is reachable.
 	watchWaitMs = clock.Second
 
-	// relistIntervalMs is the age of the last list at which a new one is made in any case.
+	// relistIntervalMs is the age at which the last list is repeated even if no call has failed.
 	relistIntervalMs clock.Millis = 2 * clock.Minute
 
 	// Bounds of the backoff after failed calls. The maximum ensures that a change made
--- a/fleet/decode.go
+++ b/fleet/decode.go
@@ -32,10 +32,10 @@
 		case protowire.BytesType:
 			f.bytes, n = protowire.ConsumeBytes(b)
 		default:
-			return decodeErrorf(KindMalformed, "field %d has unsupported wire type %d", num, typ)
+			return decodeErrorf(KindMalformed, "field %d has wire type %d, want varint or bytes", num, typ)
 		}
 		if n < 0 {
-			return decodeErrorf(KindMalformed, "field %d is truncated", num)
+			return decodeErrorf(KindMalformed, "field %d has a truncated or invalid value", num)
 		}
 		b = b[n:]
 		if err := visit(f); err != nil {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -81,11 +81,11 @@
 			f.Pause(n, clock.Minute)
 			f.RunFor(50 * clock.Second)
 			if got := stateOf(f.VMs[0], n.VM.ID); got != fleet.Dead {
-				t.Errorf("a VM paused for 50 s is %s, want dead", got)
+				t.Errorf("got state %s of a VM paused for 50 s, want dead", got)
 			}
 			f.RunFor(11 * clock.Second)
 			if got := n.Model.LiveCount(); got < 8 {
-				t.Errorf("after its pause the VM has %d live members, want at least 8", got)
+				t.Errorf("got %d live members at the VM after its pause, want at least 8", got)
 			}
 		}},
 		{"partition for two minutes", func(_ *testing.T, f *experiment.Fleet, _ *experiment.FleetVM) { partition(f, 2*clock.Minute) }},
@@ -94,11 +94,11 @@
 			f.Deliver(n, fleet.StopMsg{})
 			f.RunFor(leavingBound)
 			if !n.Model.StopAnnounced(f.Loop.Now()) || n.Model.Ready() {
-				t.Error("a stopping VM is ready or has not announced its stop")
+				t.Error("a stopping VM is ready or has not announced its stop, want not ready and announced")
 			}
 			for _, other := range f.VMs {
 				if other.Model.IsLive(n.VM.ID) {
-					t.Errorf("%s still has a VM that left as live", other.VM.ID)
+					t.Errorf("%s still counts a VM that left as alive", other.VM.ID)
 				}
 			}
 			f.Kill(n)
@@ -173,11 +173,11 @@
 	waitUntil(t, f, leavingBound, "report on a new VM", applied(true))
 	f.RunFor(9 * clock.Minute)
 	if !applied(true)() {
-		t.Error("the report expired too early")
+		t.Error("the report expired before the end of its TTL")
 	}
 	waitUntil(t, f, 2*clock.Minute, "expiry", applied(false))
 	if got := f.VMs[0].Model.Reports(); len(got) != 0 {
-		t.Errorf("reports after expiry: %v", got)
+		t.Errorf("got reports %v after their expiry, want none", got)
 	}
 }
 
@@ -206,7 +206,7 @@
 	f.Start(n)
 	f.RunFor(20 * clock.Second)
 	if n.Model.Ready() {
-		t.Error("a VM without store and peers is ready")
+		t.Error("a VM that reaches neither the store nor a peer is ready, want not ready")
 	}
 	f.LinkCut = nil
 	waitUntil(t, f, 5*clock.Second, "record from peers", n.Model.Ready)
@@ -215,7 +215,7 @@
 		waitUntil(t, f, 10*clock.Second, "stale", func() bool { return n.Model.Stale(f.Loop.Now()) })
 	}
 	if !n.Model.Ready() {
-		t.Error("a stale VM is not ready")
+		t.Error("a VM whose record is stale is not ready, want ready")
 	}
 }
 
@@ -235,7 +235,7 @@
 		f.Deliver(f.VMs[0], fleet.StoreMsg{Reply: store.Reply{Op: op, Entry: store.Entry{Value: value, Revision: 99}}})
 	}
 	if got := f.VMs[0].Model.Record().Revision; got != next.Revision {
-		t.Errorf("revision %d in force, want %d", got, next.Revision)
+		t.Errorf("got revision %d of the record, want %d", got, next.Revision)
 	}
 	waitUntil(t, f, 4*clock.Second, "spread", func() bool {
 		return f.All(func(n *experiment.FleetVM) bool { return n.Model.Record().Revision == next.Revision })
--- a/fleet/placement_test.go
+++ b/fleet/placement_test.go
@@ -11,7 +11,7 @@
 	"lentillink.example/lentillink/vm"
 )
 
-// carriersOf returns the two carriers of each upstream as node n computes them from
+// carriersOf returns the two carriers of each upstream as VM n computes them from
 // its live members.
 func carriersOf(n *experiment.FleetVM, upstreams []string) [][]string {
 	var live []string
@@ -41,7 +41,7 @@
 	count := make(map[string]int)
 	for i, u := range upstreams {
 		if got := other[i]; !slices.Equal(got, before[i]) || got[0] == got[1] {
-			t.Fatalf("carriers of %s: %v and %v", u, before[i], got)
+			t.Fatalf("carriers of %s: got %v at one VM and %v at another, want the same two distinct VMs", u, before[i], got)
 		}
 		count[before[i][0]]++
 	}
@@ -55,10 +55,10 @@
 	after := carriersOf(f.VMs[0], upstreams)
 	for i, u := range upstreams {
 		if slices.Contains(after[i], leaver.VM.ID) {
-			t.Errorf("a carrier of %s is a VM that left", u)
+			t.Errorf("%s still has a carrier that left", u)
 		}
 		if !slices.Contains(before[i], leaver.VM.ID) && !slices.Equal(after[i], before[i]) {
-			t.Errorf("carriers of %s moved from %v to %v", u, before[i], after[i])
+			t.Errorf("carriers of %s changed from %v to %v, although only an unrelated VM left", u, before[i], after[i])
 		}
 	}
 }
@@ -99,6 +99,6 @@
 		return traffic
 	}
 	if a, b := run(), run(); a != b {
-		t.Errorf("messages and bytes sent with the same seed: %v and %v", a, b)
+		t.Errorf("got %v and %v messages and bytes in two runs with the same seed, want equal", a, b)
 	}
 }
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -82,8 +82,8 @@
 	m.probes.current = probe{target: target, seq: seq, sentAt: now}
 }
 
-// nextProbeTarget returns contested members first, then iterates over the shuffled
-// list, which is shuffled again after each pass.
+// nextProbeTarget returns the next member to probe, or nil. Contested members come
+// first, then the others in random order; the list is shuffled again after each pass.
 func (m *Model) nextProbeTarget() *member {
 	p := &m.probes
 	for len(p.contested) > 0 {
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -10,9 +10,10 @@
 )
 
 // Only alive members are selected, by rendezvous hashing. A suspect has not
-// answered on four paths, so work sent to it would probably time out; a wrongly
-// suspected member refutes within seconds and becomes eligible again. Correctness
-// of orders does not depend on the selection, because order claims use compare-and-swap.
+// answered a ping on four paths, one direct and the others through other members, so
+// work sent to it would probably time out; a wrongly suspected member refutes within
+// seconds and becomes eligible again. Correctness of orders does not depend on the
+// selection, because order claims use compare-and-swap.
 
 type candidate struct {
 	mem   *member
@@ -38,7 +39,7 @@
 }
 
 // selectWatchers returns the members that watch the store. It takes the best member
-// of each data centre first, so that watchers are in different data centres if possible.
+// (by score) of each data centre first, so that watchers are in different data centres if possible.
 func (m *Model) selectWatchers() []string {
 	bestOf := make(map[string]candidate)
 	for _, c := range m.scoreAll(preset.StoreKey) {
--- a/fleet/storesync.go
+++ b/fleet/storesync.go
@@ -51,7 +51,7 @@
 func (m *Model) resetStore(now clock.Millis) {
 	s := &m.store
 	s.startedAt, s.lastOK = now, now
-	// Spread the first reads, so that the VMs of a large fleet that start together do not all read together.
+	// Spread the first reads: otherwise all VMs of a large fleet that start together would read at once.
 	spread := clock.Second + 2*clock.Millis(max(len(m.sync.hints), len(m.members)))
 	s.get = storeCall{nextAt: now + 200 + m.jitter(spread)}
 	s.watch = storeCall{nextAt: now + m.jitter(clock.Second)}
@@ -93,7 +93,7 @@
 	case store.OpSwap:
 		if r.Tag == s.writeTag {
 			s.writeTag = 0
-			s.get.nextAt = min(s.get.nextAt, now+minCallDelay) // reading back resolves an uncertain outcome
+			s.get.nextAt = min(s.get.nextAt, now+minCallDelay) // a read shows whether the write took effect
 		}
 	case store.OpGet:
 		m.handleCallReply(now, &s.get, r)
@@ -124,8 +124,10 @@
 	m.handleEntry(now, r.Entry, isCurrent && r.Op == store.OpGet)
 }
 
-// handleEntry applies the stored record. The store is behind the fleet only if it
-// lost data or the reply is outdated; the record is then written back.
+// handleEntry applies the stored record. The store has an older record than this VM,
+// or none, only if it lost data or the reply is outdated; a watcher then writes its
+// record back. If this VM has no record either, it writes the initial record after
+// createDelay. Only the reply to the current read can cause a write.
 func (m *Model) handleEntry(now clock.Millis, entry store.Entry, isCurrentRead bool) {
 	var storedRevision uint64
 	if entry.Revision > 0 {
--- a/fleet/sync.go
+++ b/fleet/sync.go
@@ -15,7 +15,7 @@
 	contactInterval  clock.Millis = 5 * clock.Second
 	joinFanout                    = 3
 	maxStatePages                 = 8
-	bulkThreshold                 = 64 // fewer updates in a state message mean that the tables agree except for recent changes
+	bulkThreshold                 = 64 // a state message with fewer updates means that the tables agree except for recent changes
 	hintAttempts                  = 8
 	maxHintAddresses              = maxMembers
 )
--- a/relay/arrive.go
+++ b/relay/arrive.go
@@ -148,7 +148,7 @@
 func (m *Model) reject(msg ArrivalMsg, a Answer) { m.rejectWithEstimate(msg, a, 0) }
 
 // rejectWithEstimate rejects a request. For a request delegated by another VM, the
-// answer includes the estimated latency here.
+// answer includes the estimated latency on this VM.
 func (m *Model) rejectWithEstimate(msg ArrivalMsg, a Answer, expected clock.Millis) {
 	m.emit(EventCmd{Event: Event{
 		Kind: "request_" + a.Outcome.String(), Request: msg.Name, Route: a.Route, Version: a.Version,
@@ -161,7 +161,7 @@
 // jitter, so that refused callers do not retry at the same time. The delay is at
 // most a third of the caller's remaining time, because callers honour no more.
 func (m *Model) retryAfter(wait, remaining clock.Millis) clock.Millis {
-	const minWait = 20 // after a shorter delay the caller meets the same queue
+	const minWait = 20 // after a shorter delay the queue would hardly have changed
 	wait = max(wait, minWait)
 	wait += clock.Millis(m.rng.Int64N(int64(wait)))
 	if remaining > 0 {
@@ -175,11 +175,11 @@
 // the target wastes upstream capacity.
 const admissionTargetShare = 0.75
 
-// wouldMissTarget reports whether so many sub-requests are expected to end after
-// the limit that the request should be refused at once, before any of it runs.
-// Requests of the highest priority and retries by callers that were refused before
-// may use all of the time to the target. It also returns the longest time by which
-// a sub-request is expected to exceed the limit.
+// wouldMissTarget reports whether too few sub-requests are expected to end within a
+// time limit for an answer, so that the request should be refused before any of it
+// runs. Gathered requests of the highest priority, and retries of them by callers
+// that were refused before, may use all of the time to the target. It also returns
+// the longest time by which a sub-request is expected to exceed the limit.
 func (m *Model) wouldMissTarget(now clock.Millis, r *request, assignments []assignment) (clock.Millis, bool) {
 	limit := now + clock.Millis(admissionTargetShare*float64(r.targetAt-now))
 	switch {
--- a/relay/carrier.go
+++ b/relay/carrier.go
@@ -45,7 +45,7 @@
 
 func (c *peerVM) recordFailure(now clock.Millis) {
 	if now < c.avoidUntil {
-		return // requests that were open at the same time count as one failure
+		return // failures of requests that were open at the same time count once
 	}
 	c.failures++
 	c.avoidUntil = now + min(firstCarrierAvoidMs<<min(c.failures-1, 8), maxCarrierAvoidMs)
@@ -280,8 +280,8 @@
 }
 
 // carrierDataCentre returns the data centre whose carrier gathers a shard: the local
-// one if it has an upstream of the shard, otherwise one of those that have, by round
-// robin. All shards of a request use the same rotation, so that few messages cross
+// one if it has an upstream of the shard, otherwise a data centre that has one, by
+// round robin. All shards of a request use the same rotation, so that few messages cross
 // data centres.
 func (m *Model) carrierDataCentre(s *service) (string, bool) {
 	dataCentres := m.dataCentres(s)
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -4,8 +4,8 @@
 
 const (
 	// crossCentreMs is how much faster an upstream in another data centre must be
-	// expected to answer to be chosen. crossCentreFactor is the same for slow routes,
-	// as a share of the median latency. The users pay for traffic between data centres.
+	// expected to answer to be chosen, because the users pay for traffic between data
+	// centres. On slow routes it is crossCentreFactor times the median latency instead.
 	crossCentreMs     = 20.0
 	crossCentreFactor = 0.4
 
@@ -13,8 +13,8 @@
 	// delays the next one while the upstream has free slots.
 	openAttemptFactor = 0.15
 
-	// sharedAttemptFactor is the same at an upstream that other VMs use too, where
-	// one open attempt of this VM implies several from other VMs.
+	// sharedAttemptFactor replaces openAttemptFactor at an upstream that other VMs use
+	// too, where one open attempt of this VM implies several from other VMs.
 	sharedAttemptFactor = 0.5
 )
 
@@ -49,8 +49,8 @@
 		}
 	}
 	if chosen == nil && !hedge && avoided != nil && (len(avoided.open) == 0 || avoided.failures == 0) {
-		// No other upstream is left: probe this one, after a failure with a single
-		// attempt at a time.
+		// No other upstream is left: use the one whose avoidance ends first, with only
+		// one attempt at a time if it has failed.
 		chosen = avoided
 	}
 	return chosen, available
--- a/relay/command.go
+++ b/relay/command.go
@@ -25,7 +25,7 @@
 type AnswerCmd struct {
 	ID         uint64
 	Answer     Answer
-	ExpectedMs clock.Millis // estimated latency here, for the VM that delegated the request
+	ExpectedMs clock.Millis // estimated latency on this VM, for the VM that delegated the request
 }
 
 // DelegateCmd delegates sub-requests of a request to a carrier.
@@ -41,7 +41,7 @@
 type PartialResultCmd struct {
 	ID         uint64
 	Answer     Answer
-	ExpectedMs clock.Millis // estimated latency here, for that VM
+	ExpectedMs clock.Millis // estimated latency on this VM, for the VM that delegated the request
 }
 
 // AckDelegationCmd acknowledges a Delegation of another VM.
--- a/relay/delegation.go
+++ b/relay/delegation.go
@@ -10,7 +10,7 @@
 // sub-request.
 type Delegation struct {
 	ID          uint64 // of the delegation at the VM that delegates
-	Version     uint64 // configuration version that the carrier must have, or a newer one
+	Version     uint64 // minimum configuration version of the carrier
 	Name        string
 	Host        string
 	Path        string
@@ -54,7 +54,8 @@
 	// ackTimeoutMs is how long a carrier may take to acknowledge, or ackTimeoutShare
 	// of the time to the target if that is longer. The round trip takes 2 ms between
 	// the users' data centres, and a carrier that loads a new configuration is busy
-	// for up to 15 ms. Gathering elsewhere counts as sending all sub-requests again.
+	// for up to 15 ms. A timeout that is too short is costly: sub-requests that another
+	// VM gathers instead count as sent again.
 	ackTimeoutMs    clock.Millis = 20
 	ackTimeoutShare float64      = 0.25
 
--- a/relay/finish.go
+++ b/relay/finish.go
@@ -3,8 +3,8 @@
 import "lentillink.example/lentillink/clock"
 
 // attemptGraceMs is how long open attempts may continue after the answer. Most end
-// within that time, and their connections can be reused. It stays below the half
-// second after which an upstream must not work for a caller that has disconnected.
+// within that time, and their connections can be reused. It is less than half a
+// second, after which no upstream may still work for a disconnected caller.
 const attemptGraceMs clock.Millis = 250
 
 // noUpstreamRetryMs is the retry delay returned when a service has no upstream: a
--- a/relay/model_test.go
+++ b/relay/model_test.go
@@ -221,8 +221,8 @@
 	}
 	firstSend(t, m.Update(now, arrivalWithin(1000, 4000)))
 	m.Update(now, relay.UpstreamMsg{Upstream: relay.Upstream{ID: "v", Service: "s", Address: "v", DataCentre: "a", Slots: 2}})
-	// The initial median latency is a sixth of the target of 1200 ms, and twice the
-	// time after which a reply is overdue with it is 890 ms or more.
+	// The initial median latency is a sixth of the target of 1200 ms. If the upstream's
+	// slowness doubled the overdue time, that would be 890 ms or more, after this tick.
 	firstSend(t, m.Update(now+800, relay.TickMsg{}))
 }
 
--- a/relay/preset.go
+++ b/relay/preset.go
@@ -33,8 +33,8 @@
 	open    rank.Table[int] // requests without an answer
 }
 
-// rankOf maps a route's priority to a rank. Lower priorities than the last rank map
-// to the last rank, patient.
+// rankOf maps a route's priority to a rank. Priorities less urgent than the last
+// rank map to the last rank, patient.
 func rankOf(priority int) rank.Rank {
 	return rank.Rank(min(max(priority, 0), rank.Count-1))
 }
@@ -83,8 +83,8 @@
 	return timeout
 }
 
-// minShardRatio returns the minimum share of shards: the larger of the route's and
-// the preset's.
+// minShardRatio returns the minimum share of shards in an answer: the larger of the
+// route's and the preset's.
 func (p *policies) minShardRatio(routeRatio float64, priority int) float64 {
 	if !p.loaded {
 		return routeRatio
--- a/relay/request.go
+++ b/relay/request.go
@@ -18,7 +18,7 @@
 	arrived            clock.Millis
 	deadline           clock.Millis  // for the final answer, from the timeouts of the caller and the route
 	targetAt           clock.Millis  // an answer after this is late
-	callerRetry        bool          // the caller sends this request again
+	callerRetry        bool          // the caller has sent this request before
 	subrequests        []*subrequest // gathered on this VM
 	succeeded          int           // sub-requests with a reply
 	unresolved         int           // sub-requests that may still get a reply
@@ -72,7 +72,7 @@
 	if !r.gathers() {
 		return 1
 	}
-	// The tolerance keeps 0.9 x 10 from becoming 10 by rounding.
+	// The tolerance keeps a rounding error in 0.9 x 10 from raising the result to 10.
 	const tolerance = 1e-9
 	if r.delegated {
 		return 1 // the VM that delegated it decides
@@ -98,9 +98,9 @@
 	return false
 }
 
-// precedes reports whether sub is served before other: by priority, then before
-// those that are late already, then retries by callers that were refused once, then
-// by remaining time.
+// precedes reports whether sub is served before other. The order is by priority,
+// then requests that are not late before late ones, then retries by callers that
+// were refused once before others, then by target time.
 func (sub *subrequest) precedes(now clock.Millis, other *subrequest) bool {
 	a, b := sub.req, other.req
 	switch {
--- a/relay/send.go
+++ b/relay/send.go
@@ -2,9 +2,9 @@
 
 import "lentillink.example/lentillink/clock"
 
-// hedgeTargetDivisor gives the minimum delay of a hedge, as a fraction of the time
-// to the target, also if the reply is overdue sooner: a request with much time left
-// is not sent twice.
+// hedgeTargetDivisor divides the time to the target; the result is the minimum delay
+// of a hedge, even if the reply is overdue sooner. This avoids a second attempt while
+// much time is left.
 const hedgeTargetDivisor = 3
 
 // dispatch sends a sub-request, queues it, or gives up if there is no upstream.
--- a/relay/stats.go
+++ b/relay/stats.go
@@ -24,9 +24,9 @@
 	overdueFactor               = 2.2
 	overdueSlackMs clock.Millis = 3
 
-	// maxOverdueSlowness limits how much longer a slow upstream may take before a
-	// reply is overdue, as a multiple: the users' replicas differ by up to 1.3 in
-	// speed. Above that, a hedge is due at the same time as elsewhere.
+	// maxOverdueSlowness limits the slowness that multiplies the time after which a
+	// reply is overdue: the users' replicas differ by up to 1.3 in speed. An upstream
+	// that is slower still gets no more time, so that hedges against it are not late.
 	maxOverdueSlowness = 1.3
 )
 
@@ -47,8 +47,8 @@
 }
 
 // add moves the median estimate towards a sample by a step that does not depend on
-// the distance. So it follows the median: a few slow or pausing upstreams must not
-// raise it, or hedges against them would be sent too late.
+// the distance, so that it follows the median and not the mean: a few slow or pausing
+// upstreams must not raise it, or hedges against them would be sent too late.
 func (s *routeStats) add(sample clock.Millis) {
 	s.samples++
 	step := max(initialStep/math.Sqrt(float64(s.samples)), minStep)
--- a/relay/upstream.go
+++ b/relay/upstream.go
@@ -72,7 +72,7 @@
 	removed        bool
 }
 
-// slowness returns the expected latency as a multiple of the median.
+// slowness returns the expected latency as a multiple of the median latency.
 func (u *upstream) slowness(now clock.Millis) float64 {
 	s := 1.0
 	if u.latencyRatio > 0 {
@@ -87,8 +87,8 @@
 	return max(s, 0.5)
 }
 
-// sustainedSlowness returns the slowness without that of a pause, as a multiple of
-// the median latency.
+// sustainedSlowness returns the slowness as a multiple of the median latency, without
+// the effect of a short pause.
 func (u *upstream) sustainedSlowness() float64 {
 	if u.slowAvoidMs >= confirmedSlowAvoidMs {
 		return max(u.slowRatio, u.latencyRatio)
@@ -97,9 +97,9 @@
 }
 
 // probeDue reports whether an upstream that was slow several times in a row should
-// be probed. Only requests with enough time for a hedge do so, for one upstream
-// each, because with many shards nearly every request would use a slow one
-// otherwise.
+// be probed. Only requests with enough time for a hedge probe, and each probes one
+// upstream at most: with many shards, nearly every request would otherwise use a slow
+// upstream.
 func (u *upstream) probeDue(now clock.Millis) bool {
 	return u.slowAvoidMs >= confirmedSlowAvoidMs && now >= u.slowAvoidUntil && len(u.open) == 0
 }
@@ -135,7 +135,7 @@
 }
 
 // overdue returns by how much the oldest unanswered attempt is overdue, 0 if it is
-// not. It reveals a pause before any reply does.
+// not. This detects a paused upstream before it replies.
 func (u *upstream) overdue(now clock.Millis) clock.Millis {
 	if len(u.open) == 0 {
 		return 0
--- a/route/config.go
+++ b/route/config.go
@@ -4,7 +4,7 @@
 
 // Config is one version of the operators' configuration.
 type Config struct {
-	Version  uint64 // increases with each change, in uneven steps
+	Version  uint64 // increases with each change, not always by one
 	Routes   []Route
 	Services []Service
 	Limits   Limits
@@ -23,7 +23,7 @@
 	TimeoutMs     clock.Millis // timeout of the final answer
 	TargetMs      clock.Millis // an answer within this time has the highest value
 	Priority      int          // 0 is the most urgent
-	MaxAttempts   int          // upstreams that may run one request, per shard
+	MaxAttempts   int          // maximum number of upstreams that may run one request, per shard
 	TopK          int          // number of records in a gathered answer
 	MinShardRatio float64      // share of the shards, 0 to 1, below which a gathered answer fails
 }
@@ -38,7 +38,7 @@
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int // that one upstream accepts from all its clients together
+	MaxConnections int // connections that one upstream accepts from all its clients together
 }
 
 // Limits bound the size and duration of requests from callers.
