--- a/admission/controller.go
+++ b/admission/controller.go
@@ -195,7 +195,7 @@
 func (c *Controller) refuseLate(now clock.Millis, s *service, cmds []Cmd) []Cmd {
 	for _, r := range rank.All() {
 		queue := s.queues.Ref(r)
-		for queue.len() > 0 && s.tooLate(now, queue.earliest()) {
+		for queue.len() > 0 && s.cannotMeetDeadline(now, queue.earliest()) {
 			cmds = c.refuseQueued(now, queue.earliest(), ReasonTooLate, cmds)
 		}
 	}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -37,9 +37,9 @@
 // oldest has waited for half the time before it must start. Under overload the
 // oldest queries would finish too late, and starting them first would make all the
 // others late as well. The patient rank always starts the oldest.
-func (q *queue) next(now, reserve clock.Millis) *query {
+func (q *queue) next(now, requiredTime clock.Millis) *query {
 	o := q.oldest
-	if o.rank != rank.Patient && 2*(now-o.arrivedAt) > o.dueAt-reserve-o.arrivedAt {
+	if o.rank != rank.Patient && 2*(now-o.arrivedAt) > o.dueAt-requiredTime-o.arrivedAt {
 		return q.newest
 	}
 	return o
--- a/admission/service.go
+++ b/admission/service.go
@@ -100,11 +100,11 @@
 	*s.rankRunning.Ref(q.rank)--
 	s.medianTime.Ref(q.rank).Add(now, elapsed)
 	s.tailTime.Ref(q.rank).Add(now, elapsed)
-	d := s.completions.Ref(q.rank)
-	if d.lastAt > 0 {
-		d.meanMs += gapWeight * (float64(now-d.lastAt) - d.meanMs)
+	completions := s.completions.Ref(q.rank)
+	if completions.lastAt > 0 {
+		completions.meanMs += gapWeight * (float64(now-completions.lastAt) - completions.meanMs)
 	}
-	d.lastAt = now
+	completions.lastAt = now
 }
 
 // updateBalances integrates the floor balances up to now.
@@ -172,15 +172,15 @@
 	return s.runningCost == 0 || s.runningCost+q.cost <= s.limit.value()
 }
 
-// tooLate reports whether the queued query q can no longer finish by its deadline.
-func (s *service) tooLate(now clock.Millis, q *query) bool {
+// cannotMeetDeadline reports whether the queued query q can no longer finish by its deadline.
+func (s *service) cannotMeetDeadline(now clock.Millis, q *query) bool {
 	return now >= q.dueAt || now+s.requiredTime(now, q, q.dueAt) > q.dueAt
 }
 
 // requiredTime returns the time that a queued query needs to complete.
 func (s *service) requiredTime(now clock.Millis, q *query, due clock.Millis) clock.Millis {
-	need := min(tailFactor*s.tailTime.Ref(q.rank).Estimate(now), (due-q.arrivedAt)/2)
-	return max(need, s.medianTime.Ref(q.rank).Estimate(now))
+	required := min(tailFactor*s.tailTime.Ref(q.rank).Estimate(now), (due-q.arrivedAt)/2)
+	return max(required, s.medianTime.Ref(q.rank).Estimate(now))
 }
 
 func (s *service) canFinish(now clock.Millis, q *query, policy preset.RankPolicy) bool {
@@ -190,11 +190,11 @@
 
 // retryAfter estimates the time until the queue of r is empty, as a retry delay.
 func (s *service) retryAfter(now clock.Millis, r rank.Rank) clock.Millis {
-	d := s.completions.At(r)
-	if d.lastAt == 0 {
+	completions := s.completions.At(r)
+	if completions.lastAt == 0 {
 		return defaultRetryMs
 	}
-	gap := max(d.meanMs, 0)
+	gap := max(completions.meanMs, 0)
 	queue := s.queues.Ref(r)
 	wait := clock.Millis(gap*float64(queue.len()+1)) + s.medianTime.Ref(r).Estimate(now)
 	return min(max(wait, minRetryMs), maxRetryMs)
--- a/order/fault_test.go
+++ b/order/fault_test.go
@@ -37,7 +37,7 @@
 	for _, step := range steps {
 		for _, fault := range faults {
 			for _, sheds := range []int{0, 2} {
-				for _, timeout := range []clock.Millis{deadline, shortTimeout} {
+				for _, timeout := range []clock.Millis{defaultTimeout, shortTimeout} {
 					t.Run(fmt.Sprintf("%s/%s/sheds=%d/timeout=%d", step, fault, sheds, timeout), func(t *testing.T) {
 						runFaults(t, scenario{
 							injections: []injection{{step, fault, 0}}, sheds: sheds, timeout: timeout, outage: preset.OutageWait, interval: 400,
@@ -84,7 +84,7 @@
 			"claim written, then store unavailable",
 			scenario{
 				injections: []injection{{stepWrite, faultUnknownApplied, 0}, {stepRead, faultUnavailable, 0}},
-				timeout:    deadline, outage: preset.OutageRefuse, interval: 400,
+				timeout:    defaultTimeout, outage: preset.OutageRefuse, interval: 400,
 			},
 			order.OutcomeDone,
 		},
@@ -179,7 +179,7 @@
 		for range rapid.IntRange(4, 20).Draw(t, "submissions") {
 			id := rapid.SampledFrom(orderIDs).Draw(t, "id")
 			vm := rapid.SampledFrom(names).Draw(t, "vm")
-			timeout := rapid.SampledFrom([]clock.Millis{deadline, shortTimeout}).Draw(t, "timeout")
+			timeout := rapid.SampledFrom([]clock.Millis{defaultTimeout, shortTimeout}).Draw(t, "timeout")
 			outage := rapid.SampledFrom([]preset.OutageRule{preset.OutageWait, preset.OutageRefuse}).Draw(t, "outage")
 			wait := clock.Millis(rapid.IntRange(0, 8000).Draw(t, "wait"))
 			h.schedule(wait, func() {
--- a/order/harness_store_test.go
+++ b/order/harness_store_test.go
@@ -12,12 +12,12 @@
 	if req.Op != store.OpSwap {
 		return stepRead
 	}
-	lists := h.lastWriteSealed[vm]
+	listsSegment := h.lastWriteSealed[vm]
 	h.lastWriteSealed[vm] = req.Key != order.HeadKey(0)
 	switch {
 	case h.lastWriteSealed[vm]:
 		return stepSeal
-	case lists:
+	case listsSegment:
 		return stepWriteListing
 	}
 	return stepWrite
@@ -30,22 +30,22 @@
 		h.writes = append(h.writes, h.now)
 	}
 	reply := store.Reply{Requester: req.Requester, Tag: req.Tag, Op: req.Op}
-	done := func(after clock.Millis) {
+	deliverReply := func(after clock.Millis) {
 		h.schedule(after, func() { h.deliverTo(name, vm, order.StoreMsg{Reply: reply}) })
 	}
 	switch fault {
 	case faultUnavailable:
 		reply.Kind = store.KindUnavailable
-		done(2)
+		deliverReply(2)
 	case faultUnknownNotApplied, faultLost, faultShedWithoutProof, faultContradictoryReply, faultReplyPastDeadline:
 		reply.Kind = store.KindUnknown
-		done(200)
+		deliverReply(200)
 	case faultUnknownApplied, faultUnknownAppliedLate, faultKillOwnerLateWrite:
 		after := map[string]clock.Millis{faultUnknownApplied: 1, faultUnknownAppliedLate: 400, faultKillOwnerLateWrite: lateWriteMs}[fault]
 		h.schedule(after, func() { h.apply(issuedAt, req, &store.Reply{}) })
 		reply.Kind = store.KindUnknown
 		h.applyFault(fault)
-		done(200)
+		deliverReply(200)
 	case faultConflict:
 		h.conflict(req.Key)
 		fallthrough
@@ -55,7 +55,7 @@
 		for range copies {
 			h.schedule(1, func() {
 				h.apply(issuedAt, req, &reply)
-				done(after)
+				deliverReply(after)
 			})
 		}
 	}
--- a/order/harness_test.go
+++ b/order/harness_test.go
@@ -49,9 +49,9 @@
 )
 
 const (
-	start    clock.Millis = 1_700_000_000_000
-	deadline clock.Millis = 2000
-	delay    clock.Millis = 3000
+	start          clock.Millis = 1_700_000_000_000
+	defaultTimeout clock.Millis = 2000
+	delay          clock.Millis = 3000
 	// serviceMs keeps an attempt outstanding while duplicate messages arrive.
 	serviceMs clock.Millis = 120
 	// lateWriteMs exceeds a short deadline, the restart and one retry of the release.
@@ -175,7 +175,7 @@
 }
 
 func (h *harness) submit(vm, id string) *testCall {
-	return h.submitWith(vm, id, deadline, preset.OutageWait)
+	return h.submitWith(vm, id, defaultTimeout, preset.OutageWait)
 }
 
 func (h *harness) submitWith(vm, id string, timeout clock.Millis, outage preset.OutageRule) *testCall {
@@ -237,14 +237,14 @@
 }
 
 func peerStep(msg order.Msg) string {
-	claim, ok := msg.(order.ClaimRequestMsg)
-	answer, _ := msg.(order.ClaimResponseMsg)
+	request, ok := msg.(order.ClaimRequestMsg)
+	response, _ := msg.(order.ClaimResponseMsg)
 	switch {
-	case answer.Result == order.ResultReleased:
+	case response.Result == order.ResultReleased:
 		return stepConfirmRelease
 	case !ok:
 		return stepConfirm
-	case claim.Op == order.OpRelease:
+	case request.Op == order.OpRelease:
 		return stepRelease
 	default:
 		return stepClaim
--- a/order/model.go
+++ b/order/model.go
@@ -154,20 +154,20 @@
 	if len(live) == 0 {
 		live = []string{m.cfg.vm}
 	}
-	best := make([]weightedVM, 0, maxCandidates+1)
+	topVMs := make([]weightedVM, 0, maxCandidates+1)
 	for i := range m.candidates {
 		key := string(rune('a'+i)) + "/"
-		best = best[:0]
+		topVMs = topVMs[:0]
 		for _, vm := range live {
 			w := weightedVM{vm: vm, weight: xxhash.Sum64String(key + vm)}
-			position, _ := slices.BinarySearchFunc(best, w, compareWeights)
+			position, _ := slices.BinarySearchFunc(topVMs, w, compareWeights)
 			if position < maxCandidates {
-				best = slices.Insert(best, position, w)
-				best = best[:min(len(best), maxCandidates)]
+				topVMs = slices.Insert(topVMs, position, w)
+				topVMs = topVMs[:min(len(topVMs), maxCandidates)]
 			}
 		}
-		m.candidates[i] = make([]string, len(best))
-		for n, w := range best {
+		m.candidates[i] = make([]string, len(topVMs))
+		for n, w := range topVMs {
 			m.candidates[i][n] = w.vm
 		}
 	}
--- a/order/model_test.go
+++ b/order/model_test.go
@@ -31,8 +31,8 @@
 			t.Errorf("order %s ran %d times, want at most 1", id, runs)
 		}
 	}
-	for _, b := range h.violations {
-		t.Errorf("invariant violated: %s", b)
+	for _, violation := range h.violations {
+		t.Errorf("invariant violated: %s", violation)
 	}
 	for i, c := range h.calls {
 		if len(c.answers) > 1 || len(c.answers) == 0 && !c.vm.killed {
--- a/order/owner.go
+++ b/order/owner.go
@@ -38,9 +38,9 @@
 // dropClaims removes queued claims whose holder is gone, so that no claim is
 // written that cannot be used or released any more. A claim that may already be in
 // the store stays queued. A holder that is alive after all retries.
-func (p *partition) dropClaims(holderGone func(Token) bool) {
+func (p *partition) dropClaims(holderStopped func(Token) bool) {
 	p.queue = slices.DeleteFunc(p.queue, func(op *operation) bool {
-		drop := op.msg.Op == OpClaim && !op.maybeWritten && holderGone(op.msg.Token)
+		drop := op.msg.Op == OpClaim && !op.maybeWritten && holderStopped(op.msg.Token)
 		if drop {
 			delete(p.pending, opKey{OpClaim, op.msg.Token})
 		}
--- a/pool/options.go
+++ b/pool/options.go
@@ -26,8 +26,8 @@
 func WithShares(shares rank.Table[float64]) Option { return func(c *config) { c.shares = shares } }
 
 // WithQueueLimits sets the maximum queue length of each rank per upstream.
-func WithQueueLimits(bounds rank.Table[int]) Option {
-	return func(c *config) { c.queueLimits = bounds }
+func WithQueueLimits(limits rank.Table[int]) Option {
+	return func(c *config) { c.queueLimits = limits }
 }
 
 // WithIdleTimeout sets how long an idle connection stays open.
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -121,7 +121,7 @@
 }
 
 func (q *queue) nextRank() rank.Rank {
-	first := rank.Rank(rank.Count)
+	mostUrgent := rank.Rank(rank.Count)
 	for _, r := range rank.All() {
 		if q.ranks.Ref(r).len() == 0 {
 			continue
@@ -129,20 +129,20 @@
 		if q.credit.At(r) >= 1 {
 			return r
 		}
-		if first == rank.Count {
-			first = r
+		if mostUrgent == rank.Count {
+			mostUrgent = r
 		}
 	}
-	return first
+	return mostUrgent
 }
 
 // earliestDeadline returns the queued attempt with the earliest deadline, or nil.
 func (q *queue) earliestDeadline() *pendingAttempt {
 	var earliest *pendingAttempt
 	for _, r := range rank.All() {
-		due := &q.ranks.Ref(r).byDeadline
-		if due.Len() > 0 && (earliest == nil || deadlineBefore(due.top(), earliest)) {
-			earliest = due.top()
+		byDeadline := &q.ranks.Ref(r).byDeadline
+		if byDeadline.Len() > 0 && (earliest == nil || deadlineBefore(byDeadline.top(), earliest)) {
+			earliest = byDeadline.top()
 		}
 	}
 	return earliest
--- a/query/model.go
+++ b/query/model.go
@@ -11,7 +11,7 @@
 
 // Model runs the open queries of one VM.
 type Model struct {
-	book        *upstream.Balancer
+	balancer    *upstream.Balancer
 	vm          string
 	incarnation uint64
 	services    map[string]*service
@@ -84,9 +84,9 @@
 }
 
 // New returns a Model that selects upstreams with book and reports the results of attempts to it.
-func New(book *upstream.Balancer, opts ...Option) *Model {
+func New(balancer *upstream.Balancer, opts ...Option) *Model {
 	m := &Model{
-		book:     book,
+		balancer: balancer,
 		services: make(map[string]*service),
 		byID:     make(map[string]*openQuery),
 		budgets:  newBudgets(defaultHedgeBurst, defaultRetryBurst),
--- a/query/model_test.go
+++ b/query/model_test.go
@@ -17,13 +17,13 @@
 
 // harness drives a Model and records its commands.
 type harness struct {
-	book    *upstream.Balancer
-	model   *query.Model
-	now     clock.Millis
-	sent    []attempt.Request
-	cancels []query.CancelCmd
-	answers []query.Answer
-	events  map[timeline.Kind]int
+	balancer *upstream.Balancer
+	model    *query.Model
+	now      clock.Millis
+	sent     []attempt.Request
+	cancels  []query.CancelCmd
+	answers  []query.Answer
+	events   map[timeline.Kind]int
 }
 
 // newHarness returns a Model of a service whose groups have two replicas each.
@@ -40,13 +40,13 @@
 		list = append(list, group.Replicas...)
 		svc.Groups = append(svc.Groups, group)
 	}
-	book := upstream.New(upstream.WithUpstreams(list), upstream.WithSeed(1))
+	balancer := upstream.New(upstream.WithUpstreams(list), upstream.WithSeed(1))
 	for _, u := range list {
-		book.RecordReply(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: held})
+		balancer.RecordReply(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: held})
 	}
 	return &harness{
-		book: book, events: make(map[timeline.Kind]int),
-		model: query.New(book, query.WithServices(svc), query.WithVM("vm", 3)),
+		balancer: balancer, events: make(map[timeline.Kind]int),
+		model: query.New(balancer, query.WithServices(svc), query.WithVM("vm", 3)),
 	}
 }
 
@@ -65,10 +65,10 @@
 	}
 }
 
-func (h *harness) start(hedge, retry float64) {
+func (h *harness) start(hedgePercent, retryPercent float64) {
 	h.update(query.StartMsg{
 		ID: "q", Service: "s", Deadline: h.now + 200, MinCoverage: 50,
-		Policy: preset.RankPolicy{HedgeBudgetPercent: hedge, RetryBudgetPercent: retry},
+		Policy: preset.RankPolicy{HedgeBudgetPercent: hedgePercent, RetryBudgetPercent: retryPercent},
 	})
 }
 
--- a/query/reply.go
+++ b/query/reply.go
@@ -53,7 +53,7 @@
 	// The latency that a query sees includes the round trip to the carrier.
 	r.ServiceMs = max(now-a.sentAt-r.QueueMs, 0)
 	q.recordLoad(r)
-	m.book.RecordReply(now, a.up, r)
+	m.balancer.RecordReply(now, a.up, r)
 	sub.lastStatus = r.Status
 	switch {
 	case r.Status == attempt.OK:
@@ -64,7 +64,7 @@
 		m.setTimer(now, timerHedge, q, a.group, sub.openSeqs[0])
 	case r.Status == attempt.VersionGone:
 		m.versionGone(now, q, a.group)
-	case r.Status == attempt.NotSent && now+m.book.LatencyP95(q.Service) > q.answerAt:
+	case r.Status == attempt.NotSent && now+m.balancer.LatencyP95(q.Service) > q.answerAt:
 		// The carrier dropped the attempt because too little time remained, so a
 		// retry would miss the deadline too.
 		m.failGroupAndAdvance(now, q, a.group, "dropped by its carrier")
@@ -119,7 +119,7 @@
 		a := m.attempts.get(seq)
 		a.q.maybeExecuted = true
 		m.emit(CancelCmd{ID: m.attemptID(seq), Upstream: string(a.up)})
-		m.book.RecordAbandoned(now, a.up, now-a.sentAt)
+		m.balancer.RecordAbandoned(now, a.up, now-a.sentAt)
 		m.attempts.cancel(seq)
 	}
 	sub.openCount = 0
--- a/query/restart.go
+++ b/query/restart.go
@@ -32,7 +32,7 @@
 		}
 		return
 	}
-	if sub.attempts < maxAttempts && m.book.MayHold(q.Service, q.service.groups[g], q.version) {
+	if sub.attempts < maxAttempts && m.balancer.MayHold(q.Service, q.service.groups[g], q.version) {
 		m.sendRetry(now, q, g)
 		return
 	}
@@ -48,11 +48,11 @@
 	if q.pass >= maxRestarts || !m.hasTimeForPass(now, q) {
 		return false
 	}
-	version, holders, _ := m.book.BestVersion(now, q.Service)
-	if holders == 0 || version == q.version {
+	version, holdingGroups, _ := m.balancer.BestVersion(now, q.Service)
+	if holdingGroups == 0 || version == q.version {
 		return false
 	}
-	if q.version != 0 && holders <= m.book.GroupsHolding(q.Service, q.version) {
+	if q.version != 0 && holdingGroups <= m.balancer.GroupsHolding(q.Service, q.version) {
 		return false
 	}
 	m.cancelAll(now, q)
@@ -74,7 +74,7 @@
 }
 
 func (m *Model) hasTimeForPass(now clock.Millis, q *openQuery) bool {
-	return now+latenciesPerPass*m.book.LatencyP95(q.Service) <= q.answerAt
+	return now+latenciesPerPass*m.balancer.LatencyP95(q.Service) <= q.answerAt
 }
 
 // scheduleEpochRetry schedules a retry to the groups on an older epoch. It
@@ -115,7 +115,7 @@
 		q.unsettled++
 	}
 	for _, g := range groups {
-		up, ok := m.book.PickForVersion(now, q.Service, q.service.groups[g], q.version, nil)
+		up, ok := m.balancer.PickForVersion(now, q.Service, q.service.groups[g], q.version, nil)
 		if !ok {
 			m.failGroup(q, g, "no upstream")
 			continue
--- a/query/retry.go
+++ b/query/retry.go
@@ -32,7 +32,7 @@
 // the budget empties, except before a second hedge, which is rare and has the
 // greatest effect.
 func (m *Model) hedgeDelay(now clock.Millis, q *openQuery, up upstream.ID, secondHedge bool) clock.Millis {
-	delay := m.book.HedgeDelay(now, up)
+	delay := m.balancer.HedgeDelay(now, up)
 	if secondHedge {
 		return delay * secondHedgeNum / secondHedgeDen
 	}
@@ -53,7 +53,7 @@
 		return
 	}
 	if q.service.overloaded {
-		m.setTimer(now+m.book.HedgeDelay(now, a.up), timerHedge, q, g, seq)
+		m.setTimer(now+m.balancer.HedgeDelay(now, a.up), timerHedge, q, g, seq)
 		return
 	}
 	up, ok := m.pickHedge(now, q, g)
@@ -75,9 +75,9 @@
 func (m *Model) pickHedge(now clock.Millis, q *openQuery, g int) (upstream.ID, bool) {
 	sub := &q.subrequests[g]
 	tried := sub.tried[:sub.triedCount]
-	up, ok := m.book.PickHedge(now, q.Service, q.service.groups[g], q.version, tried)
+	up, ok := m.balancer.PickHedge(now, q.Service, q.service.groups[g], q.version, tried)
 	if !ok && sub.hedges > 0 {
-		up, ok = m.book.PickHedge(now, q.Service, q.service.groups[g], q.version, tried[len(tried)-1:])
+		up, ok = m.balancer.PickHedge(now, q.Service, q.service.groups[g], q.version, tried[len(tried)-1:])
 	}
 	return up, ok
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	group := q.service.groups[g]
-	up, ok := m.book.PickForVersion(now, q.Service, group, q.version, sub.tried[:sub.triedCount])
+	up, ok := m.balancer.PickForVersion(now, q.Service, group, q.version, sub.tried[:sub.triedCount])
 	if !ok {
 		m.scheduleTriedUpstreamRetry(now, q, g)
 		return
@@ -108,7 +108,7 @@
 	sub := &q.subrequests[g]
 	group := q.service.groups[g]
 	last := sub.tried[max(sub.triedCount-1, 0):sub.triedCount]
-	if _, ok := m.book.PickForVersion(now, q.Service, group, q.version, last); !ok {
+	if _, ok := m.balancer.PickForVersion(now, q.Service, group, q.version, last); !ok {
 		m.failGroupAndAdvance(now, q, g, "no other upstream")
 		return
 	}
--- a/query/start.go
+++ b/query/start.go
@@ -44,14 +44,14 @@
 		m.finish(now, q, "deadline")
 		return
 	}
-	needed := len(q.service.groups)
-	totals.AttemptsNeeded += needed
+	groupCount := len(q.service.groups)
+	totals.AttemptsNeeded += groupCount
 	budget := m.budgets.Ref(q.Rank)
-	budget.hedges.refill(float64(needed) * q.Policy.HedgeBudgetPercent / 100)
-	budget.retries.refill(float64(needed) * q.Policy.RetryBudgetPercent / 100)
-	q.subrequests = make([]subrequest, needed)
+	budget.hedges.refill(float64(groupCount) * q.Policy.HedgeBudgetPercent / 100)
+	budget.retries.refill(float64(groupCount) * q.Policy.RetryBudgetPercent / 100)
+	q.subrequests = make([]subrequest, groupCount)
 	m.setTimer(q.answerAt, timerDeadline, q, 0, 0)
-	version, _, _ := m.book.BestVersion(now, q.Service)
+	version, _, _ := m.balancer.BestVersion(now, q.Service)
 	m.fanOut(now, q, version, kindFirst)
 }
 
@@ -68,7 +68,7 @@
 	}
 	for g := range q.subrequests {
 		q.subrequests[g] = subrequest{}
-		up, ok := m.book.PickForVersion(now, q.Service, q.service.groups[g], version, nil)
+		up, ok := m.balancer.PickForVersion(now, q.Service, q.service.groups[g], version, nil)
 		if !ok {
 			m.failGroup(q, g, "no upstream")
 			continue
@@ -87,7 +87,7 @@
 	sub.recordTried(up)
 	q.attempts++
 	m.countAttempt(q, kind)
-	m.book.RecordSent(now, up)
+	m.balancer.RecordSent(now, up)
 	m.emit(SendCmd{attempt.Request{
 		ID: m.attemptID(a.seq), Upstream: string(up), Kind: attempt.Query, Service: q.Service, Group: q.service.groups[g],
 		Rank: q.Rank, Priority: q.Priority, Deadline: q.answerAt, Version: q.version, Body: q.Body,
--- a/query/tail_test.go
+++ b/query/tail_test.go
@@ -40,7 +40,7 @@
 				t.Errorf("%d cancelled, want %d", got, want)
 			}
 			for _, req := range h.sent {
-				if got := h.book.Outstanding(upstream.ID(req.Upstream)); got != 0 {
+				if got := h.balancer.Outstanding(upstream.ID(req.Upstream)); got != 0 {
 					t.Errorf("%d outstanding on %s after the answer, want 0", got, req.Upstream)
 				}
 			}
@@ -93,13 +93,13 @@
 				}
 				h.advanceTo(h.now + 200)
 			}
-			n := h.model.Totals(rank.Urgent)
+			totals := h.model.Totals(rank.Urgent)
 			limit := int(queries*groups*tt.percent/100+burst) * tt.perToken
-			if got := tt.extra(n); got > limit || got < limit/2 {
+			if got := tt.extra(totals); got > limit || got < limit/2 {
 				t.Errorf("%d extra attempts, want at most %d and at least half of it", got, limit)
 			}
-			if n.AttemptsNeeded != queries*groups || n.Sent != n.AttemptsNeeded+n.Hedges+n.Retries {
-				t.Errorf("totals %+v are inconsistent", n)
+			if totals.AttemptsNeeded != queries*groups || totals.Sent != totals.AttemptsNeeded+totals.Hedges+totals.Retries {
+				t.Errorf("totals %+v are inconsistent", totals)
 			}
 			if h.events[timeline.BudgetExhausted] == 0 {
 				t.Error("no budget_exhausted event")
@@ -114,7 +114,7 @@
 // TestLeaving guards against new attempts at an upstream that is leaving.
 func TestLeaving(t *testing.T) {
 	h := newHarness(2, 1)
-	h.book.MarkLeaving(0, "s/0/0")
+	h.balancer.MarkLeaving(0, "s/0/0")
 	for range 20 {
 		h.start(100, 100)
 		h.advanceTo(h.now + 200)
@@ -194,7 +194,7 @@
 			t.Fatalf("%d answers and %d open, want %d and 0", got, h.model.OpenQueries(), started)
 		}
 		for _, req := range h.sent {
-			if got := h.book.Outstanding(upstream.ID(req.Upstream)); got != 0 {
+			if got := h.balancer.Outstanding(upstream.ID(req.Upstream)); got != 0 {
 				t.Fatalf("%d outstanding on %s, want 0", got, req.Upstream)
 			}
 		}
--- a/upstream/accessors.go
+++ b/upstream/accessors.go
@@ -23,16 +23,16 @@
 	if s == nil {
 		return max(defaultLatencyMs, b.minHedgeMs)
 	}
-	best := 0.0
+	shortestMs := 0.0
 	for _, replica := range s.group.upstreams {
-		if replica.latency.hasEnoughSamples() && (best == 0 || replica.latency.hedgeDelay < best) {
-			best = replica.latency.hedgeDelay
+		if replica.latency.hasEnoughSamples() && (shortestMs == 0 || replica.latency.hedgeDelay < shortestMs) {
+			shortestMs = replica.latency.hedgeDelay
 		}
 	}
-	if best == 0 {
-		best = s.service.hedgeMs()
+	if shortestMs == 0 {
+		shortestMs = s.service.hedgeMs()
 	}
-	return max(clock.Millis(math.Ceil(best)), b.minHedgeMs)
+	return max(clock.Millis(math.Ceil(shortestMs)), b.minHedgeMs)
 }
 
 // LatencyP95 returns the p95 latency of the service's attempts.
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -56,41 +56,41 @@
 		return "", false
 	}
 	untried := b.byID[id]
-	best := untried.expectedMs(now, untried.group) / stragglerFactor
+	lowestMs := untried.expectedMs(now, untried.group) / stragglerFactor
 	for _, triedID := range tried {
 		s := b.byID[triedID]
 		if s.leaving || s.dead || s.lacks(version) || now < s.retryAt {
 			continue
 		}
-		if ms := s.expectedMs(now, s.group); ms < best {
-			best, id = ms, triedID
+		if ms := s.expectedMs(now, s.group); ms < lowestMs {
+			lowestMs, id = ms, triedID
 		}
 	}
 	return id, true
 }
 
-func (b *Balancer) pick(now clock.Millis, svc, grp string, version uint64, exclude []ID, worst int) (ID, bool) {
+func (b *Balancer) pick(now clock.Millis, svc, grp string, version uint64, exclude []ID, worstTier int) (ID, bool) {
 	g := b.findGroup(svc, grp)
 	if g == nil {
 		return "", false
 	}
 	g.picks++
-	best := tierNone
+	bestTier := tierNone
 	b.candidates = b.candidates[:0]
 	for _, s := range g.upstreams {
 		if s.leaving || slices.Contains(exclude, s.id) {
 			continue
 		}
 		tier := b.tier(now, s, version)
-		if tier < best {
-			best = tier
+		if tier < bestTier {
+			bestTier = tier
 			b.candidates = b.candidates[:0]
 		}
-		if tier == best {
+		if tier == bestTier {
 			b.candidates = append(b.candidates, s)
 		}
 	}
-	if best > worst {
+	if bestTier > worstTier {
 		return "", false
 	}
 	s := b.betterOfTwo(now, g)
@@ -163,23 +163,23 @@
 // expectedMs is the mean latency, which decays towards the group's best during
 // the time without samples.
 func (s *upstreamState) expectedMs(now clock.Millis, g *group) float64 {
-	best := g.bestMean()
+	lowestMean := g.lowestMean()
 	if s.latency.mean == 0 {
-		return best
+		return lowestMean
 	}
 	halfLives := float64(now-s.latency.lastSampleAt) / float64(idleHalfLifeMs)
-	return best + (s.latency.mean-best)*math.Exp2(-halfLives)
+	return lowestMean + (s.latency.mean-lowestMean)*math.Exp2(-halfLives)
 }
 
-func (g *group) bestMean() float64 {
-	best := 0.0
+func (g *group) lowestMean() float64 {
+	lowest := 0.0
 	for _, s := range g.upstreams {
-		if m := s.latency.mean; m > 0 && (best == 0 || m < best) {
-			best = m
+		if m := s.latency.mean; m > 0 && (lowest == 0 || m < lowest) {
+			lowest = m
 		}
 	}
-	if best == 0 {
+	if lowest == 0 {
 		return 1
 	}
-	return best
+	return lowest
 }
--- a/upstream/record.go
+++ b/upstream/record.go
@@ -42,10 +42,10 @@
 		return
 	}
 	s.endAttempt()
-	took := r.QueueMs + r.ServiceMs
+	latencyMs := r.QueueMs + r.ServiceMs
 	switch r.Status {
 	case attempt.OK:
-		s.recordLatency(now, float64(took), float64(took))
+		s.recordLatency(now, float64(latencyMs), float64(latencyMs))
 		s.recordSuccess(now)
 	case attempt.VersionGone:
 		s.recordSuccess(now)
@@ -58,7 +58,7 @@
 		s.recordFailure(now, 1)
 	}
 	if fromUpstream(r.Status) {
-		s.applyReply(now, r, now-took)
+		s.applyReply(now, r, now-latencyMs)
 	}
 }
 
