--- a/admission/limit.go
+++ b/admission/limit.go
@@ -16,6 +16,8 @@
 	// minSamples keeps a decision from depending on one or two queries.
 	minSamples = 4
 
+	// costWeight and serviceWeight are the weights of a new sample in the moving
+	// averages of the query cost and the service time.
 	costWeight    = 0.05
 	serviceWeight = 0.05
 
--- a/admission/message.go
+++ b/admission/message.go
@@ -39,7 +39,7 @@
 // DrainMsg makes the Controller refuse new queries.
 type DrainMsg struct{}
 
-// TickMsg refuses queued queries that are late and starts those that fit.
+// TickMsg refuses queued queries that can no longer finish and starts those that fit.
 type TickMsg struct{}
 
 func (ArrivalMsg) admissionMsg() {}
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -255,6 +255,6 @@
 func checkLimit(t *testing.T, limit float64) {
 	t.Helper()
 	if limit < 0.9 || limit > 1.5 {
-		t.Errorf("got mean limit %.2f of the capacity, want 0.9 to 1.5", limit)
+		t.Errorf("got mean limit of %.2f times the ideal limit, want 0.9 to 1.5", limit)
 	}
 }
--- a/admission/service.go
+++ b/admission/service.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// medianQuantile is the quantile of the completion times that a query must have
-	// left: with less time than the median it more likely wastes capacity than
-	// finishes.
+	// A query is accepted only if its remaining time is at least the median of the
+	// completion times. With less time it more likely wastes capacity than finishes.
 	medianQuantile = 0.5
 
 	// A queued query starts only while its remaining time is at least tailFactor times
 	// the tail quantile of the completion times: under overload the slowest of its
-	// sub-requests waits far longer than usual. The requirement is capped at half of
-	// the query's whole time, so that short deadlines are served as well.
+	// sub-requests waits far longer than usual. This part is capped at half the
+	// time from the query's arrival to its deadline, so that short deadlines are served
+	// as well.
 	tailQuantile = 0.95
 	tailFactor   = 2
 
@@ -30,6 +30,7 @@
 	// maxBalanceMs bounds how long a rank is held back after one query that exceeded its floor.
 	maxBalanceMs = 200
 
+	// gapWeight is the weight of a new sample in completionGap.meanMs.
 	gapWeight = 0.1
 )
 
@@ -47,7 +48,7 @@
 	refused         rank.Table[[reasonCount]int]
 
 	// floorBalance is the integral over time of the floor minus the running cost. With
-	// it a rank whose floor is not a whole number of queries holds its floor on average.
+	// it a rank whose floor is not a whole number of queries gets its floor on average.
 	floorBalance rank.Table[float64]
 	balancedAt   clock.Millis
 
@@ -80,8 +81,9 @@
 	s.limit.recordStart(s.runningCost, q.cost)
 }
 
-// updateCredit adds credit to the ranks with queued queries for the start of q, and
-// charges its cost to the rank of q.
+// updateCredit handles the start of q. It adds the floor share of its cost to the
+// credit of each rank with queued queries and of the rank of q, and charges the
+// whole cost to the rank of q. The other ranks lose their credit.
 func (s *service) updateCredit(q *query, p preset.Preset) {
 	for _, r := range rank.All() {
 		if s.queues.Ref(r).len() == 0 && r != q.rank {
@@ -177,12 +179,14 @@
 	return now >= q.dueAt || now+s.requiredTime(now, q, q.dueAt) > q.dueAt
 }
 
-// requiredTime returns the time that a queued query needs to complete.
+// requiredTime returns the remaining time that a queued query must have to start.
 func (s *service) requiredTime(now clock.Millis, q *query, due clock.Millis) clock.Millis {
 	required := min(tailFactor*s.tailTime.Ref(q.rank).Estimate(now), (due-q.arrivedAt)/2)
 	return max(required, s.medianTime.Ref(q.rank).Estimate(now))
 }
 
+// canFinish reports whether a query that has just arrived can finish by its deadline
+// if it starts now.
 func (s *service) canFinish(now clock.Millis, q *query, policy preset.RankPolicy) bool {
 	deadline := effectiveDeadline(q, policy)
 	return now < deadline && now+s.medianTime.Ref(q.rank).Estimate(now) <= deadline
--- a/order/fault_test.go
+++ b/order/fault_test.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// runFaults submits 8 orders, injects the faults into the third and returns its first call.
+// runFaults submits 8 orders and injects the faults into the third. It returns the
+// first submission of the third order.
 func runFaults(t *testing.T, s scenario) (target *testCall) {
 	var remaining []injection
 	var targetAt clock.Millis
--- a/order/harness_store_test.go
+++ b/order/harness_store_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// conflict first writes the record as another owner does. A head gets one more claim.
+// conflict writes the record as another owner would, so that a write in progress
+// conflicts. It adds one claim to a head.
 func (h *harness) conflict(key string) {
 	e := h.entries[key]
 	head, err := order.DecodeHead(e.Value)
--- a/order/load.go
+++ b/order/load.go
@@ -59,8 +59,8 @@
 	m.readSegments(now, p)
 }
 
-// reportCorrupt reports a stored record that cannot be decoded. The partition
-// refuses every claim until the record is restored.
+// reportCorrupt reports a stored record that cannot be decoded; finishCall reports
+// failed store calls. The partition refuses every claim until the record is restored.
 func (m *Model) reportCorrupt(key string, r store.Reply, err error) {
 	if r.Kind != store.KindOK || err == nil {
 		return
--- a/order/model.go
+++ b/order/model.go
@@ -53,6 +53,7 @@
 	return m
 }
 
+// nextAttemptID returns the default source of attempt identifiers.
 func (m *Model) nextAttemptID() func() attempt.ID {
 	id := attempt.ID{VM: m.cfg.vm, Incarnation: m.cfg.incarnation}
 	return func() attempt.ID {
--- a/order/model_test.go
+++ b/order/model_test.go
@@ -178,7 +178,7 @@
 	for _, id := range orderIDs {
 		c := submit("other", id)
 		if got := c.answers[0]; got.Execution == attempt.NotExecuted || h.runs[id] != 1 {
-			t.Errorf("got %v and %d runs of %s, want no claim and 1 run", got, h.runs[id], id)
+			t.Errorf("got %v and %d runs of order %s, want an execution state other than not executed, and 1 run", got, h.runs[id], id)
 		}
 	}
 	checkSafety(t, h)
--- a/order/notcarrier_test.go
+++ b/order/notcarrier_test.go
@@ -11,8 +11,9 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// Guards against an order that ends as unknown, with its claim kept, although the
-// VMs to which it was forwarded proved that they carry no connection for it.
+// TestOrderIsSentAgainWhenNoCarrierTookIt guards against an order that ends as
+// unknown, with its claim kept, although the VMs to which it was forwarded proved
+// that they own no connection for it.
 func TestOrderIsSentAgainWhenNoCarrierTookIt(t *testing.T) {
 	const now = clock.Millis(1_700_000_000_000)
 	seq := uint64(0)
--- a/order/owner.go
+++ b/order/owner.go
@@ -35,9 +35,9 @@
 	m.advance(now, p)
 }
 
-// dropClaims removes queued claims whose holder is gone, so that no claim is
+// dropClaims removes queued claims whose holder has stopped, so that no claim is
 // written that cannot be used or released any more. A claim that may already be in
-// the store stays queued. A holder that is alive after all retries.
+// the store stays queued. A holder that is still alive requests its claim again.
 func (p *partition) dropClaims(holderStopped func(Token) bool) {
 	p.queue = slices.DeleteFunc(p.queue, func(op *operation) bool {
 		drop := op.msg.Op == OpClaim && !op.maybeWritten && holderStopped(op.msg.Token)
--- a/order/seal.go
+++ b/order/seal.go
@@ -12,8 +12,9 @@
 	return p.unlisted != nil && p.unlisted.revision == p.revision
 }
 
-// seal writes the claims of the cached head to a new segment. It takes the place of
-// one head write. The next head write lists the segment and starts with no claims.
+// seal writes the claims of the cached head to a new segment. It counts as one
+// write for the rate limit. The next head write lists the segment and starts with
+// no claims.
 func (m *Model) seal(now clock.Millis, p *partition) {
 	if p.unlisted != nil {
 		p.garbage = append(p.garbage, p.unlisted.ref.Number)
@@ -51,8 +52,9 @@
 }
 
 // readGarbage starts the deletion of one segment that no head can list any more:
-// its number is below NextSegment and the current head does not list it, so a head
-// that lists it would need an older revision. Deletion is best effort.
+// its number is below NextSegment and the current head does not list it, so only a
+// write based on an older revision could list it. Such a write conflicts. A failed
+// deletion is not retried.
 func (m *Model) readGarbage(p *partition) {
 	listed := make(map[uint64]bool)
 	for _, s := range p.head.Segments {
--- a/order/timer.go
+++ b/order/timer.go
@@ -18,7 +18,7 @@
 type timer struct {
 	at   clock.Millis
 	kind timerKind
-	key  uint64
+	key  uint64 // sequence number of the submission or release, or index of the partition
 }
 
 type timerHeap []timer
--- a/pool/model_test.go
+++ b/pool/model_test.go
@@ -170,10 +170,10 @@
 		*served.Ref(ranks[last])++
 	}
 	if got := served.At(rank.Ordinary); got < 99 || got > 101 {
-		t.Errorf("got %d ordinary of 400, want 100", got)
+		t.Errorf("got %d ordinary attempts of 400, want 99 to 101", got)
 	}
 	if got := served.At(rank.Patient); got < 39 || got > 41 {
-		t.Errorf("got %d patient of 400, want 40", got)
+		t.Errorf("got %d patient attempts of 400, want 39 to 41", got)
 	}
 }
 
--- a/pool/property_test.go
+++ b/pool/property_test.go
@@ -92,7 +92,7 @@
 				h.t.Fatalf("attempt %d was not sent, got execution %s", c.ID.Seq, c.Execution)
 			}
 			if h.sent[c.ID.Seq] && c.Status == attempt.TimedOut && c.Execution == attempt.NotExecuted {
-				h.t.Fatalf("attempt %d was sent, got execution no", c.ID.Seq)
+				h.t.Fatalf("attempt %d was sent, but returned as timed out and not executed", c.ID.Seq)
 			}
 		}
 	}
--- a/pool/upstream_state.go
+++ b/pool/upstream_state.go
@@ -111,7 +111,7 @@
 }
 
 // rejectStatus reports whether the upstream accepts no attempts at all, and the
-// status with which they are returned.
+// status with which queued attempts are then returned.
 func (u *upstreamState) rejectStatus(now clock.Millis) (attempt.Status, bool) {
 	switch {
 	case u.leaving:
--- a/query/model.go
+++ b/query/model.go
@@ -83,7 +83,7 @@
 	earliestRetry clock.Millis // earliest time of a retry to an upstream that was tried before
 }
 
-// New returns a Model that selects upstreams with book and reports the results of attempts to it.
+// New returns a Model that selects upstreams with balancer and reports the results of attempts to it.
 func New(balancer *upstream.Balancer, opts ...Option) *Model {
 	m := &Model{
 		balancer: balancer,
--- a/query/model_test.go
+++ b/query/model_test.go
@@ -270,7 +270,7 @@
 				t.Errorf("%d replies dropped, want %d", got, tt.drops)
 			}
 			if tt.event != "" && h.events[tt.event] == 0 {
-				t.Errorf("no event %s", tt.event)
+				t.Errorf("no %s event, want at least 1", tt.event)
 			}
 			if a.TookMs > 200 {
 				t.Errorf("answered after %d ms, want at most 200", a.TookMs)
--- a/query/restart.go
+++ b/query/restart.go
@@ -11,7 +11,7 @@
 	// maxRestarts limits how often one query restarts at another version.
 	maxRestarts = 4
 	// latenciesPerPass is the time that a new pass needs, in multiples of the
-	// service's typical latency.
+	// service's p95 latency.
 	latenciesPerPass = 2
 	// maxEpochRetries limits the retries to groups on an older shard map epoch.
 	maxEpochRetries = 5
@@ -63,7 +63,7 @@
 }
 
 // endDiscovery ends the pass that discovers which versions the upstreams hold
-// and starts one at the best of them.
+// and starts one at the version that Balancer.BestVersion returns.
 func (m *Model) endDiscovery(now clock.Millis, q *openQuery) {
 	if m.restart(now, q) {
 		return
--- a/query/tail_test.go
+++ b/query/tail_test.go
@@ -37,11 +37,11 @@
 			}
 			h.update(query.ReplyMsg{Reply: h.okReply(2)})
 			if got, want := len(h.cancels), len(h.sent)-2; got != want {
-				t.Errorf("%d cancelled, want %d", got, want)
+				t.Errorf("%d attempts cancelled, want %d", got, want)
 			}
 			for _, req := range h.sent {
 				if got := h.balancer.Outstanding(upstream.ID(req.Upstream)); got != 0 {
-					t.Errorf("%d outstanding on %s after the answer, want 0", got, req.Upstream)
+					t.Errorf("%d attempts outstanding on %s after the answer, want 0", got, req.Upstream)
 				}
 			}
 			if len(h.answers) != 1 || h.answers[0].Outcome != query.Complete {
@@ -142,7 +142,7 @@
 	h.update(query.ReplyMsg{Reply: h.okReply(0)})
 	h.advanceTo(500)
 	if len(h.answers) != 0 || len(h.cancels) != 2 || h.model.OpenQueries() != 0 {
-		t.Errorf("%d answers, %d cancelled, %d open, want 0, 2, 0", len(h.answers), len(h.cancels), h.model.OpenQueries())
+		t.Errorf("%d answers, %d attempts cancelled, %d open queries, want 0, 2, 0", len(h.answers), len(h.cancels), h.model.OpenQueries())
 	}
 	h.update(query.StartMsg{ID: "u", Service: "other", Deadline: h.now + 100})
 	h.update(query.StartMsg{ID: "d", Service: "s", Deadline: h.now - 1})
@@ -195,7 +195,7 @@
 		}
 		for _, req := range h.sent {
 			if got := h.balancer.Outstanding(upstream.ID(req.Upstream)); got != 0 {
-				t.Fatalf("%d outstanding on %s, want 0", got, req.Upstream)
+				t.Fatalf("%d attempts outstanding on %s, want 0", got, req.Upstream)
 			}
 		}
 		if wake, ok := h.model.NextWake(); ok {
--- a/upstream/balancer.go
+++ b/upstream/balancer.go
@@ -55,7 +55,7 @@
 	latency        latency
 	heldVersions   []uint64
 	heldVersionsAt clock.Millis
-	lastProbePick  int // value of group.picks at the last reply with versions or probe for a missing one
+	lastProbePick  int // value of group.picks at the last reply that reported versions or the last probe for a missing version
 	leaving        bool
 	leavingAt      clock.Millis
 	failures       int // consecutive failures; a refused connection counts as failuresUntilDead
@@ -67,7 +67,7 @@
 	ramping        bool
 }
 
-// New returns a Book.
+// New returns a Balancer.
 func New(opts ...Option) *Balancer {
 	b := &Balancer{
 		services:   make(map[string]*service),
--- a/upstream/balancer_test.go
+++ b/upstream/balancer_test.go
@@ -100,7 +100,7 @@
 			b := newBalancer()
 			tt.prepare(b)
 			if got := pickPercent(b, tt.now, replica1); got < tt.min || got > tt.max {
-				t.Errorf("%d%% of picks, want %d to %d", got, tt.min, tt.max)
+				t.Errorf("%d%% of picks returned replica 1, want %d to %d", got, tt.min, tt.max)
 			}
 		})
 	}
@@ -122,7 +122,7 @@
 		t.Errorf("Pick with the dead one excluded = %q, want none", got)
 	}
 	if got := len(b.Avoided(1)); got != 2 {
-		t.Errorf("%d avoided, want 2", got)
+		t.Errorf("%d upstreams avoided, want 2", got)
 	}
 }
 
@@ -187,7 +187,7 @@
 			b := newBalancer()
 			tt.prepare(b)
 			if got, found := b.CommonVersion("s"); got != tt.want || found != tt.ok {
-				t.Errorf("Version = %d, %v, want %d, %v", got, found, tt.want, tt.ok)
+				t.Errorf("CommonVersion = %d, %v, want %d, %v", got, found, tt.want, tt.ok)
 			}
 		})
 	}
--- a/upstream/latency.go
+++ b/upstream/latency.go
@@ -41,6 +41,7 @@
 	nextDecay     clock.Millis
 }
 
+// record adds ms to the histogram and meanMs to the moving average.
 func (l *latency) record(now clock.Millis, ms, meanMs float64) {
 	if now >= l.nextDecay {
 		if l.nextDecay > 0 {
--- a/upstream/options.go
+++ b/upstream/options.go
@@ -6,7 +6,7 @@
 	"lentillink.example/lentillink/clock"
 )
 
-// Option configures a Book.
+// Option configures a Balancer.
 type Option func(*Balancer)
 
 // WithUpstreams sets the initial upstreams. They are not ramped up: the VM has
--- a/upstream/pick.go
+++ b/upstream/pick.go
@@ -10,8 +10,8 @@
 const (
 	// rampStartShare is the share of attempts that an upstream gets at the start of its ramp.
 	rampStartShare = 0.1
-	// idleHalfLifeMs is the time without samples in which a latency moves halfway
-	// to the group's best, so that a recovered upstream is tried again.
+	// idleHalfLifeMs is the time without samples in which an expected latency moves
+	// halfway to the group's lowest mean, so that a recovered upstream is tried again.
 	idleHalfLifeMs = 5 * clock.Second
 	// stragglerFactor is the ratio of expected latencies from which a hedge goes
 	// to an upstream that was tried already rather than to the untried one.
@@ -23,7 +23,8 @@
 	probeInterval = 32
 )
 
-// Tiers of candidates, best first. Pick chooses within the best tier that has any.
+// Tiers of candidates, the most preferred first. Pick chooses from the first tier
+// that has a candidate.
 const (
 	tierUsable       = iota
 	tierRamping      // beyond its share during the ramp
@@ -69,6 +70,7 @@
 	return id, true
 }
 
+// pick returns false if the first tier that has a candidate comes after worstTier.
 func (b *Balancer) pick(now clock.Millis, svc, grp string, version uint64, exclude []ID, worstTier int) (ID, bool) {
 	g := b.findGroup(svc, grp)
 	if g == nil {
@@ -160,8 +162,8 @@
 	return float64(s.outstanding+1) * s.expectedMs(now, g)
 }
 
-// expectedMs is the mean latency, which decays towards the group's best during
-// the time without samples.
+// expectedMs returns the mean latency, which decays towards the lowest mean of the
+// group during the time without samples.
 func (s *upstreamState) expectedMs(now clock.Millis, g *group) float64 {
 	lowestMean := g.lowestMean()
 	if s.latency.mean == 0 {
@@ -171,6 +173,7 @@
 	return lowestMean + (s.latency.mean-lowestMean)*math.Exp2(-halfLives)
 }
 
+// lowestMean returns the lowest mean latency in the group, or 1 if there are no samples.
 func (g *group) lowestMean() float64 {
 	lowest := 0.0
 	for _, s := range g.upstreams {
--- a/upstream/record.go
+++ b/upstream/record.go
@@ -74,8 +74,8 @@
 	case ms > s.latency.mean:
 		s.recordLatency(now, ms, ms*abandonedFactor)
 	case ms*abandonedFactor > s.latency.mean:
-		// The elapsed time supports the recorded mean, so the mean's decay
-		// towards the group's best starts again.
+		// The elapsed time is consistent with the recorded mean, so the mean's decay
+		// towards the lowest mean of the group starts again.
 		s.latency.lastSampleAt = now
 	}
 }
