--- a/entry/admin.go
+++ b/entry/admin.go
@@ -97,11 +97,11 @@
 // sendAdminRequest sends a request to one member and decodes the response.
 func sendAdminRequest[T any](ctx context.Context, v *VM, m fleet.VM, kind vm.AdminKind, payload []byte) (T, bool) {
 	var doc T
-	id, answer := v.adminRequests.add()
+	id, response := v.adminRequests.add()
 	defer v.adminRequests.remove(id)
 	v.mesh.Send(m.ID, m.Address, clock.Timestamp{}, vm.AdminRequest{ID: id, Kind: kind, Payload: payload})
 	select {
-	case data := <-answer:
+	case data := <-response:
 		return doc, len(data) > 0 && json.Unmarshal(data, &doc) == nil
 	case <-ctx.Done():
 		return doc, false
@@ -110,7 +110,7 @@
 
 // fanOutAdminRequest sends a request to all other members that are not dead, in
 // parallel. It returns the members that did not respond in time as unresponsive.
-func fanOutAdminRequest[T any](ctx context.Context, v *VM, members []fleet.VM, kind vm.AdminKind, payload []byte) (answers []T, unresponsive []string) {
+func fanOutAdminRequest[T any](ctx context.Context, v *VM, members []fleet.VM, kind vm.AdminKind, payload []byte) (responses []T, unresponsive []string) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout.Duration())
 	defer cancel()
 	type result struct {
@@ -136,7 +136,7 @@
 			unresponsive = append(unresponsive, r.member)
 			continue
 		}
-		answers = append(answers, r.doc)
+		responses = append(responses, r.doc)
 	}
-	return answers, unresponsive
+	return responses, unresponsive
 }
--- a/entry/helper_test.go
+++ b/entry/helper_test.go
@@ -69,12 +69,12 @@
 }
 
 // waitFor polls until a condition holds, and fails the test after waitLimit.
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitLimit)
-	for !ok() {
+	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("condition did not hold within %s: %s", waitLimit, what)
+			t.Fatalf("condition did not hold within %s: %s", waitLimit, condition)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -167,8 +167,8 @@
 	}
 }
 
-// orderRuns returns how often the upstreams executed an order.
-func orderRuns(f *demo.Fleet, id string) int {
+// orderExecutions returns how often the upstreams executed an order.
+func orderExecutions(f *demo.Fleet, id string) int {
 	n := 0
 	for _, up := range f.Standins.Upstreams() {
 		n += f.Standins.Upstream(up).Executions(id)
@@ -212,7 +212,7 @@
 func (o *orderAnswers) check(t *testing.T, f *demo.Fleet) (done int) {
 	t.Helper()
 	for id, answers := range o.answers {
-		n, notExecuted, executed := orderRuns(f, id), true, false
+		n, notExecuted, executed := orderExecutions(f, id), true, false
 		for _, a := range answers {
 			notExecuted = notExecuted && a.Execution == attempt.NotExecuted
 			executed = executed || a.Outcome == "done"
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -9,15 +9,15 @@
 
 // metrics holds the Prometheus collectors. Every label has a small, fixed set of values.
 type metrics struct {
-	queries       *prometheus.CounterVec
-	orders        *prometheus.CounterVec
-	refusals      *prometheus.CounterVec
-	attempts      *prometheus.CounterVec
-	needed        *prometheus.CounterVec
-	queryDuration *prometheus.HistogramVec
-	events        *prometheus.CounterVec
-	revision      prometheus.Gauge
-	ready         prometheus.Gauge
+	queries        *prometheus.CounterVec
+	orders         *prometheus.CounterVec
+	refusals       *prometheus.CounterVec
+	attempts       *prometheus.CounterVec
+	attemptsNeeded *prometheus.CounterVec
+	queryDuration  *prometheus.HistogramVec
+	events         *prometheus.CounterVec
+	revision       prometheus.Gauge
+	ready          prometheus.Gauge
 }
 
 // latencyBuckets are in seconds and finest around the latency target of 180 ms.
@@ -35,14 +35,14 @@
 		return g
 	}
 	m := &metrics{
-		queries:  counter("queries_total", "Queries answered, by rank and outcome.", "rank", "outcome"),
-		orders:   counter("orders_total", "Orders answered, by outcome and whether they ran.", "outcome", "ran"),
-		refusals: counter("refusals_total", "Requests refused, by rank and reason.", "rank", "reason"),
-		attempts: counter("attempts_total", "Attempts sent for answered queries.", "rank"),
-		needed:   counter("attempts_needed_total", "Attempts that answered queries needed: one per group.", "rank"),
-		events:   counter("events_total", "Events of the time line, by kind.", "kind"),
-		revision: gauge("preset_revision", "Revision of the preset record in force."),
-		ready:    gauge("ready", "1 if the VM is ready for the balancer."),
+		queries:        counter("queries_total", "Queries answered, by rank and outcome.", "rank", "outcome"),
+		orders:         counter("orders_total", "Orders answered, by outcome and whether they ran.", "outcome", "ran"),
+		refusals:       counter("refusals_total", "Requests refused, by rank and reason.", "rank", "reason"),
+		attempts:       counter("attempts_total", "Attempts sent for answered queries.", "rank"),
+		attemptsNeeded: counter("attempts_needed_total", "Attempts that answered queries needed: one per group.", "rank"),
+		events:         counter("events_total", "Events of the time line, by kind.", "kind"),
+		revision:       gauge("preset_revision", "Revision of the preset record in force."),
+		ready:          gauge("ready", "1 if the VM is ready for the balancer."),
 		queryDuration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "lentillink", Name: "query_duration_seconds", Help: "Time from arrival to answer.", Buckets: latencyBuckets,
 		}, []string{"rank"}),
@@ -73,7 +73,7 @@
 		return
 	}
 	m.attempts.WithLabelValues(r).Add(float64(a.Attempts))
-	m.needed.WithLabelValues(r).Add(float64(a.AttemptsNeeded))
+	m.attemptsNeeded.WithLabelValues(r).Add(float64(a.AttemptsNeeded))
 	m.queryDuration.WithLabelValues(r).Observe(a.TookMs.Duration().Seconds())
 }
 
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -41,7 +41,7 @@
 				t.Errorf("repeat later, VM %d: got %d %s, want 409", vm, status, a.Outcome)
 			}
 		}
-		if got := orderRuns(f, o.ID); got != 1 {
+		if got := orderExecutions(f, o.ID); got != 1 {
 			t.Errorf("order %s was executed %d times, want 1", o.ID, got)
 		}
 	}
@@ -54,8 +54,8 @@
 	f := startFleet(t, 3)
 	requireComplete(t, f, 0)
 	for _, tt := range []struct {
-		preset string
-		least  time.Duration // an order that waits for the store is refused only near its deadline
+		preset      string
+		minDuration time.Duration // an order that waits for the store is refused only near its deadline
 	}{{"ordinary", 0}, {"maintenance", time.Second}} {
 		if tt.preset != "ordinary" {
 			switchPreset(t, f, tt.preset)
@@ -73,10 +73,10 @@
 		if a.Outcome != "refused" || a.Execution != attempt.NotExecuted || status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 			t.Errorf("%s: got %d %+v, want 503, ran: no and Retry-After", tt.preset, status, a)
 		}
-		if took < tt.least {
-			t.Errorf("%s: refused after %s, want at least %s", tt.preset, took, tt.least)
+		if took < tt.minDuration {
+			t.Errorf("%s: refused after %s, want at least %s", tt.preset, took, tt.minDuration)
 		}
-		if got := orderRuns(f, o.ID); got != 0 {
+		if got := orderExecutions(f, o.ID); got != 0 {
 			t.Errorf("%s: a refused order was executed %d times, want 0", tt.preset, got)
 		}
 		injectFault(t, f, "store", "down", false)
@@ -105,7 +105,7 @@
 		if again, err := f.Caller(1).Order(o); err != nil || again.Outcome != "already_submitted" {
 			t.Errorf("repeat: got %+v, %v, want already_submitted", again, err)
 		}
-		if got := orderRuns(f, o.ID); got != 1 {
+		if got := orderExecutions(f, o.ID); got != 1 {
 			t.Errorf("order %s was executed %d times, want 1", o.ID, got)
 		}
 	}
--- a/entry/query_test.go
+++ b/entry/query_test.go
@@ -128,12 +128,12 @@
 		injectFault(t, f, "search", fault, 0.01)
 	}
 	injectFault(t, f, "search", "late_ms", 200)
-	const workers, each = 12, 10
-	outcomes := make(chan string, workers*each)
+	const workers, queriesPerWorker = 12, 10
+	outcomes := make(chan string, workers*queriesPerWorker)
 	var wait sync.WaitGroup
 	for w := range workers {
 		wait.Go(func() {
-			for range each {
+			for range queriesPerWorker {
 				q := newQuery()
 				a, err := f.Caller(w).Query(q)
 				if err == nil {
@@ -154,7 +154,7 @@
 	}
 	t.Log("outcomes:", got)
 	// A group is missing only if the replies of both replicas are faulty, or the retry budget is exhausted.
-	if got["complete"] < workers*each*3/4 {
+	if got["complete"] < workers*queriesPerWorker*3/4 {
 		t.Errorf("outcomes %v, want at least 3/4 complete", got)
 	}
 }
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -55,8 +55,8 @@
 		})
 	}
 	waitFor(t, "requests are in flight", func() bool { return queries.Load() > 12 && inFlight.Load() >= 8 })
-	end := make(chan error, 1)
-	go func() { end <- f.Stop(0) }()
+	stopErr := make(chan error, 1)
+	go func() { stopErr <- f.Stop(0) }()
 	waitFor(t, "the VM is not ready", func() bool { return !f.Caller(0).Ready() })
 	if inFlight.Load() == 0 {
 		t.Error("/readyz returned 503 only after all requests had ended")
@@ -66,7 +66,7 @@
 	})
 	wait.Wait()
 	select {
-	case err := <-end:
+	case err := <-stopErr:
 		if err != nil {
 			t.Errorf("Run: %v, want nil", err)
 		}
@@ -124,8 +124,8 @@
 func TestRefusedWhileStopping(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, entry.WithBalancerWait(5000))
-	end := make(chan error, 1)
-	go func() { end <- f.Stop(0) }()
+	stopErr := make(chan error, 1)
+	go func() { stopErr <- f.Stop(0) }()
 	waitFor(t, "the VM is not ready", func() bool { return !f.Caller(0).Ready() })
 	before := receivedAttempts(f, "")
 	q, o := newQuery(), newOrder()
@@ -133,9 +133,9 @@
 	if err != nil || a.Outcome != "refused" || a.Execution != attempt.NotExecuted || a.RetryAfterMs == 0 {
 		t.Errorf("query: got %+v, %v, want refused, ran: no", a, err)
 	}
-	oa, err := f.Caller(0).Order(o)
-	if err != nil || oa.Outcome != "refused" || oa.Execution != attempt.NotExecuted {
-		t.Errorf("order: got %+v, %v, want refused, ran: no", oa, err)
+	orderAnswer, err := f.Caller(0).Order(o)
+	if err != nil || orderAnswer.Outcome != "refused" || orderAnswer.Execution != attempt.NotExecuted {
+		t.Errorf("order: got %+v, %v, want refused, ran: no", orderAnswer, err)
 	}
 	for _, id := range []string{q.ID, o.ID} {
 		doc, err := f.Caller(0).Events(url.Values{"request": {id}, "kind": {string(timeline.Refused)}})
@@ -146,7 +146,7 @@
 	if got := receivedAttempts(f, ""); got != before {
 		t.Errorf("upstreams received %d attempts for refused requests, want 0", got-before)
 	}
-	if err := <-end; err != nil {
+	if err := <-stopErr; err != nil {
 		t.Errorf("Run: %v, want nil", err)
 	}
 }
--- a/entry/vm.go
+++ b/entry/vm.go
@@ -99,8 +99,8 @@
 		vm.WithInitialRecord(v.initial), vm.WithRingEvents(s.Limits().RingEvents),
 	)
 	v.metrics = newMetrics(v.registry)
-	mesh := append([]peer.Option{peer.WithClock(v.clock), peer.WithDialTimeout(s.Timeouts().PeerMs)}, v.meshOptions...)
-	v.mesh = peer.New(v.self.ID, v.self.Incarnation, meshHandler{v}, mesh...)
+	meshOptions := append([]peer.Option{peer.WithClock(v.clock), peer.WithDialTimeout(s.Timeouts().PeerMs)}, v.meshOptions...)
+	v.mesh = peer.New(v.self.ID, v.self.Incarnation, meshHandler{v}, meshOptions...)
 	return v, nil
 }
 
@@ -145,9 +145,9 @@
 		running--
 		stopIO()
 	}
-	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout.Duration())
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout.Duration())
 	defer cancel()
-	if err := server.ShutdownWithContext(shutdown); err != nil && firstErr == nil {
+	if err := server.ShutdownWithContext(shutdownCtx); err != nil && firstErr == nil {
 		firstErr = wrap("shutdown", KindServe, err)
 	}
 	stopIO()
--- a/exchange/client_test.go
+++ b/exchange/client_test.go
@@ -72,11 +72,11 @@
 	}
 }
 
-func await(t *testing.T, what string, done func() bool) {
+func await(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); !done(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: condition not met within %s", what, waitLimit)
+			t.Fatalf("%s: condition not met within %s", condition, waitLimit)
 		}
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -116,7 +116,7 @@
 // Run serves until ctx is cancelled, then drains: it withdraws readiness, answers the
 // requests in flight and closes each connection after its answer.
 func (g *Gateway) Run(ctx context.Context) error {
-	open, err := g.listen(ctx)
+	listeners, err := g.listen(ctx)
 	if err != nil {
 		return err
 	}
@@ -128,13 +128,13 @@
 	servers := []*http.Server{callerServer, g.newReadyServer(), g.newAdminServer()}
 	running := 2
 	for i, s := range servers {
-		if open.http[i] != nil {
+		if listeners.http[i] != nil {
 			running++
-			go func() { g.exits <- serve(s, open.http[i]) }()
+			go func() { g.exits <- serve(s, listeners.http[i]) }()
 		}
 	}
 	go func() { g.exits <- g.client.Run(ioCtx) }()
-	go func() { g.exits <- g.mesh.Run(ioCtx, open.peers) }()
+	go func() { g.exits <- g.mesh.Run(ioCtx, listeners.peers) }()
 	loopExit := make(chan error, 1)
 	go func() { loopExit <- g.loop(ioCtx) }()
 	_ = g.logger.Log("event", "started", "callers", g.callersAddr, "ready", g.readyAddr)
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -226,7 +226,7 @@
 // applyItem applies an item of the store. If the item of an upstream cannot be
 // decoded, the upstream is removed. Other undecodable items change nothing.
 func (g *Gateway) applyItem(item store.Item) {
-	change, err := g.decoder.Decode(item)
+	decoded, err := g.decoder.Decode(item)
 	if err != nil {
 		_ = g.logger.Log("event", "item_skipped", "key", item.Key, "revision", item.Revision, "err", err)
 		if id, ok := g.decoder.UpstreamID(item.Key); ok {
@@ -235,19 +235,19 @@
 		return
 	}
 	switch {
-	case change.Table != nil:
-		g.stepRelay(relay.TableMsg{Table: change.Table})
-		if t := g.table.Load(); t == nil || t.Version() < change.Table.Version() {
-			g.table.Store(change.Table)
+	case decoded.Table != nil:
+		g.stepRelay(relay.TableMsg{Table: decoded.Table})
+		if t := g.table.Load(); t == nil || t.Version() < decoded.Table.Version() {
+			g.table.Store(decoded.Table)
 		}
-	case change.Presets != nil:
-		g.setPresets(*change.Presets)
-	case change.VM != nil:
-		if id, ok := g.decoder.VMID(item.Key); ok && id == change.VM.ID {
-			g.setVM(id, change.VM)
+	case decoded.Presets != nil:
+		g.setPresets(*decoded.Presets)
+	case decoded.VM != nil:
+		if id, ok := g.decoder.VMID(item.Key); ok && id == decoded.VM.ID {
+			g.setVM(id, decoded.VM)
 		}
-	case change.Upstream != nil:
-		g.stepRelay(relay.UpstreamMsg{Upstream: *change.Upstream})
+	case decoded.Upstream != nil:
+		g.stepRelay(relay.UpstreamMsg{Upstream: *decoded.Upstream})
 	}
 }
 
--- a/peer/link.go
+++ b/peer/link.go
@@ -27,11 +27,11 @@
 }
 
 // enqueue adds a message. It returns false if the queue is full or closed.
-func (l *link) enqueue(out queuedMsg) bool {
+func (l *link) enqueue(msg queuedMsg) bool {
 	if l.closed || len(l.queue) >= l.maxLen {
 		return false
 	}
-	l.queue = append(l.queue, out)
+	l.queue = append(l.queue, msg)
 	select {
 	case l.nonEmpty <- struct{}{}:
 	default:
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -17,7 +17,7 @@
 // Default settings of a Mesh.
 const (
 	defaultQueueLen    = 8192
-	defaultIdle        = 120 * clock.Second
+	defaultIdleTimeout = 120 * clock.Second
 	defaultDialTimeout = 500 // milliseconds
 )
 
@@ -54,7 +54,7 @@
 func New(self string, incarnation uint64, h Handler, opts ...Option) *Mesh {
 	m := &Mesh{
 		self: self, incarnation: incarnation, handler: h, clock: clock.System{},
-		queueLen: defaultQueueLen, idleTimeout: defaultIdle, dialTimeout: defaultDialTimeout, dial: dialTCP,
+		queueLen: defaultQueueLen, idleTimeout: defaultIdleTimeout, dialTimeout: defaultDialTimeout, dial: dialTCP,
 		links: make(map[string]*link), ctx: context.Background(),
 	}
 	for _, opt := range opts {
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -46,13 +46,13 @@
 	return fmt.Sprintf("%T", body)
 }
 
-func await(t *testing.T, ch <-chan string, what string) string {
+func await(t *testing.T, ch <-chan string, expected string) string {
 	t.Helper()
 	select {
 	case got := <-ch:
 		return got
 	case <-time.After(waitLimit):
-		t.Fatalf("no %s within %s", what, waitLimit)
+		t.Fatalf("no %s within %s", expected, waitLimit)
 		return ""
 	}
 }
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -186,8 +186,8 @@
 	batch := l.takeAll()
 	m.mu.Unlock()
 	f, canFlush := asFlusher(s)
-	for i, out := range batch {
-		if err := s.Send(Encode(m.clock.Now(), out.stamp, out.body)); err != nil {
+	for i, msg := range batch {
+		if err := s.Send(Encode(m.clock.Now(), msg.stamp, msg.body)); err != nil {
 			m.reportUnsent(l.peer, batch[i+1:])
 			return wrap("send", KindStream, err)
 		}
@@ -202,7 +202,7 @@
 }
 
 func (m *Mesh) reportUnsent(peer string, msgs []queuedMsg) {
-	for _, out := range msgs {
-		m.handler.Unsent(peer, out.body)
+	for _, msg := range msgs {
+		m.handler.Unsent(peer, msg.body)
 	}
 }
--- a/preset/codec.go
+++ b/preset/codec.go
@@ -108,18 +108,18 @@
 		i := fieldIndex(t, key)
 		switch {
 		case i < 0:
-			return fmt.Errorf("%s: is not a known field, must be one of %v", join(path, key), fieldNames(t))
+			return fmt.Errorf("%s: is not a known field, must be one of %v", joinPath(path, key), fieldNames(t))
 		case seen[i]:
-			return fmt.Errorf("%s: appears twice", join(path, key))
+			return fmt.Errorf("%s: appears twice", joinPath(path, key))
 		}
 		seen[i] = true
-		if err := checkValue(d, join(path, key), t.Field(i).Type); err != nil {
+		if err := checkValue(d, joinPath(path, key), t.Field(i).Type); err != nil {
 			return err
 		}
 	}
 	for i, ok := range seen {
 		if !ok {
-			return fmt.Errorf("%s: is missing", join(path, fieldNames(t)[i]))
+			return fmt.Errorf("%s: is missing", joinPath(path, fieldNames(t)[i]))
 		}
 	}
 	_, err := d.Token()
@@ -143,4 +143,4 @@
 	return list
 }
 
-func join(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
+func joinPath(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
--- a/preset/explain.go
+++ b/preset/explain.go
@@ -45,11 +45,11 @@
 	return fmt.Sprintf("When capacity is used up, up to %d %s requests wait on each VM; more are refused as not run.", n, r)
 }
 
-func explainBudget(r rank.Rank, percent float64, what string) string {
+func explainBudget(r rank.Rank, percent float64, extraAttempts string) string {
 	if percent == 0 {
-		return fmt.Sprintf("For %s work there are no %s.", r, what)
+		return fmt.Sprintf("For %s work there are no %s.", r, extraAttempts)
 	}
-	return fmt.Sprintf("For %s work, %s may add at most %g%% to the attempts needed.", r, what, percent)
+	return fmt.Sprintf("For %s work, %s may add at most %g%% to the attempts needed.", r, extraAttempts, percent)
 }
 
 func explainCoverage(r rank.Rank, percent float64) string {
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -67,13 +67,13 @@
 		done <- settings.Watch(ctx, path, reload, func(g *settings.Gateway) { applied <- g }, func(err error) { rejected <- err })
 	}()
 	const timeout = 20 * time.Second
-	awaitApplied := func(what string) *settings.Gateway {
+	awaitApplied := func(trigger string) *settings.Gateway {
 		t.Helper()
 		select {
 		case g := <-applied:
 			return g
 		case <-time.After(timeout):
-			t.Fatalf("%s: settings not applied", what)
+			t.Fatalf("%s: settings not applied", trigger)
 			return nil
 		}
 	}
--- a/vm/call.go
+++ b/vm/call.go
@@ -88,9 +88,9 @@
 // enables it again once their queues are empty.
 func (c *Core) updateOverload() {
 	for _, s := range c.serviceList {
-		if on := c.admission.QueuedTotal(s.name) > 0; on != s.overloaded {
-			s.overloaded = on
-			c.enqueue(query.OverloadMsg{Service: s.name, Overloaded: on})
+		if overloaded := c.admission.QueuedTotal(s.name) > 0; overloaded != s.overloaded {
+			s.overloaded = overloaded
+			c.enqueue(query.OverloadMsg{Service: s.name, Overloaded: overloaded})
 		}
 	}
 }
--- a/vm/carrier.go
+++ b/vm/carrier.go
@@ -93,17 +93,17 @@
 	}
 }
 
-// insert adds s to the candidates of upstream i if its score is high enough.
+// insert adds newCandidate to the candidates of upstream i if its score is high enough.
 // A VM that scores below the last candidate is added only if complete is set,
 // which means that the list holds every other VM; otherwise an unlisted VM may
 // score between the two. It reports whether a carrier changed.
-func (t *CarrierTable) insert(i int, s candidate, complete bool) bool {
+func (t *CarrierTable) insert(i int, newCandidate candidate, complete bool) bool {
 	list := t.candidates[i]
-	pos, found := slices.BinarySearchFunc(list, s, compareCandidates)
+	pos, found := slices.BinarySearchFunc(list, newCandidate, compareCandidates)
 	if found || pos >= candidatesPerUpstream || pos == len(list) && !complete {
 		return false
 	}
-	list = slices.Insert(list, pos, s)
+	list = slices.Insert(list, pos, newCandidate)
 	t.candidates[i] = list[:min(len(list), candidatesPerUpstream)]
 	return pos < carriersPerUpstream
 }
--- a/vm/core.go
+++ b/vm/core.go
@@ -34,7 +34,7 @@
 	pool      *pool.Model
 	orders    *order.Model
 	fleet     *fleet.Model
-	book      *upstream.Balancer
+	balancer  *upstream.Balancer
 	ring      *timeline.Ring
 	carriers  *CarrierTable
 	loads     carrierLoads
@@ -48,7 +48,7 @@
 	rng             *rand.Rand
 	stopping        bool
 	drained         bool // the DrainFinished event was recorded
-	liveVMs         int
+	liveVMCount     int
 	orderSeq        uint64
 	nextPoll        clock.Millis
 	stallTimeout    clock.Millis
@@ -94,19 +94,19 @@
 		rng: rand.New(rand.NewPCG(cfg.seed, cfg.self.Incarnation)), unansweredPolls: make(map[upstream.ID]bool),
 		failedPolls: make(map[upstream.ID]int),
 	}
-	all := c.addServices(cfg.services)
-	c.book = upstream.New(upstream.WithUpstreams(all), upstream.WithSeed(cfg.seed))
-	c.queries = query.New(c.book, query.WithServices(cfg.services...), query.WithVM(cfg.self.ID, cfg.self.Incarnation))
+	allUpstreams := c.addServices(cfg.services)
+	c.balancer = upstream.New(upstream.WithUpstreams(allUpstreams), upstream.WithSeed(cfg.seed))
+	c.queries = query.New(c.balancer, query.WithServices(cfg.services...), query.WithVM(cfg.self.ID, cfg.self.Incarnation))
 	c.admission = admission.New(admissionOptions(cfg)...)
-	c.pool = pool.New(poolOptions(all)...)
+	c.pool = pool.New(poolOptions(allUpstreams)...)
 	c.orders = order.New(
 		order.WithSelf(cfg.self.ID, cfg.self.Incarnation),
-		order.WithPicker(c.book.Pick), order.WithAttemptID(c.orderAttemptID),
+		order.WithPicker(c.balancer.Pick), order.WithAttemptID(c.orderAttemptID),
 	)
 	c.fleet = fleet.New(fleet.WithSelf(cfg.self), fleet.WithSeed(cfg.seed),
 		fleet.WithSeedVMs(cfg.seedVMs...), fleet.WithInitialRecord(cfg.initialRecord))
-	ids := make([]string, len(all))
-	for i, u := range all {
+	ids := make([]string, len(allUpstreams))
+	for i, u := range allUpstreams {
 		ids[i] = string(u.ID)
 	}
 	c.carriers = NewCarrierTable(ids)
@@ -116,20 +116,20 @@
 }
 
 func (c *Core) addServices(list []upstream.Service) []upstream.Upstream {
-	var all []upstream.Upstream
+	var allUpstreams []upstream.Upstream
 	for _, svc := range list {
 		s := &service{name: svc.Name, groups: len(svc.Groups)}
 		for _, g := range svc.Groups {
 			for _, u := range g.Replicas {
 				s.upstreams = append(s.upstreams, string(u.ID))
 				c.upstreams[string(u.ID)] = u
-				all = append(all, u)
+				allUpstreams = append(allUpstreams, u)
 			}
 		}
 		c.services[svc.Name] = s
 		c.serviceList = append(c.serviceList, s)
 	}
-	return all
+	return allUpstreams
 }
 
 // unlimited is a limit, or an interval in ms, that is never reached.
@@ -160,9 +160,9 @@
 	return opts
 }
 
-func poolOptions(all []upstream.Upstream) []pool.Option {
-	opts := make([]pool.Option, 0, len(all))
-	for _, u := range all {
+func poolOptions(allUpstreams []upstream.Upstream) []pool.Option {
+	opts := make([]pool.Option, 0, len(allUpstreams))
+	for _, u := range allUpstreams {
 		opts = append(opts, pool.WithUpstream(string(u.ID), 0))
 	}
 	return opts
--- a/vm/forward.go
+++ b/vm/forward.go
@@ -71,9 +71,9 @@
 	return out
 }
 
-// handlePeerDown fails the attempts forwarded to a VM whose connection broke.
+// handlePeerDisconnected fails the attempts forwarded to a VM whose connection broke.
 // They may have run.
-func (c *Core) handlePeerDown(now clock.Millis, peer string) {
+func (c *Core) handlePeerDisconnected(now clock.Millis, peer string) {
 	failed := c.forwards.takeMatching(func(f *forward) bool { return f.carrier == peer })
 	if len(failed) > 0 {
 		c.forwards.unreachableUntil[peer] = now + unreachableMs
--- a/vm/forward_test.go
+++ b/vm/forward_test.go
@@ -27,7 +27,7 @@
 
 // newCluster returns three members; "a" is a carrier of none of the upstreams.
 func newCluster() *cluster {
-	t := &cluster{now: 1_700_000_000_000, cores: make(map[string]*vm.Core), entries: make(map[string]store.Entry)}
+	c := &cluster{now: 1_700_000_000_000, cores: make(map[string]*vm.Core), entries: make(map[string]store.Entry)}
 	group := upstream.Group{Name: "g"}
 	for i := 0; len(group.Replicas) < 2; i++ {
 		id := fmt.Sprintf("desk/g/%d", i)
@@ -42,40 +42,40 @@
 		all = append(all, fleet.VM{ID: id, Address: id, Incarnation: 1})
 	}
 	for _, v := range all {
-		t.cores[v.ID] = vm.New(vm.WithSelf(v), vm.WithSeedVMs(all...), vm.WithServices(upstream.Service{Name: "desk", Groups: []upstream.Group{group}}))
+		c.cores[v.ID] = vm.New(vm.WithSelf(v), vm.WithSeedVMs(all...), vm.WithServices(upstream.Service{Name: "desk", Groups: []upstream.Group{group}}))
 	}
-	t.run(10 * clock.Second)
-	return t
+	c.run(10 * clock.Second)
+	return c
 }
 
-func (t *cluster) run(d clock.Millis) {
-	for end := t.now + d; t.now < end; t.now += 20 {
+func (c *cluster) run(d clock.Millis) {
+	for end := c.now + d; c.now < end; c.now += 20 {
 		for _, id := range []string{"a", "b", "c"} {
-			t.deliver(id, vm.TickMsg{})
+			c.deliver(id, vm.TickMsg{})
 		}
 	}
 }
 
-func (t *cluster) deliver(id string, msg vm.Msg) {
-	for _, cmd := range slices.Clone(t.cores[id].Update(t.now, msg)) {
+func (c *cluster) deliver(id string, msg vm.Msg) {
+	for _, cmd := range slices.Clone(c.cores[id].Update(c.now, msg)) {
 		switch cmd := cmd.(type) {
 		case vm.StoreCmd:
-			t.deliver(id, vm.StoreMsg{Reply: t.callStore(cmd.Request)})
+			c.deliver(id, vm.StoreMsg{Reply: c.callStore(cmd.Request)})
 		case vm.AnswerOrderCmd:
-			t.answers = append(t.answers, cmd.Answer)
+			c.answers = append(c.answers, cmd.Answer)
 		case vm.SendPeerCmd:
 			if _, ok := cmd.Body.(vm.Forward); ok {
-				t.forwards = append(t.forwards, cmd)
+				c.forwards = append(c.forwards, cmd)
 				continue
 			}
-			t.deliver(cmd.To, vm.PeerMsg{From: id, Stamp: cmd.Stamp, Body: cmd.Body})
+			c.deliver(cmd.To, vm.PeerMsg{From: id, Stamp: cmd.Stamp, Body: cmd.Body})
 		}
 	}
 }
 
-func (t *cluster) callStore(r store.Request) store.Reply {
+func (c *cluster) callStore(r store.Request) store.Reply {
 	reply := store.Reply{Requester: r.Requester, Tag: r.Tag, Op: r.Op}
-	e := t.entries[r.Key]
+	e := c.entries[r.Key]
 	switch {
 	case r.Op == store.OpWatch:
 		reply.Kind = store.KindUnavailable
@@ -83,7 +83,7 @@
 		reply.Kind = store.KindConflict
 	case r.Op == store.OpSwap:
 		e = store.Entry{Key: r.Key, Value: r.Value, Revision: e.Revision + 1}
-		t.entries[r.Key] = e
+		c.entries[r.Key] = e
 	}
 	reply.Entry = e
 	return reply
@@ -124,25 +124,25 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newCluster()
-			r.deliver("a", vm.OrderMsg{CallID: 1, ID: fmt.Sprintf("%d-x", r.now), Rank: rank.Ordinary, Service: "desk", Group: "g"})
-			r.run(200)
-			if len(r.forwards) != 1 {
-				t.Fatalf("got %d forwards of a new order and answers %v, want 1 forward", len(r.forwards), r.answers)
+			c := newCluster()
+			c.deliver("a", vm.OrderMsg{CallID: 1, ID: fmt.Sprintf("%d-x", c.now), Rank: rank.Ordinary, Service: "desk", Group: "g"})
+			c.run(200)
+			if len(c.forwards) != 1 {
+				t.Fatalf("got %d forwards of a new order and answers %v, want 1 forward", len(c.forwards), c.answers)
 			}
 			for _, e := range tt.events {
-				r.deliver("a", e(r.forwards[0], r.forwards[len(r.forwards)-1]))
+				c.deliver("a", e(c.forwards[0], c.forwards[len(c.forwards)-1]))
 			}
 			ids := make(map[attempt.ID]bool)
-			for _, f := range r.forwards {
+			for _, f := range c.forwards {
 				ids[f.Body.(vm.Forward).Request.ID] = true
 			}
-			if len(r.forwards) != tt.forwards || len(ids) != tt.attempts {
-				t.Errorf("got %d forwards of %d attempts, want %d of %d", len(r.forwards), len(ids), tt.forwards, tt.attempts)
+			if len(c.forwards) != tt.forwards || len(ids) != tt.attempts {
+				t.Errorf("got %d forwards of %d attempts, want %d of %d", len(c.forwards), len(ids), tt.forwards, tt.attempts)
 			}
 			var got order.Outcome
-			if len(r.answers) > 0 {
-				got = r.answers[0].Outcome
+			if len(c.answers) > 0 {
+				got = c.answers[0].Outcome
 			}
 			if got != tt.outcome {
 				t.Errorf("got outcome %q, want %q", got, tt.outcome)
--- a/vm/handle.go
+++ b/vm/handle.go
@@ -55,7 +55,7 @@
 	case PeerUnsentMsg:
 		c.handlePeerUnsent(now, m)
 	case PeerDisconnectedMsg:
-		c.handlePeerDown(now, m.VM)
+		c.handlePeerDisconnected(now, m.VM)
 	case StopMsg:
 		c.stop(now)
 	case TickMsg:
@@ -136,7 +136,7 @@
 	if !m.OK {
 		return
 	}
-	c.book.RecordHeldVersions(now, m.Upstream, m.Load.HeldVersions)
+	c.balancer.RecordHeldVersions(now, m.Upstream, m.Load.HeldVersions)
 }
 
 func (c *Core) reportLeaving(r attempt.Reply) {
@@ -146,7 +146,7 @@
 }
 
 func (c *Core) handleStoreReply(m StoreMsg) {
-	if m.Reply.Requester == orderOwner {
+	if m.Reply.Requester == orderRequester {
 		c.enqueue(order.StoreMsg{Reply: m.Reply})
 		return
 	}
--- a/vm/handover.go
+++ b/vm/handover.go
@@ -42,12 +42,12 @@
 		return
 	}
 	var formerCarriers []string
-	for _, f := range oldLoads {
-		if f.vm == c.self.ID {
+	for _, load := range oldLoads {
+		if load.vm == c.self.ID {
 			return
 		}
-		if !c.carriers.IsCarrier(id, f.vm) {
-			formerCarriers = append(formerCarriers, f.vm)
+		if !c.carriers.IsCarrier(id, load.vm) {
+			formerCarriers = append(formerCarriers, load.vm)
 		}
 	}
 	h.open[id] = handover{deadline: now + handoverMs, formerCarriers: formerCarriers}
--- a/vm/member.go
+++ b/vm/member.go
@@ -11,9 +11,9 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// orderOwner marks store requests of the order machine, so that the replies are
+// orderRequester marks store requests of the order machine, so that the replies are
 // routed to it.
-const orderOwner = "order"
+const orderRequester = "order"
 
 func (c *Core) handleFleetCmds(now clock.Millis, cmds []fleet.Cmd) {
 	for _, cmd := range cmds {
@@ -39,7 +39,7 @@
 	for i, v := range vms {
 		ids[i] = v.ID
 	}
-	c.liveVMs = len(ids)
+	c.liveVMCount = len(ids)
 	changed := c.carriers.SetMembers(ids)
 	if c.routing == RouteDirect {
 		changed = c.carriers.upstreams
@@ -59,7 +59,7 @@
 		limit = min(limit, max(1, c.upstreams[id].ConnectionLimit*handoverPercent/100))
 	}
 	if c.routing == RouteDirect {
-		limit = max(1, c.upstreams[id].ConnectionLimit/max(c.liveVMs, 1))
+		limit = max(1, c.upstreams[id].ConnectionLimit/max(c.liveVMCount, 1))
 	}
 	if limit == c.pool.Limit(id) {
 		return
@@ -80,11 +80,11 @@
 
 func (c *Core) handleUpstreamLeaving(now clock.Millis, m fleet.UpstreamLeavingCmd) {
 	if m.Leaving {
-		c.book.MarkLeaving(now, m.Upstream)
+		c.balancer.MarkLeaving(now, m.Upstream)
 		c.enqueue(pool.LeavingMsg{Upstream: string(m.Upstream)})
 		return
 	}
-	c.book.MarkAvailable(now, m.Upstream)
+	c.balancer.MarkAvailable(now, m.Upstream)
 	c.enqueue(pool.AvailableMsg{Upstream: string(m.Upstream)})
 }
 
--- a/vm/route.go
+++ b/vm/route.go
@@ -28,10 +28,10 @@
 	for _, cmd := range cmds {
 		switch m := cmd.(type) {
 		case order.SendCmd:
-			c.book.RecordSent(now, upstream.ID(m.Request.Upstream))
+			c.balancer.RecordSent(now, upstream.ID(m.Request.Upstream))
 			c.route(now, m.Request)
 		case order.StoreCmd:
-			m.Request.Requester = orderOwner
+			m.Request.Requester = orderRequester
 			c.emit(StoreCmd{Request: m.Request})
 		case order.PeerCmd:
 			c.sendClaim(now, m)
@@ -119,7 +119,7 @@
 		c.enqueue(query.ReplyMsg{Reply: r})
 		return
 	}
-	c.book.RecordReply(now, upstream.ID(r.Upstream), r)
+	c.balancer.RecordReply(now, upstream.ID(r.Upstream), r)
 	c.enqueue(order.AttemptReplyMsg{Reply: r})
 }
 
--- a/vm/stall.go
+++ b/vm/stall.go
@@ -32,18 +32,18 @@
 		return
 	}
 	c.nextStallCheck = now + stallCheckMs
-	stalled := make(map[string]bool)
+	stalledCarriers := make(map[string]bool)
 	for _, f := range c.forwards.open {
 		if c.forwards.stalled(f, now, c.stallTimeout) {
-			stalled[f.carrier] = true
+			stalledCarriers[f.carrier] = true
 			c.forwards.unreachableUntil[f.carrier] = now + unreachableMs
 		}
 	}
-	if len(stalled) == 0 {
+	if len(stalledCarriers) == 0 {
 		return
 	}
 	failed := c.forwards.takeMatching(func(f *forward) bool {
-		return stalled[f.carrier] && f.req.Kind == attempt.Query
+		return stalledCarriers[f.carrier] && f.req.Kind == attempt.Query
 	})
 	for _, f := range failed {
 		c.failForward(now, f, attempt.Reply{ID: f.req.ID, Upstream: f.req.Upstream, Status: attempt.Failed})
--- a/vm/status.go
+++ b/vm/status.go
@@ -137,7 +137,7 @@
 	s := Status{
 		VM: c.self.ID, DataCentre: c.self.DataCentre, Ready: ready, Reason: reason, Stale: c.fleet.Stale(now),
 		Preset: c.preset.Name, Revision: c.revision, Members: c.fleet.Members(), Watchers: c.fleet.Watchers(),
-		Limits: make(map[string]int), Avoided: c.book.Avoided(now), OpenOrders: c.orders.OpenOrders(),
+		Limits: make(map[string]int), Avoided: c.balancer.Avoided(now), OpenOrders: c.orders.OpenOrders(),
 	}
 	for _, r := range rank.All() {
 		t := c.queries.Totals(r)
