--- a/entry/options.go
+++ b/entry/options.go
@@ -51,7 +51,7 @@
 // WithInitialRecord sets the preset record that is written if the store has none.
 func WithInitialRecord(r preset.Record) Option { return func(v *VM) { v.initial = r } }
 
-// WithMeshOptions adds options of the mesh of streams between VMs.
+// WithMeshOptions adds options of the peer.Mesh, which holds the streams between VMs.
 func WithMeshOptions(opts ...peer.Option) Option {
 	return func(v *VM) { v.meshOptions = append(v.meshOptions, opts...) }
 }
--- a/entry/perform.go
+++ b/entry/perform.go
@@ -53,7 +53,8 @@
 	v.mesh.Send(cmd.To, cmd.Address, cmd.Stamp, cmd.Body)
 }
 
-// abort sends a cancel request to the upstream. The attempt ends with its own reply.
+// abort sends a cancel request to the upstream. The call that sent the attempt
+// still returns its reply.
 func (v *VM) abort(ioCtx context.Context, cmd vm.AbortCmd) {
 	if err := v.upstreams.Cancel(ioCtx, upstream.ID(cmd.Upstream), cmd.ID); err != nil {
 		_ = v.logger.Log("event", "cancel_failed", "upstream", cmd.Upstream, "attempt", cmd.ID, "err", err)
--- a/exchange/client.go
+++ b/exchange/client.go
@@ -19,8 +19,9 @@
 	// defaultMaxReplyBytes bounds the body of a reply, and so its memory.
 	defaultMaxReplyBytes = 4 << 20
 
-	// defaultIdleTimeoutMs is how long an idle connection is used again if the upstream
-	// does not state its idle timeout. That is then shorter than a second.
+	// defaultIdleTimeoutMs is how long an idle connection stays usable if the upstream
+	// does not state its idle timeout. Such upstreams have an idle timeout of less than
+	// a second.
 	defaultIdleTimeoutMs clock.Millis = 700
 
 	// idleMarginMs is subtracted from a stated idle timeout, so that a request is not
@@ -33,7 +34,7 @@
 	closeIdleAfterMs = 8 * clock.Second
 	idleCheckMs      = clock.Second
 
-	// nonIdempotentIdleMs bounds the idle time of a connection that is used again for
+	// nonIdempotentIdleMs bounds the idle time after which a connection may still carry
 	// a request that is not idempotent.
 	nonIdempotentIdleMs clock.Millis = 400
 )
@@ -242,7 +243,7 @@
 }
 
 // takeIdle removes and returns the most recently used idle connection that is usable.
-// Unusable ones that it meets are closed.
+// It closes the unusable connections that were used more recently.
 func (u *upstreamConns) takeIdle(now clock.Millis, nonIdempotent bool) *conn {
 	for len(u.idle) > 0 {
 		cn := u.idle[len(u.idle)-1]
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -30,7 +30,7 @@
 	Body      []byte
 	NotRun    bool
 	CloseConn bool    // the upstream closes the connection
-	Fields    []Field // headers that are forwarded; set if the call asked for them
+	Fields    []Field // headers that are forwarded; set if Call.NeedHeader is set
 }
 
 // conn is one connection to an upstream.
@@ -40,7 +40,7 @@
 	nc         net.Conn
 	pending    *pendingCall // nil while idle
 	lastUsedAt clock.Millis
-	maxIdleMs  clock.Millis // how long the connection may be idle and is used again
+	maxIdleMs  clock.Millis // how long the connection stays usable while idle
 }
 
 // usable reports whether an idle connection may carry a request. For a request that is
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -51,8 +51,9 @@
 	reused      atomic.Bool  // the connection has carried a request before
 }
 
-// roundTripOf returns the network time of a request and its answer. The first request
-// on a connection counts twice, because it also had to wait for the TCP handshake.
+// roundTripOf returns the network time of a request and its answer. For the first request
+// on a connection this is two round trips, because the caller also waited for the TCP
+// handshake.
 func roundTripOf(r *http.Request) clock.Millis {
 	c, ok := r.Context().Value(callerConnKey{}).(*callerConn)
 	if !ok {
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -55,8 +55,8 @@
 			continue
 		}
 		if idleSince == 0 {
-			// Idle connections are closed. A connection that has just sent a request
-			// gets its answer first.
+			// This closes idle connections. A connection on which a request has just
+			// arrived is closed only after its answer.
 			callerServer.SetKeepAlivesEnabled(false)
 			idleSince = now
 		}
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -46,6 +46,7 @@
 	return fmt.Sprintf("%T", body)
 }
 
+// await returns the next value of ch. expected describes it in the failure message.
 func await(t *testing.T, ch <-chan string, expected string) string {
 	t.Helper()
 	select {
@@ -120,8 +121,8 @@
 	}
 }
 
-// TestMeshReportsDisconnect guards against a VM that stopped without a report,
-// so that senders would wait for it for ever.
+// TestMeshReportsDisconnect guards against a VM whose stop is not reported, so that
+// senders wait forever for its replies.
 func TestMeshReportsDisconnect(t *testing.T) {
 	a, b := startVM(t, "vm-a"), startVM(t, "vm-b")
 	a.mesh.Send("vm-b", b.addr, clock.Timestamp{}, vm.FleetMessage{Payload: []byte("hi")})
--- a/preset/committer_test.go
+++ b/preset/committer_test.go
@@ -9,7 +9,13 @@
 	"lentillink.example/lentillink/store"
 )
 
-// fakeStore holds one entry and applies a scripted fault to each call.
+// fakeStore holds one entry and applies the next of faults to each call:
+//   - "": none
+//   - "down": the store is unavailable; the call has no effect
+//   - "lost before": the request is lost; the call has no effect and its outcome is unknown
+//   - "lost after": the reply is lost; the call takes effect and its outcome is unknown
+//   - "silent": the call takes effect, but the committer receives no reply
+//   - "rival": another change is written before the call
 type fakeStore struct {
 	entry  store.Entry
 	faults []string
--- a/preset/explain.go
+++ b/preset/explain.go
@@ -45,6 +45,7 @@
 	return fmt.Sprintf("When capacity is used up, up to %d %s requests wait on each VM; more are refused as not run.", n, r)
 }
 
+// explainBudget explains the budget of one kind of extra attempts, in the plural.
 func explainBudget(r rank.Rank, percent float64, extraAttempts string) string {
 	if percent == 0 {
 		return fmt.Sprintf("For %s work there are no %s.", r, extraAttempts)
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -75,7 +75,7 @@
 		"after earlier":        {timeline.Filter{After: clock.Timestamp{WallMs: 50}}, true},
 	} {
 		if got := tc.filter.Matches(ev); got != tc.want {
-			t.Errorf("%s: Match = %v, want %v", name, got, tc.want)
+			t.Errorf("%s: Matches = %v, want %v", name, got, tc.want)
 		}
 	}
 }
--- a/vm/carrier.go
+++ b/vm/carrier.go
@@ -28,7 +28,8 @@
 
 // CarrierTable assigns carriers to upstreams by rendezvous hashing. It updates
 // only the upstreams that a membership change affects, because hashing every
-// upstream against every VM takes a second at the size planned for in two years.
+// upstream against every VM takes a second at the fleet size planned for two years
+// from now.
 type CarrierTable struct {
 	upstreams  []string
 	index      map[string]int
--- a/vm/core.go
+++ b/vm/core.go
@@ -208,8 +208,8 @@
 func (c *Core) emit(cmd Cmd) { c.cmds = append(c.cmds, cmd) }
 
 // event adds an event to the event ring. The state machines identify a request
-// by its call number, callers and operators by the identifier that the caller
-// chose, so the first is replaced by the second.
+// by its call ID. Callers and operators know only the ID that the caller chose,
+// so event replaces the call ID by it.
 func (c *Core) event(now clock.Millis, ev timeline.Event) {
 	if n, err := strconv.ParseUint(ev.Request, 10, 64); err == nil {
 		if cl := c.calls[n]; cl != nil {
--- a/vm/forward.go
+++ b/vm/forward.go
@@ -52,8 +52,8 @@
 	return now < fs.unreachableUntil[vmID]
 }
 
-// takeMatching removes and returns the forwards that match. They are sorted by
-// attempt, so that runs with the same seed are identical.
+// takeMatching removes and returns the forwards that match, sorted by attempt, so
+// that runs with the same seed are identical.
 func (fs *forwards) takeMatching(match func(*forward) bool) []*forward {
 	var out []*forward
 	for id, f := range fs.open {
@@ -110,13 +110,13 @@
 }
 
 // handleResult accepts a result only from the VM to which the attempt was
-// forwarded. After rerouting, a duplicate result of the first carrier does not
-// prove that the second carrier has not run an order, so it is dropped.
+// forwarded. After rerouting, a duplicate result of the first carrier is dropped:
+// it does not prove that the second carrier has not run an order.
 func (c *Core) handleResult(now clock.Millis, from string, r attempt.Reply) {
 	f := c.forwards.open[r.ID]
 	if f == nil || f.carrier != from {
 		if r.Status != attempt.Cancelled && r.ID.Seq&orderSeqBit == 0 {
-			c.deliverReply(now, r) // the query machine counts and drops late replies
+			c.deliverReply(now, r) // the query state machine counts and drops late replies
 		}
 		return
 	}
--- a/vm/handle.go
+++ b/vm/handle.go
@@ -112,10 +112,11 @@
 // is leaving, and which snapshots it holds. The health and load figures are
 // ignored because they lag.
 //
-// A leaving upstream counts as back only after a restart: its load endpoint,
-// which may be stale or wrong, failed several polls and then answers without
-// the leaving flag. Otherwise only the expiry of the leaving report ends the
-// drain.
+// A leaving upstream counts as available again only after a restart, that is,
+// if its load endpoint failed several polls and then answers without the leaving
+// flag. An answer without the flag is not enough, because the endpoint may be
+// stale or wrong. Without a restart, only the expiry of the leaving report ends
+// the drain.
 func (c *Core) handleLoad(now clock.Millis, m LoadMsg) {
 	delete(c.unansweredPolls, m.Upstream)
 	leaving := c.fleet.UpstreamLeaving(m.Upstream)
--- a/vm/member.go
+++ b/vm/member.go
@@ -11,8 +11,8 @@
 	"lentillink.example/lentillink/upstream"
 )
 
-// orderRequester marks store requests of the order machine, so that the replies are
-// routed to it.
+// orderRequester marks store requests of the order state machine, so that the
+// replies are routed to it.
 const orderRequester = "order"
 
 func (c *Core) handleFleetCmds(now clock.Millis, cmds []fleet.Cmd) {
--- a/vm/status.go
+++ b/vm/status.go
@@ -89,7 +89,7 @@
 // DroppedReplies returns how many replies were dropped for the given reason.
 func (c *Core) DroppedReplies(d query.DropReason) int { return c.queries.Dropped(d) }
 
-// OrderStats returns the totals of the order machine.
+// OrderStats returns the totals of the order state machine.
 func (c *Core) OrderStats() order.Stats { return c.orders.Stats() }
 
 // OpenForwards returns the number of open attempts forwarded to other VMs.
