--- a/experiment/capacity.go
+++ b/experiment/capacity.go
@@ -7,14 +7,14 @@
 
 // Sizes of section 1.7 of the design page.
 const (
-	targetVMs        = 1600.0
-	targetUpstreams  = 9500.0
-	targetQueries    = 230_000.0 // per second, in the whole fleet
-	targetGroups     = 98.0
-	targetDeadlineMs = 180.0
-	dataCentres      = 9.0
-	secondsPerDay    = 86400.0
-	storeValueBytes  = 1e6
+	targetVMs          = 1600.0
+	targetUpstreams    = 9500.0
+	targetQueries      = 230_000.0 // per second, in the whole fleet
+	targetGroups       = 98.0
+	targetDeadlineMs   = 180.0
+	dataCentres        = 9.0
+	secondsPerDay      = 86400.0
+	maxStoreValueBytes = 1e6
 )
 
 // Rates per VM that follow from these sizes.
--- a/experiment/capacity_order.go
+++ b/experiment/capacity_order.go
@@ -36,7 +36,7 @@
 		r.AtMost("store writes of all partitions"+size, "1/s", float64(perSecond), float64(harness.writes)/claimSeconds, maxStoreWrites)
 		r.AddUnbounded("store reads of all partitions"+size, "1/s", 0, float64(harness.reads)/claimSeconds)
 		r.AddUnbounded("bytes written to the store"+size, "MB/s", 0, float64(harness.writtenBytes)/claimSeconds/1e6)
-		r.AtMost("largest value in the store"+size, "bytes", 0, float64(harness.largestValue), storeValueBytes)
+		r.AtMost("largest value in the store"+size, "bytes", 0, float64(harness.largestValue), maxStoreValueBytes)
 		r.AddUnbounded("claim in the store"+size, "bytes", 0, c.claimWireBytes)
 		if orders >= minClaimsForMemory {
 			r.AddUnbounded("claim in the cache of its owner"+size, "bytes", 0, c.claimBytes)
--- a/experiment/capacity_query.go
+++ b/experiment/capacity_query.go
@@ -36,23 +36,23 @@
 
 // queryHarness replies immediately to each attempt of a query.Model with the rows of its group.
 type queryHarness struct {
-	model  *query.Model
-	now    clock.Millis
-	next   int
-	sent   []attempt.Request
-	ranges map[string][]coverage.Range
-	rows   map[string][]coverage.Row
-	held   []uint64
+	model        *query.Model
+	now          clock.Millis
+	next         int
+	sent         []attempt.Request
+	ranges       map[string][]coverage.Range
+	rows         map[string][]coverage.Row
+	heldVersions []uint64
 }
 
 func newQueryHarness(seed uint64, groups int) *queryHarness {
 	list, svc := capacityUpstreams(groups)
 	harness := &queryHarness{
-		ranges: make(map[string][]coverage.Range), rows: make(map[string][]coverage.Row), held: []uint64{capacityVersion},
+		ranges: make(map[string][]coverage.Range), rows: make(map[string][]coverage.Row), heldVersions: []uint64{capacityVersion},
 	}
 	balancer := upstream.New(upstream.WithUpstreams(list), upstream.WithSeed(seed))
 	for _, u := range list {
-		balancer.RecordReply(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: harness.held})
+		balancer.RecordReply(0, u.ID, attempt.Reply{Status: attempt.VersionGone, HeldVersions: harness.heldVersions})
 	}
 	for i, g := range svc.Groups {
 		from := uint32(i * capacityKeys)
@@ -114,7 +114,7 @@
 func (q *queryHarness) reply(req *attempt.Request) attempt.Reply {
 	return attempt.Reply{
 		ID: req.ID, Upstream: req.Upstream, Status: attempt.OK, Execution: attempt.Executed, Version: req.Version, Epoch: 1,
-		Ranges: q.ranges[req.Group], HeldVersions: q.held, Rows: q.rows[req.Group], ServiceMs: 8,
+		Ranges: q.ranges[req.Group], HeldVersions: q.heldVersions, Rows: q.rows[req.Group], ServiceMs: 8,
 	}
 }
 
--- a/experiment/connections.go
+++ b/experiment/connections.go
@@ -81,11 +81,11 @@
 	report.AddUnbounded("connections opened at "+load.name, "per 1000", static.opened, carriers.opened)
 	report.AtMost("open per upstream at "+load.name, "", static.maxOpen, carriers.maxOpen, connLimit)
 	report.Notes = append(report.Notes, fmt.Sprintf("at %s: query p50 is better with %s, p99 with %s, openings with %s",
-		load.name, better(static.queryP50, carriers.queryP50), better(static.queryP99, carriers.queryP99),
-		better(static.opened, carriers.opened)))
+		load.name, betterVariant(static.queryP50, carriers.queryP50), betterVariant(static.queryP99, carriers.queryP99),
+		betterVariant(static.opened, carriers.opened)))
 }
 
-func better(static, carriers float64) string {
+func betterVariant(static, carriers float64) string {
 	switch {
 	case static < carriers:
 		return "static shares"
@@ -103,11 +103,11 @@
 	perMs := load.utilization * connReplicas * connLimit / meanMs
 	var arrivals []connArrival
 	var weights [connVMs]float64
-	epoch := clock.Millis(-1)
+	burst := clock.Millis(-1)
 	for at := rng.ExpFloat64() / perMs; at < float64(load.durationMs); at += rng.ExpFloat64() / perMs {
 		now := clock.Millis(at)
-		if now/connBurstMs != epoch {
-			epoch = now / connBurstMs
+		if now/connBurstMs != burst {
+			burst = now / connBurstMs
 			for i := range weights {
 				weights[i] = 0.3 + rng.ExpFloat64()
 			}
--- a/experiment/connections_fleet.go
+++ b/experiment/connections_fleet.go
@@ -235,10 +235,10 @@
 			opened += v.pool.OpenedConns(upstream)
 		}
 	}
-	per := 1000 / float64(f.subrequestCount)
+	perThousand := 1000 / float64(f.subrequestCount)
 	return connResult{
 		subrequestP50: float64(f.subrequestMs.ValueAtQuantile(50)), subrequestP99: float64(f.subrequestMs.ValueAtQuantile(99)),
 		queryP50: float64(f.queryMs.ValueAtQuantile(50)), queryP99: float64(f.queryMs.ValueAtQuantile(99)),
-		failed: float64(f.failed) * per, opened: float64(opened) * per, maxOpen: float64(f.maxOpen),
+		failed: float64(f.failed) * perThousand, opened: float64(opened) * perThousand, maxOpen: float64(f.maxOpen),
 	}
 }
--- a/experiment/failures.go
+++ b/experiment/failures.go
@@ -84,17 +84,17 @@
 	f.StartChange(f.VMs[1], change, 10*clock.Second, func(res preset.Result) { revision = res.Record.Revision })
 	f.RunUntil(1, clock.Second, func() bool { return revision > 0 })
 	inForce := func(v *FleetVM) bool { return v.Model.Record().Revision >= revision }
-	reached, _ := f.RunUntil(10, agreementLimit, func() bool {
+	inForceMs, _ := f.RunUntil(10, agreementLimit, func() bool {
 		return f.All(func(v *FleetVM) bool { return v.Region == 0 || inForce(v) })
 	})
-	r.AtMost("change in force on the side of the store"+size, "ms", 0, float64(reached), spreadBoundMs)
+	r.AtMost("change in force on the side of the store"+size, "ms", 0, float64(inForceMs), spreadBoundMs)
 	f.RunFor(max(0, begin+splitDurationMs-f.Loop.Now()))
 	f.LinkCut, f.Store.Unreachable = nil, nil
 	f.resetTraffic()
-	healed, _ := f.RunUntil(10, agreementLimit, func() bool { return f.All(inForce) })
-	r.AddUnbounded("change in force everywhere after healing"+size, "ms", 0, float64(healed))
+	inForceAfterHealMs, _ := f.RunUntil(10, agreementLimit, func() bool { return f.All(inForce) })
+	r.AddUnbounded("change in force everywhere after healing"+size, "ms", 0, float64(inForceAfterHealMs))
 	took, busiest := f.measureUntil(f.Converged)
-	r.AddUnbounded("all agree after healing"+size, "s", 0, took+float64(healed)/millisPerSecond)
+	r.AddUnbounded("all agree after healing"+size, "s", 0, took+float64(inForceAfterHealMs)/millisPerSecond)
 	r.AddUnbounded("sent by the busiest VM after healing"+size, "bytes/s", 0, busiest)
 }
 
--- a/experiment/flood.go
+++ b/experiment/flood.go
@@ -40,12 +40,12 @@
 
 // runFlood sends queries of each rank at its fraction of capacity, counts the requests of a window
 // of floodMs after floodWarmUpMs, and then runs until all requests have ended.
-func runFlood(cfg TierConfig, shares rank.Table[float64]) *flood {
+func runFlood(cfg TierConfig, loadRatios rank.Table[float64]) *flood {
 	t := NewTier(cfg)
 	f := &flood{tier: t, load: NewTierLoad(t, cfg.Seed), capacity: t.Capacity()}
 	end := t.Loop.Now() + floodWarmUpMs + floodMs
 	for _, r := range rank.All() {
-		f.load.Send(r, shares.At(r)*f.capacity, end)
+		f.load.Send(r, loadRatios.At(r)*f.capacity, end)
 	}
 	t.Loop.RunUntil(t.Loop.Now() + floodWarmUpMs)
 	f.load.Reset()
@@ -80,8 +80,8 @@
 }
 
 // runBoth runs the shares with admission control and without it.
-func runBoth(cfg TierConfig, shares rank.Table[float64]) (on, off *flood) {
-	return runFlood(cfg, shares), runFlood(withoutAdmissionControl(cfg), shares)
+func runBoth(cfg TierConfig, loadRatios rank.Table[float64]) (on, off *flood) {
+	return runFlood(cfg, loadRatios), runFlood(withoutAdmissionControl(cfg), loadRatios)
 }
 
 // drain runs until the requests in flight should have ended and counts those still without an answer.
@@ -103,11 +103,11 @@
 	report := Report{Name: "flood-patient", Seed: seed}
 	cfg := DefaultTier(seed)
 	quiet := runFlood(cfg, rank.NewTable(lightLoad, lightLoad, 0))
-	shares := rank.NewTable(lightLoad, otherLoad, floodFactor)
-	on, off := runBoth(cfg, shares)
-	unloaded := quiet.load.Result(rank.Urgent).P99()
+	loadRatios := rank.NewTable(lightLoad, otherLoad, floodFactor)
+	on, off := runBoth(cfg, loadRatios)
+	unloadedP99 := quiet.load.Result(rank.Urgent).P99()
 	report.AtMost("urgent p99 against unloaded", "ratio",
-		off.load.Result(rank.Urgent).P99()/unloaded, on.load.Result(rank.Urgent).P99()/unloaded, 1.5)
+		off.load.Result(rank.Urgent).P99()/unloadedP99, on.load.Result(rank.Urgent).P99()/unloadedP99, 1.5)
 	report.AtMost("urgent refused", "queries",
 		float64(off.load.Result(rank.Urgent).Refused), float64(on.load.Result(rank.Urgent).Refused), 0)
 	report.AtLeast("ordinary throughput against its floor", "ratio",
@@ -129,8 +129,8 @@
 func FloodUrgent(seed uint64) Report {
 	report := Report{Name: "flood-urgent", Seed: seed}
 	cfg := DefaultTier(seed)
-	shares := rank.NewTable(floodFactor, otherLoad, otherLoad)
-	on, off := runBoth(cfg, shares)
+	loadRatios := rank.NewTable(floodFactor, otherLoad, otherLoad)
+	on, off := runBoth(cfg, loadRatios)
 	report.AtLeast("goodput against capacity", "ratio", off.goodput()/off.capacity, on.goodput()/on.capacity, 0.9)
 	for _, r := range []rank.Rank{rank.Ordinary, rank.Patient} {
 		report.AtLeast(r.String()+" throughput against its floor", "ratio",
@@ -149,8 +149,8 @@
 	report := Report{Name: "fanout", Seed: seed}
 	cfg := DefaultTier(seed)
 	each := floodFactor / rank.Count
-	shares := rank.NewTable(each, each, each)
-	on, off := runBoth(cfg, shares)
+	loadRatios := rank.NewTable(each, each, each)
+	on, off := runBoth(cfg, loadRatios)
 	report.AtMost("sub-requests sent for queries without an answer", "percent", off.wastedPercent(), on.wastedPercent(), 1)
 	report.AddUnbounded("goodput against capacity", "ratio", off.goodput()/off.capacity, on.goodput()/on.capacity)
 	return report
--- a/experiment/matrix_cell.go
+++ b/experiment/matrix_cell.go
@@ -81,7 +81,7 @@
 	faults      faultState
 	trace       []string
 
-	matching        bool
+	matchSteps      bool
 	healTime        clock.Millis
 	delayedVMs      map[string]bool // VMs on which a fault delays preset changes
 	partitionOwners [order.NumPartitions]string
@@ -189,7 +189,7 @@
 		c.load.stream(cellOrderRate, end, c.load.order)
 	}
 	loop.RunUntil(warmedUp)
-	c.matching = true
+	c.matchSteps = true
 	for _, s := range c.injections {
 		if s.step.prepare != nil {
 			s.step.prepare(c)
@@ -237,7 +237,7 @@
 
 // observe injects the faults whose step matches the observation.
 func (c *cell) observe(m observation) {
-	if c.matching {
+	if c.matchSteps {
 		for _, s := range c.injections {
 			if !s.reached && s.step.match(c, m) {
 				s.reached = true
--- a/experiment/matrix_fault_vm.go
+++ b/experiment/matrix_fault_vm.go
@@ -165,13 +165,13 @@
 
 // operatorsRacing starts two concurrent preset changes.
 func operatorsRacing(c *cell, s *faultInjection, _ observation) func() {
-	other, first := c.randomVM(), len(c.presets.changes)
+	other, firstChange := c.randomVM(), len(c.presets.changes)
 	for _, to := range []struct{ vm, preset string }{{s.vm, "maintenance"}, {other, "peak"}} {
 		c.presets.start(to.vm, to.preset)
 	}
 	s.countEffects = func() int {
 		ended := 0
-		for _, ch := range c.presets.changes[first:] {
+		for _, ch := range c.presets.changes[firstChange:] {
 			if ch.decidedAt != 0 {
 				ended++
 			}
--- a/experiment/orders_mutant_test.go
+++ b/experiment/orders_mutant_test.go
@@ -33,8 +33,8 @@
 	}}
 }
 
-// answers replaces the answers for which change returns true.
-func answers(cmds []order.Cmd, change func(*order.Answer) bool) []order.Cmd {
+// replaceAnswers replaces the answers for which change returns true.
+func replaceAnswers(cmds []order.Cmd, change func(*order.Answer) bool) []order.Cmd {
 	for i, cmd := range cmds {
 		if a, ok := cmd.(order.AnswerCmd); ok && change(&a.Answer) {
 			cmds[i] = a
@@ -71,7 +71,7 @@
 
 // unknownAsNotExecuted answers an order with unknown execution as not executed.
 func unknownAsNotExecuted(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
-	return answers(cmds, func(a *order.Answer) bool {
+	return replaceAnswers(cmds, func(a *order.Answer) bool {
 		if a.Outcome != order.OutcomeUnknown {
 			return false
 		}
@@ -92,7 +92,7 @@
 
 // unknownAsDone answers an order with unknown execution as done.
 func unknownAsDone(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
-	return answers(cmds, func(a *order.Answer) bool {
+	return replaceAnswers(cmds, func(a *order.Answer) bool {
 		if a.Outcome != order.OutcomeUnknown {
 			return false
 		}
@@ -103,7 +103,7 @@
 
 // refusedAsRepeat answers a refused order as already submitted, although no claim exists.
 func refusedAsRepeat(_ *faultyMachine, _ clock.Millis, _ order.Msg, cmds []order.Cmd) []order.Cmd {
-	return answers(cmds, func(a *order.Answer) bool {
+	return replaceAnswers(cmds, func(a *order.Answer) bool {
 		if a.Outcome != order.OutcomeRefused {
 			return false
 		}
--- a/experiment/presets.go
+++ b/experiment/presets.go
@@ -105,13 +105,13 @@
 	}
 	h.fleet.RunFor(historyMs)
 	h.heal()
-	elapsed, ok := h.fleet.RunUntil(50, convergeLimitMs, h.sameRecord)
+	elapsed, converged := h.fleet.RunUntil(50, convergeLimitMs, h.sameRecord)
 	h.fleet.RunFor(operatorTimeoutMs) // until the last operators get their results
-	_, members := h.fleet.RunUntil(500, convergeLimitMs, func() bool {
+	_, membersConverged := h.fleet.RunUntil(500, convergeLimitMs, func() bool {
 		return !h.anyPaused() && h.sameRecord() && h.fleet.Converged()
 	})
-	ok = ok && members
-	return h.evaluate(elapsed, ok)
+	converged = converged && membersConverged
+	return h.evaluate(elapsed, converged)
 }
 
 func (h *history) randomTime() clock.Millis { return clock.Millis(h.rng.Int64N(int64(historyMs))) }
--- a/experiment/querysystem.go
+++ b/experiment/querysystem.go
@@ -44,7 +44,7 @@
 	upstreams   [][]*Upstream // by group and replica
 	carriers    map[string]*queryCarrier
 	cancelled   map[attempt.ID]bool
-	wakeAt      clock.Millis
+	nextWake    clock.Millis
 	policy      preset.RankPolicy
 	deadline    clock.Millis
 	minCoverage float64 // percentage of coverage below which a query fails
@@ -129,10 +129,10 @@
 
 func (s *querySystem) scheduleWake() {
 	at, ok := s.model.NextWake()
-	if !ok || (at >= s.wakeAt && s.wakeAt > s.loop.Now()) {
+	if !ok || (at >= s.nextWake && s.nextWake > s.loop.Now()) {
 		return
 	}
-	s.wakeAt = at
+	s.nextWake = at
 	s.loop.At(at, func() { s.update(query.TickMsg{}) })
 }
 
--- a/experiment/replay/caller.go
+++ b/experiment/replay/caller.go
@@ -80,8 +80,8 @@
 }
 
 // send sends a request of a caller to a random VM.
-func (w *Simulation) send(r *route.Route, first clock.Millis, attempt int) {
-	remaining := r.TimeoutMs - (w.now - first)
+func (w *Simulation) send(r *route.Route, firstSentAt clock.Millis, attempt int) {
+	remaining := r.TimeoutMs - (w.now - firstSentAt)
 	o := w.outcomes[r.Name]
 	if remaining <= 0 {
 		o.failed++
@@ -89,11 +89,11 @@
 	}
 	w.nextID++
 	id := w.nextID
-	w.names[id] = fmt.Sprintf("r%d", id)
-	w.openRequests[id] = &callerRequest{route: r, firstSentAt: first, attempts: attempt}
-	w.urgent[w.names[id]] = r.Priority == 0
+	w.requestNames[id] = fmt.Sprintf("r%d", id)
+	w.openRequests[id] = &callerRequest{route: r, firstSentAt: firstSentAt, attempts: attempt}
+	w.urgent[w.requestNames[id]] = r.Priority == 0
 	for _, s := range r.Gather {
-		w.needed[s]++
+		w.requestCounts[s]++
 	}
 	vm := w.rng.IntN(len(w.vms))
 	roundTrip := clock.Millis(2 * callerOneWayMs)
@@ -101,7 +101,7 @@
 		roundTrip *= 2
 	}
 	w.at(w.now+roundTrip-callerOneWayMs, func() {
-		w.update(vm, relay.ArrivalMsg{ID: id, Name: w.names[id], Host: r.Host, Path: r.Prefix + "x", RemainingMs: remaining, RoundTripMs: roundTrip})
+		w.update(vm, relay.ArrivalMsg{ID: id, Name: w.requestNames[id], Host: r.Host, Path: r.Prefix + "x", RemainingMs: remaining, RoundTripMs: roundTrip})
 	})
 }
 
--- a/experiment/replay/simulation.go
+++ b/experiment/replay/simulation.go
@@ -25,12 +25,12 @@
 	nextID        uint64
 	outcomes      map[string]*Outcome // by route
 	extraArrivals map[string]int      // attempts beyond the first one per request, by service
-	needed        map[string]int
+	requestCounts map[string]int
 	arrived       map[string]bool       // service and request name of the attempts that arrived
 	started       map[string]bool       // names of the requests that some upstream began to execute
 	violations    []string              // violated guarantees
 	delegations   map[uint64]delegation // open delegations, by the carrier's request number
-	names         map[uint64]string
+	requestNames  map[uint64]string
 	urgent        map[string]bool
 	size          Size
 }
@@ -70,8 +70,8 @@
 	}
 	w := &Simulation{
 		now: startMs, rng: rand.New(rand.NewPCG(seed, seed)), upstreams: make(map[string]*upstream), openRequests: make(map[uint64]*callerRequest),
-		outcomes: make(map[string]*Outcome), extraArrivals: make(map[string]int), needed: make(map[string]int), size: size,
-		arrived: make(map[string]bool), started: make(map[string]bool), delegations: make(map[uint64]delegation), names: make(map[uint64]string), urgent: make(map[string]bool),
+		outcomes: make(map[string]*Outcome), extraArrivals: make(map[string]int), requestCounts: make(map[string]int), size: size,
+		arrived: make(map[string]bool), started: make(map[string]bool), delegations: make(map[uint64]delegation), requestNames: make(map[uint64]string), urgent: make(map[string]bool),
 	}
 	names := make([]string, shards)
 	centres := []string{"a", "b", "c"}
@@ -120,8 +120,8 @@
 	out := slices.Clone(w.violations)
 	windows := float64(w.now-startMs) / float64(w.size.Budget.WindowMs)
 	for s, n := range w.extraArrivals {
-		if limit := w.size.Budget.Ratio*float64(w.needed[s]) + windows*w.size.Budget.Extra; float64(n) > limit {
-			out = append(out, fmt.Sprintf("service %s got %d extra arrivals for %d requests, want at most %.0f", s, n, w.needed[s], limit))
+		if limit := w.size.Budget.Ratio*float64(w.requestCounts[s]) + windows*w.size.Budget.Extra; float64(n) > limit {
+			out = append(out, fmt.Sprintf("service %s got %d extra arrivals for %d requests, want at most %.0f", s, n, w.requestCounts[s], limit))
 		}
 	}
 	if n := len(w.openRequests); n != 0 {
@@ -191,7 +191,7 @@
 		w.nextID++
 		id, to := w.nextID, w.vmIndex(c.To)
 		w.delegations[id] = delegation{vm, c.Delegation.ID}
-		w.names[id] = c.Delegation.Name
+		w.requestNames[id] = c.Delegation.Name
 		w.at(w.now+oneWayMs, func() {
 			d := c.Delegation
 			w.update(to, relay.ArrivalMsg{ID: id, Name: d.Name, Host: d.Host, Path: d.Path, Delegation: &d})
@@ -235,5 +235,5 @@
 		return
 	}
 	delete(w.openRequests, id)
-	w.at(w.now+callerOneWayMs, func() { w.handleAnswer(a, w.names[id], result.Answer) })
+	w.at(w.now+callerOneWayMs, func() { w.handleAnswer(a, w.requestNames[id], result.Answer) })
 }
--- a/experiment/replay/upstream.go
+++ b/experiment/replay/upstream.go
@@ -23,11 +23,11 @@
 }
 
 type job struct {
-	vm      int
-	attempt uint64
-	name    string
-	work    clock.Millis
-	dropped bool
+	vm        int
+	attempt   uint64
+	name      string
+	serviceMs clock.Millis
+	dropped   bool
 }
 
 // receive handles the arrival of an attempt at its upstream.
@@ -37,21 +37,21 @@
 		w.at(w.now+oneWayMs, func() { w.update(vm, relay.AttemptFailedMsg{Attempt: c.Attempt, NotSent: true, Cause: "down"}) })
 		return
 	}
-	name := w.names[c.Request]
+	name := w.requestNames[c.Request]
 	key := u.info.Service + "/" + name
 	if w.arrived[key] {
 		w.extraArrivals[u.info.Service]++
 	}
 	w.arrived[key] = true
-	mean := 20.0
+	meanMs := 20.0
 	if w.urgent[name] {
-		mean = 6.7
+		meanMs = 6.7
 	}
-	work := mean * (0.7 + 0.6*w.rng.Float64())
+	serviceMs := meanMs * (0.7 + 0.6*w.rng.Float64())
 	if w.rng.Float64() < 0.01 {
-		work *= 5
+		serviceMs *= 5
 	}
-	j := &job{vm: vm, attempt: c.Attempt, name: name, work: clock.Millis(work * u.factor)}
+	j := &job{vm: vm, attempt: c.Attempt, name: name, serviceMs: clock.Millis(serviceMs * u.factor)}
 	if len(u.queue) >= u.queueCap {
 		w.reply(j, relay.Reply{Status: 503, NotRun: true})
 		return
@@ -78,7 +78,7 @@
 		}
 		u.busy++
 		w.started[j.name] = true
-		w.at(w.now+max(j.work, 1), func() {
+		w.at(w.now+max(j.serviceMs, 1), func() {
 			u.busy--
 			w.reply(j, relay.Reply{Status: 200, Receipt: fmt.Sprintf("%s.%s.%d", u.info.ID, j.name, j.attempt)})
 			w.serve(u)
--- a/experiment/rollover.go
+++ b/experiment/rollover.go
@@ -36,7 +36,7 @@
 	r.AtMost("answers with untrue coverage", "", float64(off.wrongCoverage), float64(on.wrongCoverage), 0)
 	r.AtLeast("complete where a common version exists", "%", off.completePercent(), on.completePercent(), 99)
 	r.AtLeast("queries answered", "", float64(off.answers), float64(on.answers), rolloverQueries)
-	r.AddUnbounded("answers while no common version existed", "", float64(off.answers-off.withCommon), float64(on.answers-on.withCommon))
+	r.AddUnbounded("answers while no common version existed", "", float64(off.answers-off.withCommonVersion), float64(on.answers-on.withCommonVersion))
 	r.AddUnbounded("attempts of restarts", "", float64(off.system.totals().Restarts), float64(on.system.totals().Restarts))
 	r.AddUnbounded("attempts of epoch gaps", "", float64(off.system.totals().EpochRetries), float64(on.system.totals().EpochRetries))
 	r.AddUnbounded("urgent p99", "ms", off.system.quantileMs(99), on.system.quantileMs(99))
@@ -45,15 +45,15 @@
 }
 
 type rollover struct {
-	system        *querySystem
-	boundaries    []uint32 // group g holds the keys from boundaries[g] to boundaries[g+1]
-	epoch         uint64
-	commonToggles []clock.Millis // times at which a version common to all groups began or ceased to exist
-	answers       int
-	withCommon    int
-	complete      int
-	mixed         int
-	wrongCoverage int
+	system            *querySystem
+	boundaries        []uint32 // group g holds the keys from boundaries[g] to boundaries[g+1]
+	epoch             uint64
+	commonToggles     []clock.Millis // times at which a version common to all groups began or ceased to exist
+	answers           int
+	withCommonVersion int
+	complete          int
+	mixed             int
+	wrongCoverage     int
 }
 
 func newRollover(seed uint64, enabled bool) *rollover {
@@ -105,15 +105,15 @@
 }
 
 func (r *rollover) setHeldVersions(up *Upstream, held []uint64) {
-	before := r.hasCommon()
+	before := r.hasCommonVersion()
 	up.HeldVersions = held
-	if after := r.hasCommon(); before != after {
+	if after := r.hasCommonVersion(); before != after {
 		r.commonToggles = append(r.commonToggles, r.system.loop.Now())
 	}
 }
 
-// hasCommon reports whether every group has a replica that holds the same version.
-func (r *rollover) hasCommon() bool {
+// hasCommonVersion reports whether every group has a replica that holds the same version.
+func (r *rollover) hasCommonVersion() bool {
 	for version := uint64(1); version <= rolloverReleases+1; version++ {
 		everywhere := true
 		for _, group := range r.system.upstreams {
@@ -155,17 +155,17 @@
 	if !coverageIsCorrect(a) {
 		r.wrongCoverage++
 	}
-	if !r.hadCommon(r.system.loop.Now()-a.TookMs, r.system.loop.Now()) {
+	if !r.hadCommonVersion(r.system.loop.Now()-a.TookMs, r.system.loop.Now()) {
 		return
 	}
-	r.withCommon++
+	r.withCommonVersion++
 	if a.Outcome == query.Complete && !mixesVersions(a) {
 		r.complete++
 	}
 }
 
-// hadCommon reports whether a common version existed during the whole interval.
-func (r *rollover) hadCommon(from, to clock.Millis) bool {
+// hadCommonVersion reports whether a common version existed during the whole interval.
+func (r *rollover) hadCommonVersion(from, to clock.Millis) bool {
 	has := true
 	for _, change := range r.commonToggles {
 		if change > from && change <= to {
@@ -179,5 +179,5 @@
 }
 
 func (r *rollover) completePercent() float64 {
-	return 100 * float64(r.complete) / float64(max(r.withCommon, 1))
+	return 100 * float64(r.complete) / float64(max(r.withCommonVersion, 1))
 }
--- a/experiment/straggler.go
+++ b/experiment/straggler.go
@@ -15,13 +15,13 @@
 	healthy := runStraggler(seed, true, false)
 	off := runStraggler(seed, false, true)
 	on := runStraggler(seed, true, true)
-	free := healthy.quantileMs(99)
+	faultFreeP99 := healthy.quantileMs(99)
 	r := Report{Name: "straggler", Seed: seed}
-	r.AtMost("urgent p99 against fault-free", "ratio", off.quantileMs(99)/free, on.quantileMs(99)/free, 1.5)
+	r.AtMost("urgent p99 against fault-free", "ratio", off.quantileMs(99)/faultFreeP99, on.quantileMs(99)/faultFreeP99, 1.5)
 	r.AtMost("extra attempts", "%", off.extraPercent(), on.extraPercent(), 5)
 	r.AddUnbounded("urgent p99", "ms", off.quantileMs(99), on.quantileMs(99))
 	r.AddUnbounded("urgent p50", "ms", off.quantileMs(50), on.quantileMs(50))
-	r.AddUnbounded("urgent p99 without faults", "ms", free, free)
+	r.AddUnbounded("urgent p99 without faults", "ms", faultFreeP99, faultFreeP99)
 	r.AddUnbounded("hedges that won", "", float64(off.totals().HedgeWins), float64(on.totals().HedgeWins))
 	r.AtMost("incomplete answers", "", float64(off.totals().Partial+off.totals().Failed),
 		float64(on.totals().Partial+on.totals().Failed), 0)
--- a/experiment/tier.go
+++ b/experiment/tier.go
@@ -192,11 +192,11 @@
 		}
 	}
 	hooks.afterUpdate(n)
-	n.schedule()
+	n.scheduleWake()
 }
 
-// schedule schedules a tick at the core's next wake time.
-func (n *tierVM) schedule() {
+// scheduleWake schedules a tick at the core's next wake time.
+func (n *tierVM) scheduleWake() {
 	at, ok := n.core.NextWake()
 	if !ok {
 		return
--- a/experiment/tier_load.go
+++ b/experiment/tier_load.go
@@ -38,12 +38,12 @@
 
 // TierLoad sends queries to a Tier as a Poisson process.
 type TierLoad struct {
-	tier       *Tier
-	rng        *rand.Rand
-	results    *rank.Table[RankResult]
-	violations []string // descriptions of invalid answers
-	next       int
-	receivers  []*tierVM // VMs that receive queries, round-robin
+	tier         *Tier
+	rng          *rand.Rand
+	results      *rank.Table[RankResult]
+	violations   []string // descriptions of invalid answers
+	nextReceiver int
+	receivers    []*tierVM // VMs that receive queries, round-robin
 }
 
 // NewTierLoad returns a load generator with its own seed.
@@ -91,13 +91,13 @@
 // pickVM returns the next VM that is ready, as the platform's load balancer does.
 func (l *TierLoad) pickVM() *tierVM {
 	for range l.receivers {
-		n := l.receivers[l.next%len(l.receivers)]
-		l.next++
+		n := l.receivers[l.nextReceiver%len(l.receivers)]
+		l.nextReceiver++
 		if ready, _ := n.core.Ready(); ready && !n.dead {
 			return n
 		}
 	}
-	return l.receivers[l.next%len(l.receivers)]
+	return l.receivers[l.nextReceiver%len(l.receivers)]
 }
 
 func (l *TierLoad) query(r rank.Rank) {
