--- a/experiment/capacity_order.go
+++ b/experiment/capacity_order.go
@@ -10,7 +10,7 @@
 
 const (
 	claimSeconds = 20
-	// With fewer claims, the memory of a claim is lost in that of the state machine.
+	// With fewer claims, the state machine itself dominates the measured memory per claim.
 	minClaimsForMemory = 10_000
 	claimStepMs        = 10
 	// Delay from a claim to its done mark: the wait for the batch and the service time of the upstream.
--- a/experiment/failures.go
+++ b/experiment/failures.go
@@ -45,7 +45,8 @@
 	r.AtMost("reverts on a VM"+size, "", 0, float64(reverts), 0)
 }
 
-// killAndRestart kills all matching VMs at the same time and restarts them once the others have noticed.
+// killAndRestart kills all matching VMs at the same time and restarts them once all
+// other VMs see them as dead.
 func (f *Fleet) killAndRestart(r *Report, what string, match func(*FleetVM) bool) {
 	f.resetTraffic()
 	for _, v := range f.VMs {
--- a/experiment/flood.go
+++ b/experiment/flood.go
@@ -79,7 +79,7 @@
 	return f.capacity * p.Policy(r).FloorPercent / 100
 }
 
-// runBoth runs the shares with admission control and without it.
+// runBoth runs the same load with admission control and without it.
 func runBoth(cfg TierConfig, loadRatios rank.Table[float64]) (on, off *flood) {
 	return runFlood(cfg, loadRatios), runFlood(withoutAdmissionControl(cfg), loadRatios)
 }
--- a/experiment/flood_test.go
+++ b/experiment/flood_test.go
@@ -9,8 +9,8 @@
 	"lentillink.example/lentillink/experiment"
 )
 
-// TestFloods guards the bounds of section 1.8 of the design page for floods
-// against complete cores, and that a seed repeats its figures.
+// TestFloods guards the bounds of section 1.8 of the design page while complete
+// cores are flooded with queries, and that a seed repeats its figures.
 func TestFloods(t *testing.T) {
 	tests := []struct {
 		name string
--- a/experiment/loads.go
+++ b/experiment/loads.go
@@ -2,8 +2,8 @@
 
 import "lentillink.example/lentillink/experiment/replay"
 
-// Loads replays every load pattern of the gateway's decisions. The baseline is the
-// same load with every VM left to itself: no carriers, hedges or retries.
+// Loads replays every load pattern of package replay. In the baseline, the VMs work
+// independently under the same load: no carriers, hedges or retries.
 func Loads(seed uint64) Report {
 	r := Report{Name: "loads", Seed: seed}
 	for _, p := range replay.Patterns() {
--- a/experiment/matrix_cell.go
+++ b/experiment/matrix_cell.go
@@ -81,14 +81,14 @@
 	faults      faultState
 	trace       []string
 
-	matchSteps      bool
+	matchSteps      bool // set after the warm-up; before it, no step is reached
 	healTime        clock.Millis
-	delayedVMs      map[string]bool // VMs on which a fault delays preset changes
-	partitionOwners [order.NumPartitions]string
-	replyCounts     map[uint32]int
+	delayedVMs      map[string]bool             // VMs on which a fault delays preset changes
+	partitionOwners [order.NumPartitions]string // VM that the last claim of each partition was sent to
+	replyCounts     map[uint32]int              // by the priority of the query
 	loseNextReply   bool
-	lostReplyKey    string
-	stopping        map[string]int // VMs whose graceful stop has not completed, with the generation of their process plus 1
+	lostReplyKey    string         // key of the write whose reply was lost
+	stopping        map[string]int // VMs whose graceful stop has not completed, with the generation of their process plus 1, so that 0 means not stopping
 }
 
 // RunCell runs the cell "fault/step", or several joined by "+", in one Tier.
--- a/experiment/orders_mutant_test.go
+++ b/experiment/orders_mutant_test.go
@@ -137,7 +137,7 @@
 }
 
 // TestCheckerCatchesFaults guards against a checker that misses violations: each
-// double violates some invariants, and the checker must count them.
+// faulty machine violates some invariants, and the checker must count them.
 func TestCheckerCatchesFaults(t *testing.T) {
 	t.Parallel()
 	const lost orderRule = "lost"
--- a/experiment/replay/pattern.go
+++ b/experiment/replay/pattern.go
@@ -30,7 +30,7 @@
 	Name                               string
 	Size                               Size
 	MinUrgentCredit, MinOrdinaryCredit float64
-	MaxUrgentDeficit                   float64 // below the credit of ordinary requests
+	MaxUrgentDeficit                   float64 // how far the urgent credit may be below the ordinary credit
 	MaxUnserved                        int     // requests that end refused or failed
 
 	prepare func(w *Simulation)
--- a/experiment/replay/pattern_test.go
+++ b/experiment/replay/pattern_test.go
@@ -37,7 +37,7 @@
 					t.Errorf("got urgent credit %.3f too far below ordinary credit %.3f", u.Credit(), o.Credit())
 				}
 				if n := u.Unserved() + o.Unserved(); n > p.MaxUnserved {
-					t.Errorf("got %d refused or failed, want at most %d", n, p.MaxUnserved)
+					t.Errorf("got %d refused or failed requests, want at most %d", n, p.MaxUnserved)
 				}
 			}
 		})
--- a/experiment/replay/simulation.go
+++ b/experiment/replay/simulation.go
@@ -23,15 +23,15 @@
 	routes        []route.Route
 	openRequests  map[uint64]*callerRequest
 	nextID        uint64
-	outcomes      map[string]*Outcome // by route
-	extraArrivals map[string]int      // attempts beyond the first one per request, by service
-	requestCounts map[string]int
+	outcomes      map[string]*Outcome   // by route
+	extraArrivals map[string]int        // attempts beyond the first one per request, by service
+	requestCounts map[string]int        // requests that need a service, by service
 	arrived       map[string]bool       // service and request name of the attempts that arrived
 	started       map[string]bool       // names of the requests that some upstream began to execute
 	violations    []string              // violated guarantees
 	delegations   map[uint64]delegation // open delegations, by the carrier's request number
-	requestNames  map[uint64]string
-	urgent        map[string]bool
+	requestNames  map[uint64]string     // by the number of the request or delegation
+	urgent        map[string]bool       // by request name
 	size          Size
 }
 
--- a/experiment/tier_load.go
+++ b/experiment/tier_load.go
@@ -41,8 +41,8 @@
 	tier         *Tier
 	rng          *rand.Rand
 	results      *rank.Table[RankResult]
-	violations   []string // descriptions of invalid answers
-	nextReceiver int
+	violations   []string  // descriptions of invalid answers
+	nextReceiver int       // index of the next receiver, modulo the number of receivers
 	receivers    []*tierVM // VMs that receive queries, round-robin
 }
 
