--- a/entry/perform.go
+++ b/entry/perform.go
@@ -50,7 +50,7 @@
 		v.msgQueue = append(v.msgQueue, vm.PeerUnsentMsg{To: cmd.To, Body: cmd.Body})
 		return
 	}
-	v.mesh.Send(cmd.To, cmd.Address, cmd.Stamp, cmd.Body)
+	v.mesh.Send(cmd.To, cmd.Address, cmd.Timestamp, cmd.Body)
 }
 
 // abort sends a cancel request to the upstream. The call that sent the attempt
@@ -120,7 +120,7 @@
 	case vm.AdminResponse:
 		h.v.adminRequests.resolve(b)
 	default:
-		h.v.post(vm.PeerMsg{From: from, Stamp: stamp, Body: body})
+		h.v.post(vm.PeerMsg{From: from, Timestamp: stamp, Body: body})
 	}
 }
 
--- a/experiment/tier.go
+++ b/experiment/tier.go
@@ -308,7 +308,7 @@
 	}
 	t.Loop.After(tierHopMs, func() {
 		if to.generation == toGeneration {
-			to.update(vm.PeerMsg{From: from, Stamp: m.Stamp, Body: m.Body})
+			to.update(vm.PeerMsg{From: from, Timestamp: m.Timestamp, Body: m.Body})
 		}
 	})
 }
--- a/vm/forward_test.go
+++ b/vm/forward_test.go
@@ -68,7 +68,7 @@
 				c.forwards = append(c.forwards, cmd)
 				continue
 			}
-			c.deliver(cmd.To, vm.PeerMsg{From: id, Stamp: cmd.Stamp, Body: cmd.Body})
+			c.deliver(cmd.To, vm.PeerMsg{From: id, Timestamp: cmd.Timestamp, Body: cmd.Body})
 		}
 	}
 }
--- a/vm/handle.go
+++ b/vm/handle.go
@@ -50,7 +50,7 @@
 			Detail: fmt.Sprintf("%s by %s: %s (change %s)", m.Change.InForce, m.Change.Author, m.Change.Reason, m.Change.ChangeID),
 		})
 	case PeerMsg:
-		c.ring.Observe(now, m.Stamp)
+		c.ring.Observe(now, m.Timestamp)
 		c.handlePeerMsg(now, m)
 	case PeerUnsentMsg:
 		c.handlePeerUnsent(now, m)
--- a/vm/member.go
+++ b/vm/member.go
@@ -19,7 +19,7 @@
 	for _, cmd := range cmds {
 		switch m := cmd.(type) {
 		case fleet.SendCmd:
-			c.emit(SendPeerCmd{To: m.To, Address: m.Address, Stamp: c.ring.LastTimestamp(), Body: FleetMessage{Payload: m.Payload}})
+			c.emit(SendPeerCmd{To: m.To, Address: m.Address, Timestamp: c.ring.LastTimestamp(), Body: FleetMessage{Payload: m.Payload}})
 		case fleet.LiveCmd:
 			c.handleLiveVMs(now, m.VMs)
 		case fleet.RecordCmd:
@@ -130,5 +130,5 @@
 // sendPeer sends a message to a member. The runtime reports a message to a VM
 // that is not a member as unsent, because it has no address.
 func (c *Core) sendPeer(now clock.Millis, to string, body PeerBody) {
-	c.emit(SendPeerCmd{To: to, Address: c.fleet.Address(to), Stamp: c.ring.NextTimestamp(now), Body: body})
+	c.emit(SendPeerCmd{To: to, Address: c.fleet.Address(to), Timestamp: c.ring.NextTimestamp(now), Body: body})
 }
--- a/vm/peer.go
+++ b/vm/peer.go
@@ -50,9 +50,9 @@
 
 // PeerMsg is a message from another VM.
 type PeerMsg struct {
-	From  string
-	Stamp clock.Timestamp
-	Body  PeerBody
+	From      string
+	Timestamp clock.Timestamp
+	Body      PeerBody
 }
 
 // PeerUnsentMsg reports that a message was provably never sent.
@@ -67,10 +67,10 @@
 
 // SendPeerCmd sends a message to another VM.
 type SendPeerCmd struct {
-	To      string
-	Address string
-	Stamp   clock.Timestamp
-	Body    PeerBody
+	To        string
+	Address   string
+	Timestamp clock.Timestamp
+	Body      PeerBody
 }
 
 // AdminKind selects what an AdminRequest returns.
